--- a/crates/sparscale_policy/src/budget.rs
+++ b/crates/sparscale_policy/src/budget.rs
@@ -1,66 +1,69 @@
-//! The budget for sends beyond the first of each request. All entries share it, and none can count it alone.
+//! The retry budget: limits every send of a request after its first. All entries share the budget, and none of them can
+//! count it alone.
 //!
-//! Load pattern: targets fail, or all processes start again, while callers go on. Whatever each entry sends once more adds to the
-//! load of the targets that are left.
+//! Load pattern: targets fail, or all processes restart, while callers keep sending. Each retry of an entry adds to the
+//! load of the remaining targets.
 //!
-//! In any window the sends beyond the first of all entries together stay within `ratio` times the requests of that window
-//! or of the one before it, whichever are more, and a slack. An entry pays for such a send from one of two sources:
+//! In any window, the retries of all entries together are at most `ratio` times the requests of that window or of the
+//! previous one, whichever are more, plus a slack. An entry pays for a retry from one of two sources:
 //!
-//! - *Credit.* Each request earns [`EARNED`] of `ratio`. What an entry holds of it never exceeds the rest of `ratio` times
-//!   the requests of its last window. So the sends that all entries pay for from credit in a window are at most
-//!   `ratio` · ((1 − `EARNED`) · requests of the window before + `EARNED` · requests of the window), whoever knows of whom
-//!   and however often processes start again: a new process holds nothing.
-//! - *Its share of the slack*, once in a window. It is given only to a process that is older than a window, so that what its
-//!   predecessor spent lies outside of it, and that hears most of the entries it knows of.
+//! - *Credit.* Each request earns [`EARNED_FRACTION`] of `ratio`. The credit that an entry holds never exceeds the
+//!   remainder of `ratio` times the requests of its last window. So all entries together pay for at most
+//!   `ratio` · ((1 − `EARNED_FRACTION`) · requests of the previous window + `EARNED_FRACTION` · requests of the window)
+//!   from credit, whichever entries know of each other and however often processes restart: a new process holds no
+//!   credit.
+//! - *Its share of the slack*, once in each window. Only a process that is older than a window gets it, so that the
+//!   retries of its predecessor lie outside the window, and only while it receives reports from most of the entries
+//!   that it knows of.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use sparscale_clock::Moment;
 
-/// Part of what requests allow that they earn one by one; the rest may be held for a burst. A half of each serves a group
-/// that stops and opens again: all its streams go on at once.
-const EARNED: f64 = 0.5;
-/// Credit that an entry without a share of the slack may hold in any case, else one with few requests could never send one
-/// again. It comes out of the part of the slack that is not shared.
-const LEAST_HELD: f64 = 1.0;
-/// Part of the slack that entries share. The rest is for sends that arrive late, and for a network that is split: if most
-/// entries of one part start anew, both parts take themselves for all.
-const SHARED: f64 = 0.5;
-/// Time that a send may be on its way: after it its connection is given up.
+/// Fraction of the ratio that requests earn one by one; the remainder limits the credit that may be held for a burst.
+/// One half for each suits a group that stops and opens again: all its streams are resumed at once.
+const EARNED_FRACTION: f64 = 0.5;
+/// Credit that an entry without a share of the slack may hold in any case; otherwise an entry with few requests could
+/// never retry. It is taken from the part of the slack that is not shared.
+const MIN_CREDIT_LIMIT: f64 = 1.0;
+/// Fraction of the slack that entries share. The remainder covers retries that arrive late and a network partition: if
+/// most entries on one side have started during it, each side takes itself for the whole.
+const SHARED_FRACTION: f64 = 0.5;
+/// Longest time that a send can take to arrive; the connection is then given up.
 pub const LATE: Duration = Duration::from_millis(2_500);
-/// Pieces of the window that are counted together.
-const PIECES: u32 = 20;
+/// Number of buckets of a window; the events of a bucket are counted together.
+const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// Bounds of the budget, over all entries.
+/// Limits of the budget over all entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Sends beyond the first for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Sends beyond the first that are allowed besides.
+    /// Retries allowed in addition.
     pub slack: f64,
-    /// Span over which both are counted.
+    /// Window over which both are counted.
     pub window: Duration,
 }
 
 impl Allowance {
-    /// Sends that one of `sharers` entries may pay for from the slack in a window; none if their number is not known.
+    /// Retries that one of `sharers` entries may pay for from the slack in a window; 0 if their number is unknown.
     pub fn share(&self, sharers: Option<usize>) -> f64 {
-        sharers.map_or(0.0, |sharers| self.slack * SHARED / sharers.max(1) as f64)
+        sharers.map_or(0.0, |sharers| self.slack * SHARED_FRACTION / sharers.max(1) as f64)
     }
 }
 
-/// What pays for a send.
+/// The source that pays for a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// What requests earned.
+    /// Credit earned by requests.
     Credit,
     /// This entry's share of the slack.
     Slack,
 }
 
 impl Source {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Credit => "credit",
@@ -69,95 +72,95 @@
     }
 }
 
-/// What came of asking for one more send, and the figures that decided it.
+/// The result of a request for a retry, with the values that decided it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Verdict {
-    /// What pays for it; none if it may not be sent.
+pub struct SpendOutcome {
+    /// The source that pays for the retry; none if it is denied.
     pub source: Option<Source>,
     /// Requests in the last window.
     pub requests: u32,
-    /// Credit before this send.
+    /// Credit before this retry.
     pub credit: f64,
-    /// Sends that the slack paid for in the last window, without this one.
+    /// Retries paid for from the slack in the last window, without this one.
     pub slack_used: u32,
 }
 
-/// Events of the last while, counted in pieces.
+/// Counts recent events in buckets.
 #[derive(Debug)]
-struct Count {
-    pieces: VecDeque<(Moment, u32)>,
-    /// Length of a piece.
-    length: Duration,
-    /// Time after the beginning of a piece at which it is dropped.
-    keep: Duration,
+struct BucketCounter {
+    /// Start and number of events of each bucket.
+    buckets: VecDeque<(Moment, u32)>,
+    bucket_length: Duration,
+    /// Time after the start of a bucket at which it is dropped.
+    retention: Duration,
     total: u32,
 }
 
-impl Count {
-    fn new(length: Duration, keep: Duration) -> Self {
+impl BucketCounter {
+    fn new(bucket_length: Duration, retention: Duration) -> Self {
         Self {
-            pieces: VecDeque::new(),
-            length,
-            keep,
+            buckets: VecDeque::new(),
+            bucket_length,
+            retention,
             total: 0,
         }
     }
 
     fn add(&mut self, now: Moment) {
         self.total += 1;
-        match self.pieces.back_mut() {
-            Some((began, count)) if now < *began + self.length => *count += 1,
-            _ => self.pieces.push_back((now, 1)),
+        match self.buckets.back_mut() {
+            Some((start, count)) if now < *start + self.bucket_length => *count += 1,
+            _ => self.buckets.push_back((now, 1)),
         }
     }
 
     fn total(&mut self, now: Moment) -> u32 {
-        while let Some((_, count)) = self.pieces.pop_front_if(|(began, _)| *began + self.keep <= now) {
+        while let Some((_, count)) = self.buckets.pop_front_if(|(start, _)| *start + self.retention <= now) {
             self.total -= count;
         }
         self.total
     }
 }
 
-/// This entry's part of the budget of one service.
+/// One entry's part of the retry budget of one service.
 #[derive(Debug)]
 pub struct Budget {
     allowance: Allowance,
-    /// When the process is older than a window, and nothing that its predecessor sent is on its way any more.
-    slack_from: Moment,
-    /// Requests of the last window; forgotten a piece too early rather than too late.
-    requests: Count,
-    /// Sends that the slack paid for; forgotten when none of them can arrive in a window with the next one.
-    slack_used: Count,
+    /// When the process is older than a window and no send of its predecessor can still arrive.
+    slack_available_at: Moment,
+    /// Requests of the last window; a bucket is dropped too early rather than too late.
+    requests: BucketCounter,
+    /// Retries paid for from the slack; dropped when none of them can arrive in the same window as the next one.
+    slack_used: BucketCounter,
     credit: f64,
 }
 
 impl Budget {
-    /// The part of a process that started at `started`.
+    /// Creates the part of the budget for a process that started at `started`.
     pub fn new(allowance: Allowance, started: Moment) -> Self {
         let window = allowance.window;
-        let length = window / PIECES;
+        let bucket_length = window / BUCKETS_PER_WINDOW;
         Self {
             allowance,
-            slack_from: started + window + LATE,
-            requests: Count::new(length, window),
-            slack_used: Count::new(length, window + length + LATE),
+            slack_available_at: started + window + LATE,
+            requests: BucketCounter::new(bucket_length, window),
+            slack_used: BucketCounter::new(bucket_length, window + bucket_length + LATE),
             credit: 0.0,
         }
     }
 
-    /// Counts a request.
+    /// Counts a request, which earns credit.
     pub fn earn(&mut self, now: Moment) {
         self.requests.add(now);
-        self.credit += self.allowance.ratio * EARNED;
-        self.limit(LEAST_HELD, now);
+        self.credit += self.allowance.ratio * EARNED_FRACTION;
+        self.limit_credit(MIN_CREDIT_LIMIT, now);
     }
 
-    /// Asks for one more send beyond the first; `share` is what this entry may take of the slack in a window.
-    pub fn spend(&mut self, share: f64, now: Moment) -> Verdict {
-        let share = if now < self.slack_from { 0.0 } else { share };
-        let least = if share < 1.0 { LEAST_HELD } else { 0.0 };
-        let requests = self.limit(least, now);
+    /// Asks for a retry and pays for it if it is allowed; `share` is this entry's share of the slack in a window.
+    pub fn spend(&mut self, share: f64, now: Moment) -> SpendOutcome {
+        let share = if now < self.slack_available_at { 0.0 } else { share };
+        let min_limit = if share < 1.0 { MIN_CREDIT_LIMIT } else { 0.0 };
+        let requests = self.limit_credit(min_limit, now);
         let credit = self.credit;
         let slack_used = self.slack_used.total(now);
         let source = if credit >= 1.0 {
@@ -172,7 +175,7 @@
             Some(Source::Slack) => self.slack_used.add(now),
             None => {}
         }
-        Verdict {
+        SpendOutcome {
             source,
             requests,
             credit,
@@ -180,11 +183,11 @@
         }
     }
 
-    /// Drops credit beyond what may be held, which is `least` in any case; tells the requests of the last window.
-    fn limit(&mut self, least: f64, now: Moment) -> u32 {
+    /// Drops credit beyond the limit, which is at least `min_limit`. Returns the requests of the last window.
+    fn limit_credit(&mut self, min_limit: f64, now: Moment) -> u32 {
         let requests = self.requests.total(now);
-        let held = self.allowance.ratio * (1.0 - EARNED) * f64::from(requests);
-        self.credit = self.credit.min(held.max(least));
+        let limit = self.allowance.ratio * (1.0 - EARNED_FRACTION) * f64::from(requests);
+        self.credit = self.credit.min(limit.max(min_limit));
         requests
     }
 }
--- a/crates/sparscale_policy/src/gate.rs
+++ b/crates/sparscale_policy/src/gate.rs
@@ -1,90 +1,92 @@
-//! Whether a group of targets runs, and when a request tries that again.
+//! Tracks whether a group of targets accepts requests, and limits the probes that are sent to a group that does not.
 //!
-//! Load pattern: a group whose ranks were lost turns every request away until it has formed anew. Requests that wait for
-//! that are late at worst; sent on, they would be refused one after the other, and callers come back only so often.
+//! Load pattern: a group that lost ranks rejects every request until it has formed again. Requests that wait for
+//! that are late at worst. If they were sent instead, they would be rejected one after the other, and callers retry only
+//! a limited number of times.
 
 use std::time::{Duration, Instant};
 
-/// Requests turned away in a row, without a good one between, after which a group counts as closed: one may have met a
-/// full target.
-const TURNED_AWAY: u32 = 2;
-/// Time between two requests that try whether a closed group runs again.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
-/// Time after which a request that was not turned away counts as taken: a group that does not run answers within 5 ms.
+/// Consecutive rejections, without an accepted request between them, after which a group counts as closed: a single one
+/// may come from a full target.
+const REJECTIONS_TO_CLOSE: u32 = 2;
+/// Time between two requests that probe whether a closed group accepts requests again.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a rejection after which a request counts as accepted: a group that does not run answers within 5 ms.
 pub const TAKEN_AFTER: Duration = Duration::from_millis(40);
-/// Time after which a group that is still closed has lost ranks for longer than a restart takes: nobody waits for it
-/// any more.
-const CLOSED_LIMIT: Duration = Duration::from_secs(2);
+/// Time after which requests no longer wait for a closed group: its ranks have then been missing for longer than a
+/// restart takes.
+const MAX_CLOSED_WAIT: Duration = Duration::from_secs(2);
 
-/// What one request may do.
+/// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pass {
-    /// Be sent.
+    /// Send it.
     Go,
-    /// Wait for the group to open, and try at that time at the latest.
+    /// Let it wait until the group opens, and ask again at this time at the latest.
     Wait(Instant),
-    /// The group stays closed for longer than the request can wait.
+    /// Reject it: the group stays closed for longer than it can wait.
     Closed,
 }
 
-/// Since when a gate is closed, and when the next request may try.
+/// Start of a closure, and the time of the next probe.
 #[derive(Debug, Clone, Copy)]
 struct Closure {
     since: Instant,
-    next_try: Instant,
+    next_probe: Instant,
 }
 
-/// One group's gate.
+/// The gate of one group.
 #[derive(Debug, Default)]
 pub struct Gate {
-    turned_away: u32,
+    consecutive_rejections: u32,
     closure: Option<Closure>,
 }
 
 impl Gate {
-    /// What a request may do that can wait until `until`.
+    /// Decides about a request that can wait until `until`.
     pub fn pass(&mut self, until: Instant, now: Instant) -> Pass {
         let Some(closure) = &mut self.closure else {
             return Pass::Go;
         };
-        if now >= closure.next_try {
-            closure.next_try = now + PROBE_PAUSE;
+        if now >= closure.next_probe {
+            closure.next_probe = now + PROBE_INTERVAL;
             return Pass::Go;
         }
-        if now >= until || now.saturating_duration_since(closure.since) > CLOSED_LIMIT {
+        if now >= until || now.saturating_duration_since(closure.since) > MAX_CLOSED_WAIT {
             return Pass::Closed;
         }
-        Pass::Wait(closure.next_try.min(until))
+        Pass::Wait(closure.next_probe.min(until))
     }
 
-    /// Whether the group does not run as far as is known, and it is not yet time to try again.
+    /// Whether the group counts as closed and no probe is due yet.
     pub fn is_closed(&self, now: Instant) -> bool {
-        self.closure.is_some_and(|closure| now < closure.next_try)
+        self.closure.is_some_and(|closure| now < closure.next_probe)
     }
 
-    /// Notes that a target of the group has turned a request away. Tells after how many in a row that closed the gate.
+    /// Records that a target of the group rejected a request. Returns the number of consecutive rejections if this one
+    /// closed the gate.
     pub fn turned_away(&mut self, now: Instant) -> Option<u32> {
-        self.turned_away += 1;
-        if self.turned_away < TURNED_AWAY || self.closure.is_some() {
+        self.consecutive_rejections += 1;
+        if self.consecutive_rejections < REJECTIONS_TO_CLOSE || self.closure.is_some() {
             return None;
         }
         self.closure = Some(Closure {
             since: now,
-            next_try: now + PROBE_PAUSE,
+            next_probe: now + PROBE_INTERVAL,
         });
-        Some(self.turned_away)
+        Some(self.consecutive_rejections)
     }
 
-    /// Notes that a request was not turned away within [`TAKEN_AFTER`]: a group that does not run answers at once. Tells for
-    /// how long the gate had been closed, if that opened it.
+    /// Records that a request was not rejected in the time after which it counts as accepted, which opens the gate: a
+    /// group that does not run rejects at once. Returns how long it was closed, if it was.
     pub fn taken(&mut self, now: Instant) -> Option<Duration> {
         self.closure?;
         self.answered(now)
     }
 
-    /// Notes that a target of the group has begun a request. Tells for how long the gate had been closed, if that opened it.
+    /// Records that a target of the group began to respond. Returns how long the gate was closed, if this opened it.
     pub fn answered(&mut self, now: Instant) -> Option<Duration> {
-        self.turned_away = 0;
+        self.consecutive_rejections = 0;
         let closure = self.closure.take()?;
         Some(now.saturating_duration_since(closure.since))
     }
--- a/crates/sparscale_policy/src/group.rs
+++ b/crates/sparscale_policy/src/group.rs
@@ -1,55 +1,57 @@
-//! Which of a service's groups takes a request.
+//! Chooses the group of a service that takes a request.
 //!
-//! Load pattern: a service whose targets make up several groups. Demand shifts in all of them, and one has its next map later
-//! than the others, or has lost a rank: what it can't take now the others can. A request that waits for one group while
-//! another has room is late for nothing, and one that is sent to all of them alike makes the slow group slower.
+//! Load pattern: a service with several groups of targets. When demand shifts in all of them, one may get its next
+//! expert map later than the others, or may have lost a rank; the other groups can take the requests that it can't. A
+//! request that waits for one group while another has headroom is late without need, and an even distribution over all
+//! groups slows the slow one down further.
 
-/// One group, as far as it matters for a request that comes now.
+/// The state of one group that matters for a new request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Whether it runs, as far as is known.
+    /// Whether the group runs, as far as is known.
     pub open: bool,
-    /// Requests that this entry may still let in while they can be in time.
+    /// Requests that this entry may still admit while they can be on time.
     pub room: f64,
-    /// Time until a request that joins its line now would be let in, in seconds.
+    /// Expected time until a request that joins the backlog now is admitted, in seconds.
     pub wait: f64,
-    /// Its ranks.
+    /// Number of its ranks.
     pub ranks: usize,
 }
 
-/// The group for the next request; none if there is none at all. `lot` is drawn evenly from 0 to 1.
+/// Chooses the group for the next request; none if there are no candidates. `sample` is uniform in 0..1.
 ///
-/// Groups that run go first. Of those with room one is drawn in proportion to it: whoever takes the roomiest sends there what
-/// all entries have until the next news. With no room anywhere, the shortest wait.
-pub fn choose(candidates: &[Candidate], lot: f64) -> Option<usize> {
+/// Groups that run are preferred. Among those with headroom, one is sampled in proportion to its headroom: if each
+/// entry chose the group with the most headroom, all entries would send to the same one until the next report. If no
+/// group has headroom, the one with the shortest wait is chosen.
+pub fn choose(candidates: &[Candidate], sample: f64) -> Option<usize> {
     let any_open = candidates.iter().any(|candidate| candidate.open);
     let eligible = candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| candidate.open || !any_open);
     let eligible: Vec<(usize, &Candidate)> = eligible.collect();
-    let room = |candidate: &Candidate| {
+    let headroom = |candidate: &Candidate| {
         if candidate.room >= 1.0 {
-            // Nothing known speaks against a group: its ranks tell how much it takes.
+            // The headroom is unlimited while no loads are known: the number of ranks then serves as the weight.
             candidate.room.min(candidate.ranks as f64)
         } else {
             0.0
         }
     };
-    let total: f64 = eligible.iter().map(|(_, candidate)| room(candidate)).sum();
+    let total: f64 = eligible.iter().map(|(_, candidate)| headroom(candidate)).sum();
     if total <= 0.0 {
-        let shortest = eligible
+        let shortest_wait = eligible
             .iter()
             .min_by(|(_, left), (_, right)| left.wait.total_cmp(&right.wait));
-        return shortest.map(|(index, _)| *index);
+        return shortest_wait.map(|(index, _)| *index);
     }
-    let mut left = lot.clamp(0.0, 1.0) * total;
+    let mut remaining = sample.clamp(0.0, 1.0) * total;
     for (index, candidate) in &eligible {
-        left -= room(candidate);
-        if left < 0.0 {
+        remaining -= headroom(candidate);
+        if remaining < 0.0 {
             return Some(*index);
         }
     }
-    let with_room = eligible.iter().rev().find(|(_, candidate)| room(candidate) > 0.0);
-    with_room.map(|(index, _)| *index)
+    let last_with_headroom = eligible.iter().rev().find(|(_, candidate)| headroom(candidate) > 0.0);
+    last_with_headroom.map(|(index, _)| *index)
 }
--- a/crates/sparscale_policy/src/heard.rs
+++ b/crates/sparscale_policy/src/heard.rs
@@ -1,6 +1,7 @@
-//! What is known of targets that owe an answer: how long they usually take, who was heard, and what conductors tell.
+//! Tracks the targets with pending responses: their usual response times, which of them responded recently, and what
+//! group leaders report about them.
 //!
-//! Load pattern: that of [`silence`](crate::silence), which decides by it.
+//! Load pattern: boxes that freeze for seconds; whether to abandon a target is decided from this data.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -8,185 +9,187 @@
 use sparscale_catalog::{Directory, Incarnation, Seat};
 use sparscale_wire::GroupLoad;
 
-use crate::silence::{Awaited, Evidence, Health, Usual};
+use crate::silence::{Awaited, Evidence, Health, ResponseTimeMean};
 
-/// Age up to which a conductor's report counts: one comes each 100 ms.
-const WORD_AGE: Duration = Duration::from_millis(450);
-/// Part of a group's ranks, as a divisor, of which a conductor may hear nothing and still be believed: beyond that its own
-/// box or link is the likelier cause.
-const MOST_SILENT: usize = 4;
-/// What a request waits for at a target.
+/// Age up to which a group leader's report is used; a leader reports every 100 ms.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(450);
+/// A leader's report is trusted only if at most one in this many ranks is unresponsive; otherwise the leader's own box
+/// or link is the likelier cause.
+const MAX_UNRESPONSIVE_DIVISOR: usize = 4;
+/// A response that a request waits for.
 #[derive(Debug, Clone, Copy)]
 pub struct Wait<'a> {
-    /// The target.
+    /// The target that owes it.
     pub seat: &'a Seat,
-    /// What it owes.
+    /// The part of the response that is pending.
     pub awaited: Awaited,
-    /// Time in which it is in time.
+    /// Time within which that part is on time.
     pub allowed: Duration,
-    /// Silence after which the caller gives up.
+    /// Time without a response after which the caller gives up.
     pub given_up_after: Duration,
 }
 
 /// The targets of one group, or of a service without groups.
 #[derive(Debug, Default)]
 struct Peers {
-    first: Usual,
-    next: Usual,
-    whole: Usual,
-    /// The target that was heard last, and the one before it, each with its time.
-    heard: Option<(Incarnation, Instant)>,
-    heard_before: Option<(Incarnation, Instant)>,
-    /// Latest pass that the conductor told of, and when that number was new here.
+    first_event: ResponseTimeMean,
+    next_event: ResponseTimeMean,
+    complete: ResponseTimeMean,
+    /// The target that responded last, and the last other target before it, each with its time.
+    last_responder: Option<(Incarnation, Instant)>,
+    previous_responder: Option<(Incarnation, Instant)>,
+    /// Number of the latest pass that the group leader reported, and when this number was first received.
     pass: Option<(u64, Instant)>,
-    /// The conductor's last message and when it came, and the ranks that it did not hear; none while it can't be believed.
-    told: Option<((u64, u64), Instant)>,
-    silent: Option<BTreeSet<usize>>,
-    /// Waits for each target that owes something.
-    waits: HashMap<Incarnation, u32>,
+    /// Position of the leader's latest report, and when it was received.
+    latest_report: Option<((u64, u64), Instant)>,
+    /// Ranks that are unresponsive by that report; none while the report is not trusted.
+    unresponsive: Option<BTreeSet<usize>>,
+    /// Number of pending responses of each target that has any.
+    pending: HashMap<Incarnation, u32>,
 }
 
 impl Peers {
-    fn note_heard(&mut self, target: Incarnation, now: Instant) {
-        if self.heard.is_some_and(|(last, _)| last != target) {
-            self.heard_before = self.heard;
+    fn record_responder(&mut self, target: Incarnation, now: Instant) {
+        if self.last_responder.is_some_and(|(last, _)| last != target) {
+            self.previous_responder = self.last_responder;
         }
-        self.heard = Some((target, now));
+        self.last_responder = Some((target, now));
     }
 
-    /// When a target other than this one was heard, or the group was seen to go on.
-    fn others_heard(&self, but: Incarnation) -> Option<Instant> {
-        let heard = [self.heard, self.heard_before];
-        let others = heard.into_iter().flatten().filter(|(target, _)| *target != but);
+    /// When a target other than `target` last responded, or the group last completed a pass.
+    fn others_active_at(&self, target: Incarnation) -> Option<Instant> {
+        let responders = [self.last_responder, self.previous_responder];
+        let others = responders.into_iter().flatten().filter(|(other, _)| *other != target);
         let others = others.map(|(_, at)| at).max();
         others.max(self.pass.map(|(_, at)| at))
     }
 
-    /// Whether a target other than this one owes something.
-    fn others_owe(&self, but: Incarnation) -> bool {
-        self.waits.keys().any(|target| *target != but)
+    /// Whether a target other than `target` has a pending response.
+    fn others_pending(&self, target: Incarnation) -> bool {
+        self.pending.keys().any(|other| *other != target)
     }
 
     fn health(&self, rank: Option<usize>, now: Instant) -> Health {
-        let fresh = self
-            .told
-            .is_some_and(|(_, at)| now.saturating_duration_since(at) < WORD_AGE);
-        match (&self.silent, rank) {
-            (Some(silent), Some(rank)) if fresh => {
-                if silent.contains(&rank) {
-                    Health::Silent
+        let is_recent = self
+            .latest_report
+            .is_some_and(|(_, at)| now.saturating_duration_since(at) < MAX_REPORT_AGE);
+        match (&self.unresponsive, rank) {
+            (Some(unresponsive), Some(rank)) if is_recent => {
+                if unresponsive.contains(&rank) {
+                    Health::Unresponsive
                 } else {
-                    Health::Alive
+                    Health::Responsive
                 }
             }
             _ => Health::Unknown,
         }
     }
 
-    fn usual(&self, awaited: Awaited) -> &Usual {
+    fn mean_time(&self, awaited: Awaited) -> &ResponseTimeMean {
         match awaited {
-            Awaited::First => &self.first,
-            Awaited::Next => &self.next,
-            Awaited::Complete => &self.whole,
+            Awaited::First => &self.first_event,
+            Awaited::Next => &self.next_event,
+            Awaited::Complete => &self.complete,
         }
     }
 
-    fn usual_mut(&mut self, awaited: Awaited) -> &mut Usual {
+    fn mean_time_mut(&mut self, awaited: Awaited) -> &mut ResponseTimeMean {
         match awaited {
-            Awaited::First => &mut self.first,
-            Awaited::Next => &mut self.next,
-            Awaited::Complete => &mut self.whole,
+            Awaited::First => &mut self.first_event,
+            Awaited::Next => &mut self.next_event,
+            Awaited::Complete => &mut self.complete,
         }
     }
 }
 
-/// All targets that answer requests of this entry.
+/// Tracks all targets that respond to requests of this entry.
 #[derive(Debug, Default)]
 pub struct Register {
-    /// By group, or by service for targets in none.
+    /// By name of the group, or of the service for targets without a group.
     peers: HashMap<String, Peers>,
 }
 
 impl Register {
-    /// Notes that a target has given what it owed, `took` after it owed it.
-    pub fn note(&mut self, seat: &Seat, awaited: Awaited, took: Duration, now: Instant) {
-        let peers = self.peers(name_of(seat));
-        peers.usual_mut(awaited).note(took);
-        peers.note_heard(seat.key, now);
+    /// Records that a target sent a pending response after `response_time`.
+    pub fn note(&mut self, instance: &Seat, awaited: Awaited, response_time: Duration, now: Instant) {
+        let peers = self.peers(name_of(instance));
+        peers.mean_time_mut(awaited).record(response_time);
+        peers.record_responder(instance.key, now);
     }
 
-    /// Notes that a request waits for a target, until [`Self::end_wait`].
-    pub fn begin_wait(&mut self, seat: &Seat) {
-        let peers = self.peers(name_of(seat));
-        *peers.waits.entry(seat.key).or_default() += 1;
+    /// Counts a request that waits for a target, until [`Self::end_wait`].
+    pub fn begin_wait(&mut self, instance: &Seat) {
+        let peers = self.peers(name_of(instance));
+        *peers.pending.entry(instance.key).or_default() += 1;
     }
 
-    /// Notes that a request does not wait for a target any longer.
-    pub fn end_wait(&mut self, seat: &Seat) {
-        let Some(peers) = self.peers.get_mut(name_of(seat)) else {
+    /// Removes a request that no longer waits for a target from the count.
+    pub fn end_wait(&mut self, instance: &Seat) {
+        let Some(peers) = self.peers.get_mut(name_of(instance)) else {
             return;
         };
-        let Some(waits) = peers.waits.get_mut(&seat.key) else {
+        let Some(pending) = peers.pending.get_mut(&instance.key) else {
             return;
         };
-        *waits -= 1;
-        if *waits == 0 {
-            peers.waits.remove(&seat.key);
+        *pending -= 1;
+        if *pending == 0 {
+            peers.pending.remove(&instance.key);
         }
     }
 
-    /// Takes in what a conductor tells of its group.
+    /// Merges a group leader's report.
     pub fn note_told(&mut self, load: &GroupLoad, now: Instant) {
         let peers = self.peers(&load.group);
-        if peers.told.is_some_and(|(order, _)| order == load.order) {
+        if peers.latest_report.is_some_and(|(order, _)| order == load.order) {
             return;
         }
         if peers.pass.is_none_or(|(pass, _)| pass != load.pass) {
             peers.pass = Some((load.pass, now));
         }
-        peers.told = Some((load.order, now));
-        let unheard = load.ranks.iter().enumerate().filter(|(_, rank)| rank.is_none());
-        let unheard: BTreeSet<usize> = unheard.map(|(rank, _)| rank).collect();
-        let believed = unheard.len() * MOST_SILENT <= load.ranks.len();
-        peers.silent = believed.then_some(unheard);
+        peers.latest_report = Some((load.order, now));
+        let unresponsive = load.ranks.iter().enumerate().filter(|(_, rank)| rank.is_none());
+        let unresponsive: BTreeSet<usize> = unresponsive.map(|(rank, _)| rank).collect();
+        let is_trusted = unresponsive.len() * MAX_UNRESPONSIVE_DIVISOR <= load.ranks.len();
+        peers.unresponsive = is_trusted.then_some(unresponsive);
     }
 
-    /// What speaks for and against the target of `wait`; none if nothing is known of its group.
+    /// Returns the observations about the target of `wait`; none if nothing is known of its group.
     pub fn evidence(&self, wait: &Wait<'_>, now: Instant) -> Option<Evidence> {
-        let known = self.peers.get(name_of(wait.seat))?;
+        let peers = self.peers.get(name_of(wait.seat))?;
         let rank = wait.seat.target.membership.as_ref().map(|place| place.rank);
-        let others_heard = known.others_heard(wait.seat.key);
-        let health = known.health(rank, now);
-        // A group that stands still as a whole is idle towards an entry with one request there; its conductor knows better.
-        let idle_counts = rank.is_none() || health == Health::Silent;
+        let others_active_at = peers.others_active_at(wait.seat.key);
+        let health = peers.health(rank, now);
+        // To an entry with a single request in a group, a group that stalls as a whole looks idle, so only the report
+        // of its leader decides there.
+        let idle_counts = rank.is_none() || health == Health::Unresponsive;
         Some(Evidence {
             awaited: wait.awaited,
-            allowed: wait.allowed,
-            usual: known.usual(wait.awaited).mean(),
+            due_within: wait.allowed,
+            usual: peers.mean_time(wait.awaited).mean(),
             health,
-            others_heard: others_heard.map(|at| now.saturating_duration_since(at)),
-            others_idle: idle_counts && !known.others_owe(wait.seat.key),
-            given_up_after: wait.given_up_after,
+            others_heard: others_active_at.map(|at| now.saturating_duration_since(at)),
+            others_idle: idle_counts && !peers.others_pending(wait.seat.key),
+            caller_timeout: wait.given_up_after,
         })
     }
 
-    /// Forgets groups and services of which `targets` has none.
+    /// Drops the groups and services without a target in `targets`.
     pub fn retain(&mut self, targets: &Directory) {
         let names: BTreeSet<&str> = targets.seats().iter().map(name_of).collect();
         self.peers.retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Groups and services that are remembered.
+    /// Number of groups and services that are tracked.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether none is.
+    /// Whether no group or service is tracked.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// The peers called `name`, without a copy of the name where they are known.
+    /// The targets tracked under `name`; an unknown name is added.
     fn peers(&mut self, name: &str) -> &mut Peers {
         if !self.peers.contains_key(name) {
             self.peers.insert(name.to_owned(), Peers::default());
@@ -195,7 +198,8 @@
     }
 }
 
-fn name_of(seat: &Seat) -> &str {
-    let group = seat.target.membership.as_ref().map(|place| place.group.as_str());
-    group.unwrap_or(&seat.target.service)
+/// Name of the target's group, or of its service if it has no group.
+fn name_of(instance: &Seat) -> &str {
+    let group = instance.target.membership.as_ref().map(|place| place.group.as_str());
+    group.unwrap_or(&instance.target.service)
 }
--- a/crates/sparscale_policy/src/lib.rs
+++ b/crates/sparscale_policy/src/lib.rs
@@ -1,16 +1,17 @@
-//! Decisions about requests, each with the load pattern that it answers. Pure: times and loads go in, a decision comes out;
-//! no clock, socket or lock of its own.
+//! Decisions about requests: admission, choice of a target, timeouts, retries and rate limits. All of it is pure:
+//! timestamps and loads go in, a decision comes out, without a clock, a socket or a lock. Each module names the load
+//! pattern that it handles.
 
 pub mod budget;
 pub mod gate;
 pub mod group;
+pub mod headroom;
 pub mod heard;
 pub mod line;
 pub mod patience;
 pub mod queue;
 pub mod rate_limit;
 pub mod returns;
-pub mod room;
 pub mod silence;
 pub mod slow;
 pub mod spent;
--- a/crates/sparscale_policy/src/line.rs
+++ b/crates/sparscale_policy/src/line.rs
@@ -1,34 +1,33 @@
-//! The line of requests that wait for room in one group.
+//! The backlog of requests that wait for headroom in one group.
 //!
-//! Load pattern: more requests come for some seconds than the group serves in time. Served in the order in which they came,
-//! all of them are late a moment later, those that come after the overload included.
+//! Load pattern: for some seconds, more requests arrive than the group can serve on time. If they were admitted in the
+//! order of arrival, all of them would soon be late, including those that arrive after the overload.
 //!
-//! Those that can still be in time go first, by tier and then in the order in which they came. One whose time has run
-//! out is worth as much a moment later, so it goes behind them, until its caller would take the silence for a dead
-//! connection.
+//! Requests that can still be on time are admitted first, by tier and then in the order of arrival. A request that is
+//! already late loses nothing by waiting longer, so it comes after them, until its caller would take the connection
+//! for dead.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use crate::room::Room;
+use crate::headroom::Headroom;
 
-/// Place of a request in the line: its tier, then its number.
+/// Priority of a request in the backlog: its tier, then its number.
 pub type Ticket = (u8, usize);
 
-/// A request that waits.
+/// A request in the backlog.
 #[derive(Debug)]
 struct Waiter<T> {
     timely_until: Instant,
     waiter: T,
 }
 
-/// Requests that wait.
+/// Requests that wait for admission.
 #[derive(Debug)]
-pub struct Line<T> {
+pub struct Backlog<T> {
     waiting: BTreeMap<Ticket, Waiter<T>>,
 }
-
-impl<T> Default for Line<T> {
+impl<T> Default for Backlog<T> {
     fn default() -> Self {
         Self {
             waiting: BTreeMap::new(),
@@ -36,29 +35,30 @@
     }
 }
 
-impl<T> Line<T> {
-    /// Lets a request wait that can be in time if it is let in by `timely_until`; `waiter` is who to tell.
-    pub fn join(&mut self, ticket: Ticket, timely_until: Instant, waiter: T) {
+impl<T> Backlog<T> {
+    /// Adds a request that can be on time if it is admitted by `timely_until`. `waiter` is the handle by which its task
+    /// is notified of the admission.
+    pub fn insert(&mut self, ticket: Ticket, timely_until: Instant, waiter: T) {
         self.waiting.insert(ticket, Waiter { timely_until, waiter });
     }
 
-    /// Takes a request out that does not wait any more.
-    pub fn leave(&mut self, ticket: Ticket) {
+    /// Removes a request that no longer waits.
+    pub fn remove(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
-    /// How many wait.
+    /// Number of requests that wait.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes out the next request that `room` is for.
-    pub fn next(&mut self, room: Room, now: Instant) -> Option<T> {
+    /// Removes and returns the next request that `headroom` allows.
+    pub fn next(&mut self, headroom: Headroom, now: Instant) -> Option<T> {
         let first = |late: bool| {
             let found = self
                 .waiting
@@ -66,8 +66,8 @@
                 .find(|(_, waiter)| (waiter.timely_until < now) == late);
             found.map(|(ticket, _)| *ticket)
         };
-        let timely = if room.timely >= 1.0 { first(false) } else { None };
-        let ticket = timely.or_else(|| if room.late >= 1.0 { first(true) } else { None })?;
+        let timely = if headroom.timely >= 1.0 { first(false) } else { None };
+        let ticket = timely.or_else(|| if headroom.late >= 1.0 { first(true) } else { None })?;
         self.waiting.remove(&ticket).map(|waiting| waiting.waiter)
     }
 }
--- a/crates/sparscale_policy/src/queue.rs
+++ b/crates/sparscale_policy/src/queue.rs
@@ -1,276 +1,304 @@
-//! One entry's queue before a group of engines: who is let in, who waits, and who is turned away and until when.
+//! The admission queue of one entry for one group of engines: admits requests, lets them wait, or rejects them with a
+//! retry time.
 //!
-//! Load pattern: overload. All entries share the group's room, and each hears late what the others have let in. A request
-//! that is let in beyond the room makes every stream of the group late; one that waits without a chance holds its caller
-//! up, who could have come back when there is room. And a line that stands keeps everybody late who joins it: by the time
-//! that one is let in, all of its time is spent, for as long as as many come as leave.
+//! Load pattern: overload. All entries share the headroom of the group, and each learns with a delay what the others
+//! have admitted. A request admitted beyond the headroom makes every stream of the group late, and one that waits
+//! without a chance of being on time delays its caller, who could have retried when there is headroom. A standing
+//! backlog makes every request that joins it late: while arrivals keep up with departures, each one is admitted only
+//! after all of its time has passed.
 //!
-//! So a first try that cannot be in time by waiting is turned away at once, and told a time of its own to come back, one
-//! after the other, spread over the places that will come free: the line stays as short as the time of those in it. Who
-//! comes back has waited already, and stands in line for as long as callers bear it.
+//! So a first attempt that can't be on time by waiting is rejected at once. Its caller gets a retry time of its own,
+//! after those of earlier callers and spread over the places that will become free, so that the backlog stays as short
+//! as the time of the requests in it. A caller that retries has already waited, so its request may wait for as long as
+//! callers accept.
 
 use std::time::{Duration, Instant};
 
 use sparscale_catalog::Engine;
 use sparscale_wire::GroupLoad;
 
-use crate::line::{Line, Ticket};
+use crate::headroom::{self, Headroom};
+use crate::line::{Backlog, Ticket};
 use crate::patience;
-use crate::room::{self, Room};
 
-/// Least part of the latency objective for which a request may wait and still be in time.
-const WAIT_PART: f64 = 0.4;
-/// Weight of the newest time to a first event in its running mean.
-const FIRST_WEIGHT: f64 = 0.1;
-/// Margin on that mean: such times spread, and a wait that ends in time must leave room for most.
-const FIRST_MARGIN: f64 = 1.5;
-/// Loads that are older than this say nothing: the room is then worked out from what this entry has let in.
-const LOAD_AGE: Duration = Duration::from_millis(900);
-/// Requests that a rank is filled with while nobody tells loads: a group that begins anew deals its experts in turn, and
-/// with more its passes outlast the pauses of streams.
-const UNREPORTED_RANK: f64 = 6.0;
-/// Time for which a request is not yet part of what the conductor tells.
+/// Smallest fraction of the latency objective for which a request may wait and still count as on time.
+const MIN_WAIT_FRACTION: f64 = 0.4;
+/// Weight of the newest sample in the running mean of the time to the first event.
+const FIRST_EVENT_SAMPLE_WEIGHT: f64 = 0.1;
+/// Factor on that mean: the times vary, and most requests must still be on time after the wait.
+const FIRST_EVENT_MARGIN: f64 = 1.5;
+/// Age from which reported loads are ignored; the headroom then follows from the requests that this entry has in
+/// flight.
+const MAX_LOAD_AGE: Duration = Duration::from_millis(900);
+/// Number of requests that each rank is filled with while no loads are reported: a group that starts assigns its experts
+/// round-robin at first, and with more requests its passes would exceed the allowed pauses of streams.
+const UNREPORTED_REQUESTS_PER_RANK: f64 = 6.0;
+/// Time after its admission for which a request may be missing from the group leader's reports.
 const REPORT_DELAY: Duration = Duration::from_millis(120);
-/// First time after which a refused caller is told to come back; it rises with the queue.
-const MIN_RETRY: Duration = Duration::from_millis(250);
-/// Longest such time where the caller does not tell how long it still waits.
-const MAX_RETRY: Duration = Duration::from_millis(1_500);
-/// Part of the time that a caller still waits after which it comes back at the latest, whatever it is told.
-const RETURN_PART: f64 = 1.0 / 3.0;
-/// Places that come free for each caller that is told to come back: the others go to those who come meanwhile.
-const PLACES_A_RETURN: f64 = 4.0;
-/// What a caller has spent at least that was turned away before.
-const RETURNED: Duration = Duration::from_millis(150);
-/// Time for which a request stays in, before any has left.
-const FIRST_STAY: Duration = Duration::from_secs(1);
+/// Shortest delay after which a rejected caller should retry; the delay grows with the backlog.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Longest such delay for a caller that does not send how long it still waits.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_500);
+/// Fraction of the time that a caller still waits after which it retries at the latest, whatever delay it is given.
+const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
+/// Places that become free for each scheduled retry: the others go to callers that arrive in the meantime.
+const PLACES_PER_RETRY: f64 = 4.0;
+/// Time spent on earlier attempts from which a request counts as a retry.
+const MIN_RETRY_AGE: Duration = Duration::from_millis(150);
+/// Assumed residence time of a request before any has left.
+const INITIAL_RESIDENCE: Duration = Duration::from_secs(1);
 
-/// A request, as far as it matters here.
+/// The properties of a request that matter for its admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// When it came.
+    /// Its arrival.
     pub began: Instant,
-    /// Time in which its first event is due.
+    /// Time within which its first event is due.
     pub objective: Duration,
     /// Longest pause between events that its route allows.
     pub pause: Duration,
-    /// What its caller spent on tries before it; worth counts from the first.
+    /// Time that its caller spent on earlier attempts; the worth of a response counts from the first one.
     pub spent: Duration,
-    /// How long its caller still waits, where that is told.
+    /// How long its caller still waits, if the caller sent that.
     pub left: Option<Duration>,
 }
 
 impl Request {
-    /// Whether its caller was turned away before.
-    fn has_returned(&self) -> bool {
-        self.spent >= RETURNED
+    /// Whether its caller was rejected before.
+    fn is_retry(&self) -> bool {
+        self.spent >= MIN_RETRY_AGE
     }
 }
 
-/// What becomes of a request that comes.
+/// What happens to an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It is let in.
+    /// It is admitted.
     Enter,
-    /// It joins the line.
+    /// It joins the backlog.
     Wait {
-        /// Until when it can be let in and still be in time.
+        /// Latest time at which it can be admitted and still be on time.
         timely_until: Instant,
-        /// When it is let in whatever the room is: its time is short by then, and a refusal would come late.
+        /// When it is admitted regardless of the headroom: too little of its time is left for a rejection to be useful.
         limit: Instant,
     },
-    /// It is turned away.
+    /// It is rejected.
     Refuse {
-        /// Time until it would have been let in.
+        /// Expected time until it would have been admitted.
         expected: Duration,
-        /// When to come back.
+        /// Delay after which its caller should retry.
         retry: Duration,
     },
 }
 
-/// The queue; `T` is who to tell that a request is let in.
+/// The admission queue; `T` is the handle by which a waiting request is notified of its admission.
 #[derive(Debug)]
 pub struct Queue<T> {
-    /// The loads that `room` was worked out from.
-    order: (u64, u64),
-    told: Instant,
-    /// This entry's share of the room, as last worked out, less what it has let in since.
-    room: Room,
-    /// When this entry let requests in that the conductor may not have told yet.
+    /// Position of the load report that `headroom` was computed from.
+    load_order: (u64, u64),
+    load_received_at: Instant,
+    /// This entry's share of the headroom at that report, less its admissions since.
+    headroom: Headroom,
+    /// Recent admissions by this entry that the group leader's report may not include yet.
     unreported: Vec<Instant>,
-    line: Line<T>,
-    /// When the next caller that is turned away is to come back.
-    next_return: Instant,
-    /// This entry's share of the requests in the group, as last told; none while nobody tells.
-    held: f64,
-    /// Mean time for which a request stays in.
-    stay: Duration,
-    /// Mean time from letting a stream in to its first event, once one was seen.
-    first: Option<Duration>,
+    backlog: Backlog<T>,
+    /// Retry time of the next caller that is rejected.
+    next_retry: Instant,
+    /// This entry's share of the requests in the group by the latest report; 0 without a recent report.
+    share_of_requests: f64,
+    /// Mean time from the admission of a request to its end.
+    residence: Duration,
+    /// Mean time from the admission of a stream to its first event; none without a sample.
+    first_event_time: Option<Duration>,
 }
 
 impl<T> Queue<T> {
-    /// A queue before a group of which nothing is known.
+    /// Creates the queue for a group without known loads.
     pub fn new(now: Instant) -> Self {
         Self {
-            order: (0, 0),
-            told: now,
-            room: Room::OPEN,
+            load_order: (0, 0),
+            load_received_at: now,
+            headroom: Headroom::UNLIMITED,
             unreported: Vec::new(),
-            line: Line::default(),
-            next_return: now,
-            held: 0.0,
-            stay: FIRST_STAY,
-            first: None,
+            backlog: Backlog::default(),
+            next_retry: now,
+            share_of_requests: 0.0,
+            residence: INITIAL_RESIDENCE,
+            first_event_time: None,
         }
     }
 
-    /// Works the room out anew from `load`, if that is news. Without any for a while it is the room while nobody tells
-    /// loads, as after a restart of all processes: what this entry has let in, `inside`, is known.
-    pub fn refresh(&mut self, load: Option<&GroupLoad>, group: &Group<'_>, inside: usize, now: Instant) {
+    /// Recomputes the headroom if `load` is a new report. Without a new report for a while, as after a restart of all
+    /// processes, it follows from `in_flight`, the requests of this entry that are in flight.
+    pub fn refresh(&mut self, load: Option<&GroupLoad>, group: &Group<'_>, in_flight: usize, now: Instant) {
         let entries = group.entries.max(1) as f64;
-        if let Some(load) = load.filter(|load| load.order != self.order) {
-            self.order = load.order;
-            self.told = now;
-            self.unreported.retain(|let_in| *let_in + REPORT_DELAY > now);
-            let capacity = room::capacity_now(load, group.engine, group.pause);
-            let held = room::held(load);
-            self.held = held / entries;
-            let share = |capacity: f64| (capacity * group.open_part - held) / entries - self.unreported.len() as f64;
-            self.room = Room {
+        if let Some(load) = load.filter(|load| load.order != self.load_order) {
+            self.load_order = load.order;
+            self.load_received_at = now;
+            self.unreported.retain(|admitted_at| *admitted_at + REPORT_DELAY > now);
+            let capacity = headroom::capacity_at_current_skew(load, group.engine, group.pause);
+            let requests = headroom::reported_requests(load);
+            self.share_of_requests = requests / entries;
+            let share =
+                |capacity: f64| (capacity * group.open_part - requests) / entries - self.unreported.len() as f64;
+            self.headroom = Headroom {
                 timely: share(capacity.timely),
                 late: share(capacity.late),
             };
-        } else if now.saturating_duration_since(self.told) > LOAD_AGE {
-            self.held = 0.0;
-            self.room = Room::alike(UNREPORTED_RANK * group.ranks as f64 * group.open_part / entries - inside as f64);
+        } else if now.saturating_duration_since(self.load_received_at) > MAX_LOAD_AGE {
+            self.share_of_requests = 0.0;
+            self.headroom = Headroom::uniform(
+                UNREPORTED_REQUESTS_PER_RANK * group.ranks as f64 * group.open_part / entries - in_flight as f64,
+            );
         }
     }
 
-    /// Decides about `request` while `inside` requests are in. `lot` is drawn evenly from 0 to 1.
-    pub fn decide(&mut self, request: &Request, inside: usize, lot: f64, now: Instant) -> Decision {
-        if self.line.is_empty() && self.room.timely >= 1.0 {
+    /// Decides about `request` while `in_flight` requests of this entry are in flight. `sample` is uniform in 0..1.
+    pub fn decide(&mut self, request: &Request, in_flight: usize, sample: f64, now: Instant) -> Decision {
+        if self.backlog.is_empty() && self.headroom.timely >= 1.0 {
             return Decision::Enter;
         }
-        let expected = self.expected_wait(inside);
+        let expected = self.expected_wait(in_flight);
         let longest = patience::longest_wait(request.objective, request.pause);
-        let timely = self.patience(request.objective);
-        // While only late ones are let in, as passes are too long for anybody to be in time, it is late at worst.
-        let is_full = self.room.timely.max(self.room.late) < 1.0;
-        let bearable = if is_full && !request.has_returned() {
+        let timely = self.max_timely_wait(request.objective);
+        // While passes are too long for any request to be on time, only late requests are admitted: being late is then
+        // the worst that waiting can cause.
+        let is_full = self.headroom.timely.max(self.headroom.late) < 1.0;
+        let max_wait = if is_full && !request.is_retry() {
             timely.min(longest)
         } else {
             longest
         };
-        if now.saturating_duration_since(request.began) + expected > bearable {
-            let retry = self.promise(request, inside, expected, lot, now);
+        if now.saturating_duration_since(request.began) + expected > max_wait {
+            let retry = self.schedule_retry(request, in_flight, expected, sample, now);
             return Decision::Refuse { expected, retry };
         }
-        let patience = timely.saturating_sub(request.spent);
+        let timely_wait = timely.saturating_sub(request.spent);
         Decision::Wait {
-            timely_until: request.began + patience,
+            timely_until: request.began + timely_wait,
             limit: request.began + longest,
         }
     }
 
-    /// When a caller that is turned away is to come back: after those who were told so before it.
-    fn promise(&mut self, request: &Request, inside: usize, expected: Duration, lot: f64, now: Instant) -> Duration {
-        let longest = request.left.map_or(MAX_RETRY, |left| left.mul_f64(RETURN_PART));
-        let at = self.next_return.max(now + expected).min(now + longest);
-        let place = self.stay.div_f64(self.leaving(inside));
-        self.next_return = at + place.mul_f64(PLACES_A_RETURN);
-        // All entries promise by themselves, so that even those who are told the same time must not return together.
-        let spread = 0.75 + 0.5 * lot;
-        let wait = at.saturating_duration_since(now).max(MIN_RETRY).mul_f64(spread);
-        wait.min(longest)
+    /// Returns the delay after which a rejected caller should retry, later than the callers that were rejected before
+    /// it.
+    fn schedule_retry(
+        &mut self,
+        request: &Request,
+        in_flight: usize,
+        expected: Duration,
+        sample: f64,
+        now: Instant,
+    ) -> Duration {
+        let longest = request
+            .left
+            .map_or(MAX_RETRY_DELAY, |remaining| remaining.mul_f64(MAX_RETRY_FRACTION));
+        let retry_at = self.next_retry.max(now + expected).min(now + longest);
+        let place_interval = self.residence.div_f64(self.sharable_places(in_flight));
+        self.next_retry = retry_at + place_interval.mul_f64(PLACES_PER_RETRY);
+        // Each entry schedules retries on its own: jitter separates callers that get the same time from different
+        // entries.
+        let jitter = 0.75 + 0.5 * sample;
+        let delay = retry_at
+            .saturating_duration_since(now)
+            .max(MIN_RETRY_DELAY)
+            .mul_f64(jitter);
+        delay.min(longest)
     }
 
-    /// Lets a request wait in line until [`Queue::next`] gives `waiter` back.
+    /// Adds a request to the backlog, until [`Queue::next`] returns its `waiter`.
     pub fn join(&mut self, ticket: Ticket, timely_until: Instant, waiter: T) {
-        self.line.join(ticket, timely_until, waiter);
+        self.backlog.insert(ticket, timely_until, waiter);
     }
 
-    /// Takes a request out of the line that does not wait any more.
+    /// Removes a request that no longer waits from the backlog.
     pub fn give_up(&mut self, ticket: Ticket) {
-        self.line.leave(ticket);
+        self.backlog.remove(ticket);
     }
 
-    /// Takes the next request out of the line that there is room for; [`Queue::admit`] counts it.
+    /// Removes the next request that the headroom allows from the backlog. [`Queue::admit`] counts it as admitted.
     pub fn next(&mut self, now: Instant) -> Option<T> {
-        self.line.next(self.room, now)
+        self.backlog.next(self.headroom, now)
     }
 
-    /// Counts a request as let in.
+    /// Counts a request as admitted.
     pub fn admit(&mut self, now: Instant) {
-        self.room.add(-1.0);
-        self.unreported.retain(|let_in| *let_in + REPORT_DELAY > now);
+        self.headroom.add(-1.0);
+        self.unreported.retain(|admitted_at| *admitted_at + REPORT_DELAY > now);
         self.unreported.push(now);
     }
 
-    /// Counts a request that was in as gone after `stayed`.
-    pub fn leave(&mut self, stayed: Duration) {
-        self.room.add(1.0);
-        self.stay = (self.stay * 9 + stayed) / 10;
+    /// Counts an admitted request as ended, `residence` after its admission.
+    pub fn leave(&mut self, residence: Duration) {
+        self.headroom.add(1.0);
+        self.residence = (self.residence * 9 + residence) / 10;
     }
 
-    /// Notes that a stream had its first event `took` after it was let in.
-    pub fn first_event(&mut self, took: Duration) {
-        let old = self.first.unwrap_or(took);
-        self.first = Some(old.mul_f64(1.0 - FIRST_WEIGHT) + took.mul_f64(FIRST_WEIGHT));
+    /// Records that a stream had its first event `elapsed` after its admission.
+    pub fn first_event(&mut self, elapsed: Duration) {
+        let mean = self.first_event_time.unwrap_or(elapsed);
+        self.first_event_time =
+            Some(mean.mul_f64(1.0 - FIRST_EVENT_SAMPLE_WEIGHT) + elapsed.mul_f64(FIRST_EVENT_SAMPLE_WEIGHT));
     }
 
-    /// Time until a request that joins the line now would be let in: places come free as requests leave.
-    pub fn expected_wait(&self, inside: usize) -> Duration {
-        let room = self.room.timely.max(self.room.late);
-        let ahead = self.line.len() as f64 + 1.0 - room.clamp(-64.0, 0.0);
-        self.stay.mul_f64(ahead / self.leaving(inside))
+    /// Expected time until a request that joins the backlog now is admitted: places become free as requests end.
+    pub fn expected_wait(&self, in_flight: usize) -> Duration {
+        let headroom = self.headroom.timely.max(self.headroom.late);
+        let ahead = self.backlog.len() as f64 + 1.0 - headroom.clamp(-64.0, 0.0);
+        self.residence.mul_f64(ahead / self.sharable_places(in_flight))
     }
 
-    /// Requests whose places this entry may fill as they leave. Places that come free anywhere in the group are shared by all
-    /// entries: one of many that has few in at the moment does not wait for those to leave.
-    fn leaving(&self, inside: usize) -> f64 {
-        self.held.max(inside as f64).max(1.0)
+    /// Number of requests whose places this entry may fill when they end. All entries share the places that become free
+    /// anywhere in the group: an entry with few requests in flight does not have to wait for those to end.
+    fn sharable_places(&self, in_flight: usize) -> f64 {
+        self.share_of_requests.max(in_flight as f64).max(1.0)
     }
 
-    /// The loads that the room was worked out from.
+    /// Position of the load report that the headroom was computed from.
     pub fn order(&self) -> (u64, u64) {
-        self.order
+        self.load_order
     }
 
-    /// Time since they were told.
+    /// Time since that report was received.
     pub fn load_age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.told)
+        now.saturating_duration_since(self.load_received_at)
     }
 
-    /// This entry's share of the room.
-    pub fn room(&self) -> Room {
-        self.room
+    /// This entry's share of the headroom.
+    pub fn room(&self) -> Headroom {
+        self.headroom
     }
 
-    /// Requests that wait.
+    /// Number of requests in the backlog.
     pub fn waiting(&self) -> usize {
-        self.line.len()
+        self.backlog.len()
     }
 
-    /// How long a request may wait and still have its first event within `objective`: what is left of it after the time
-    /// that the latest streams took from being let in to their first event, with a margin.
-    fn patience(&self, objective: Duration) -> Duration {
-        let least = objective.mul_f64(WAIT_PART);
-        let Some(first) = self.first else { return least };
-        objective.saturating_sub(first.mul_f64(FIRST_MARGIN)).max(least)
+    /// How long a request may wait and still have its first event within `objective`: the objective less the recent
+    /// time from admission to the first event, with a margin.
+    fn max_timely_wait(&self, objective: Duration) -> Duration {
+        let min_wait = objective.mul_f64(MIN_WAIT_FRACTION);
+        let Some(first_event_time) = self.first_event_time else {
+            return min_wait;
+        };
+        objective
+            .saturating_sub(first_event_time.mul_f64(FIRST_EVENT_MARGIN))
+            .max(min_wait)
     }
 }
 
-/// The group behind a queue.
+/// The group that a queue admits requests to.
 #[derive(Debug, Clone, Copy)]
 pub struct Group<'a> {
-    /// What its engines take.
+    /// Performance model of its engines.
     pub engine: &'a Engine,
-    /// Longest pause between events that its streams may have.
+    /// Longest allowed pause between the events of its streams.
     pub pause: Duration,
-    /// Its ranks.
+    /// Number of its ranks.
     pub ranks: usize,
-    /// Part of them that take requests from this entry: those that limit or refuse its requests count as full.
+    /// Fraction of the ranks that accept requests from this entry; ranks that limit or reject its requests count as
+    /// full.
     pub open_part: f64,
-    /// Entries that share its room, this one included.
+    /// Number of entries that share the headroom, including this one.
     pub entries: usize,
 }
--- a/crates/sparscale_policy/src/rate_limit.rs
+++ b/crates/sparscale_policy/src/rate_limit.rs
@@ -1,21 +1,22 @@
-//! Which entries send to a target that limits the rate of all its callers, and how often.
+//! Divides the rate of a target that limits its callers: which entries send to it, and how often.
 //!
-//! Load pattern: a target in need names a rate for all entries together. None of them can count what the others send, and
-//! there may be more entries than the target takes requests in a window.
+//! Load pattern: an overloaded target announces a rate for all entries together. No entry can count what the others
+//! send, and there may be more entries than requests that the target accepts in a window.
 //!
-//! A few entries, the *holders*, have equal shares of the rate; the others leave the target alone. Who they are follows
-//! from a hash of the entry and the start of the target, so entries that know the same others agree, and the shares of
-//! many limited targets spread over all entries. A holder spaces its sends evenly and waits one interval before the
-//! first. So `n` holders at a time, whoever they are and however often they start again, send at most `n * (t / interval + 1)`
-//! in any time `t`.
+//! A few entries, the *holders*, have equal shares of the rate; the others send nothing to the target. The holders
+//! follow from a hash of the entry and the start of the target, so that entries with the same view agree on them, and
+//! the shares of many limited targets spread over all entries. A holder spaces its sends evenly and waits one interval
+//! before the first. So `n` holders at a time, whichever they are and however often they restart, send at most
+//! `n * (t / interval + 1)` requests in any time `t`.
 //!
-//! An entry without a share sends a request once nobody has confirmed a limit for [`UNCONFIRMED`], one entry after the other:
-//! those that hold shares may have nothing to send, and only an answer tells that the limit has ended.
+//! The holders may have nothing to send, and only a response shows that the limit has ended. So an entry without a
+//! share sends a probe if no process has confirmed the limit for [`UNCONFIRMED_TIMEOUT`], one entry after the other.
 //!
-//! Bound: while every entry hears all others, `n` is at most [`holders`] and the interval is that many over the rate: the
-//! sends are at most `rate * t + holders`. Where some are not heard, entries use [`SPLIT_PART`] of the rate, and only those
-//! that hear most of the others take the place of a silent holder, so `n` is at most twice `holders`. With [`FACTOR`],
-//! [`BURST`] and [`WINDOW`], both stay within what the target bears: `FACTOR * rate * WINDOW + BURST`.
+//! Bound: while every entry receives reports from all others, `n` is at most [`holder_count`] and the interval is that
+//! many over the rate, so there are at most `rate * t + holder_count` sends. While some entries are unresponsive, the
+//! others use [`PARTITION_FRACTION`] of the rate, and only entries that are linked to most of the others replace an
+//! unresponsive holder, so `n` is at most twice `holder_count`. With [`FACTOR`], [`BURST`] and [`WINDOW`], both cases
+//! stay within what the target tolerates: `FACTOR * rate * WINDOW + BURST`.
 
 use std::cmp::Ordering;
 use std::net::{IpAddr, SocketAddr};
@@ -24,30 +25,30 @@
 use sparscale_catalog::Start;
 use sparscale_clock::Moment;
 
-/// Window over which a target counts.
+/// Window in which a target counts its requests.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// Times its rate that a target bears in a window.
+/// Multiple of its rate that a target tolerates in a window.
 pub const FACTOR: f64 = 1.5;
-/// Requests that it bears besides.
+/// Number of requests that it tolerates in addition.
 pub const BURST: f64 = 5.0;
-/// Part of the rate that entries use while some of them are not heard.
-const SPLIT_PART: f64 = 0.6;
-/// Silence after which the share of an entry passes to another one.
-pub const TAKEOVER: Duration = Duration::from_secs(12);
-/// Time after which a limit that nobody confirms may have ended.
-const UNCONFIRMED: Duration = Duration::from_secs(10);
-/// What each place among the entries adds to it: the answer to the first tells all.
+/// Fraction of the rate that entries use while some entries are unresponsive.
+const PARTITION_FRACTION: f64 = 0.6;
+/// Time without a message from an entry after which its share passes to another one.
+pub const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time without a confirmation after which a limit may have ended.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(10);
+/// Additional time for each position in the order of the entries: the response to the first probe informs all entries.
 const PROBE_STEP: Duration = Duration::from_secs(1);
-/// Least rate, in requests a second. The answers to requests are what tells that a limit has ended.
+/// Minimum rate in requests a second: only responses to requests show that a limit has ended.
 const MIN_RATE: f64 = 0.05;
 
-/// Requests a second that a target takes from all entries together.
+/// Requests a second that a target accepts from all entries together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
-/// A text or number is no rate.
+/// A text or number that is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotARate;
+pub struct InvalidRate;
 
 impl Rate {
     /// Requests a second.
@@ -57,78 +58,86 @@
 }
 
 impl TryFrom<f64> for Rate {
-    type Error = NotARate;
+    type Error = InvalidRate;
 
-    fn try_from(per_second: f64) -> Result<Self, NotARate> {
+    fn try_from(per_second: f64) -> Result<Self, InvalidRate> {
         if !per_second.is_finite() || per_second < 0.0 {
-            return Err(NotARate);
+            return Err(InvalidRate);
         }
         Ok(Self(per_second.max(MIN_RATE)))
     }
 }
 
 impl TryFrom<&str> for Rate {
-    type Error = NotARate;
+    type Error = InvalidRate;
 
-    fn try_from(text: &str) -> Result<Self, NotARate> {
-        let per_second: f64 = text.trim().parse().map_err(|_malformed| NotARate)?;
+    fn try_from(text: &str) -> Result<Self, InvalidRate> {
+        let per_second: f64 = text.trim().parse().map_err(|_malformed| InvalidRate)?;
         Self::try_from(per_second)
     }
 }
 
-/// The entries among which shares are divided, as one of them knows them.
+/// The entries that divide the shares, as one of them sees them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Members {
-    /// This entry.
-    pub own: SocketAddr,
-    /// All that are live, this one included; empty while most of those that are known are not heard.
+    /// Address of this entry.
+    pub own_address: SocketAddr,
+    /// Addresses of all live entries, this one included; empty while this entry has no link to most of the known
+    /// entries.
     pub live: Vec<SocketAddr>,
-    /// Whether all that are known are heard.
-    pub complete: bool,
+    /// Whether this entry is linked to all known entries, except those that never sent it a message.
+    pub is_complete: bool,
 }
 
-/// Another entry, as one knows it.
+/// Another entry, as this one sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
     /// Whether there is a link to it.
     pub linked: bool,
-    /// Time since it was heard; none if it never was.
+    /// Time since its last message; none if there was none.
     pub silent: Option<Duration>,
 }
 
 impl Members {
-    /// The members as the entry `own` knows them, which knows all `peers`.
-    pub fn new(own: SocketAddr, peers: &[Peer]) -> Self {
+    /// Creates the view of the entry `own_address`, which knows all `peers`.
+    pub fn new(own_address: SocketAddr, peers: &[Peer]) -> Self {
         let linked = peers.iter().filter(|peer| peer.linked).count() + 1;
-        let is_live = |peer: &&Peer| peer.linked || peer.silent.is_some_and(|silent| silent < TAKEOVER);
+        let is_live = |peer: &&Peer| {
+            peer.linked
+                || peer
+                    .silent
+                    .is_some_and(|since_message| since_message < TAKEOVER_TIMEOUT)
+        };
         let mut live = Vec::new();
         if 2 * linked > peers.len() + 1 {
-            live.push(own);
+            live.push(own_address);
             live.extend(peers.iter().filter(is_live).map(|peer| peer.address));
         }
         Self {
-            own,
+            own_address,
             live,
-            complete: peers.iter().all(|peer| peer.linked || peer.silent.is_none()),
+            is_complete: peers.iter().all(|peer| peer.linked || peer.silent.is_none()),
         }
     }
 
-    /// What this entry may send to the start `start` of a target that limits its rate.
+    /// Returns what this entry may send to a target that limits its rate, for its start `start`.
     pub fn share(&self, rate: Rate, start: Start) -> Share {
         if self.live.is_empty() {
             return Share::None;
         }
-        let own = weight(self.own, start);
-        let is_before = |other: &&SocketAddr| (weight(**other, start), **other).cmp(&(own, self.own)) == Ordering::Less;
-        let place = self.live.iter().filter(is_before).count();
-        let holders = holders(rate).min(self.live.len());
-        let part = if self.complete { 1.0 } else { SPLIT_PART };
-        if place < holders {
-            return Share::Each(Duration::from_secs_f64(holders as f64 / (rate.0 * part)));
+        let own_weight = weight(self.own_address, start);
+        let is_before = |other: &&SocketAddr| {
+            (weight(**other, start), **other).cmp(&(own_weight, self.own_address)) == Ordering::Less
+        };
+        let position = self.live.iter().filter(is_before).count();
+        let holders = holder_count(rate).min(self.live.len());
+        let fraction = if self.is_complete { 1.0 } else { PARTITION_FRACTION };
+        if position < holders {
+            return Share::Interval(Duration::from_secs_f64(holders as f64 / (rate.0 * fraction)));
         }
-        Share::Unconfirmed(UNCONFIRMED + PROBE_STEP * u32::try_from(place).unwrap_or(u32::MAX))
+        Share::ProbeAfter(UNCONFIRMED_TIMEOUT + PROBE_STEP * u32::try_from(position).unwrap_or(u32::MAX))
     }
 }
 
@@ -137,19 +146,19 @@
 pub enum Share {
     /// Nothing.
     None,
-    /// A request each so often.
-    Each(Duration),
-    /// A request once nobody has confirmed the limit for so long: those that hold shares may have nothing to send.
-    Unconfirmed(Duration),
+    /// One request in each such interval.
+    Interval(Duration),
+    /// A probe if no process has confirmed the limit for this long: the holders may have nothing to send.
+    ProbeAfter(Duration),
 }
 
-/// Entries that hold a share of `rate`, if there are as many.
-pub fn holders(rate: Rate) -> usize {
-    let spare = rate.0 * WINDOW.as_secs_f64() * (FACTOR - 2.0 * SPLIT_PART) + BURST;
+/// Number of entries that hold a share of `rate`, if there are that many entries.
+pub fn holder_count(rate: Rate) -> usize {
+    let spare = rate.0 * WINDOW.as_secs_f64() * (FACTOR - 2.0 * PARTITION_FRACTION) + BURST;
     (spare / 2.0) as usize
 }
 
-/// Orders entries for a start of a target, alike in all processes and builds.
+/// Weight by which entries are ordered for a start of a target; the same in all processes and builds.
 fn weight(entry: SocketAddr, start: Start) -> u64 {
     let address = match entry.ip() {
         IpAddr::V4(address) => u128::from(u32::from(address)),
@@ -164,7 +173,7 @@
     words.into_iter().fold(0, |mixed, word| mix(mixed ^ word))
 }
 
-/// Spreads a word over all bits: the finalizer of `SplitMix64`.
+/// Mixes a word over all bits: the finalizer of `SplitMix64`.
 fn mix(word: u64) -> u64 {
     let word = word.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let word = (word ^ (word >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -175,51 +184,51 @@
 /// Spaces the sends of one entry to one target.
 #[derive(Debug, Clone, Copy)]
 pub struct Pacer {
-    /// The latest send, or when the entry began to hold a share.
-    last: Moment,
+    /// Time of the latest send, or when the entry began to hold a share.
+    last_send: Moment,
     /// When the target was last known to limit its rate.
-    confirmed: Moment,
+    confirmed_at: Moment,
     share: Share,
 }
 
 impl Pacer {
-    /// The pacer of an entry that holds no share.
+    /// Creates the pacer of an entry without a share.
     pub fn new(now: Moment) -> Self {
         Self {
-            last: now,
-            confirmed: now,
+            last_send: now,
+            confirmed_at: now,
             share: Share::None,
         }
     }
 
-    /// Sets what the entry may send.
+    /// Sets the share of the entry.
     pub fn set_share(&mut self, share: Share, now: Moment) {
-        if !matches!(self.share, Share::Each(_)) && matches!(share, Share::Each(_)) {
-            self.last = now;
+        if !matches!(self.share, Share::Interval(_)) && matches!(share, Share::Interval(_)) {
+            self.last_send = now;
         }
         self.share = share;
     }
 
-    /// Notes that the target limited its rate at `as_of`.
+    /// Records that the target limited its rate at `as_of`.
     pub fn confirm(&mut self, as_of: Moment) {
-        self.confirmed = self.confirmed.max(as_of);
+        self.confirmed_at = self.confirmed_at.max(as_of);
     }
 
-    /// When the next send may go; none while the entry may send nothing.
-    pub fn next(&self) -> Option<Moment> {
+    /// Time of the next allowed send; none while the entry may send nothing.
+    pub fn next_send(&self) -> Option<Moment> {
         match self.share {
             Share::None => None,
-            Share::Each(interval) => Some(self.last + interval),
-            Share::Unconfirmed(wait) => Some(self.last.max(self.confirmed) + wait),
+            Share::Interval(interval) => Some(self.last_send + interval),
+            Share::ProbeAfter(delay) => Some(self.last_send.max(self.confirmed_at) + delay),
         }
     }
 
-    /// Whether a request may be sent now; if so, it counts as sent.
-    pub fn take(&mut self, now: Moment) -> bool {
-        let allowed = self.next().is_some_and(|next| next <= now);
-        if allowed {
-            self.last = now;
+    /// Returns whether a request may be sent now, and counts it as sent if so.
+    pub fn try_acquire(&mut self, now: Moment) -> bool {
+        let is_allowed = self.next_send().is_some_and(|next_send| next_send <= now);
+        if is_allowed {
+            self.last_send = now;
         }
-        allowed
+        is_allowed
     }
 }
--- a/crates/sparscale_policy/src/returns.rs
+++ b/crates/sparscale_policy/src/returns.rs
@@ -1,31 +1,32 @@
-//! When callers are to come back to a service whose targets all limit what they take.
+//! Spaces the retries of callers of a service whose targets all limit their request rate.
 //!
-//! Load pattern: callers that are turned away at one time come back at one time. Targets that take so many requests a
-//! second, evenly spaced, would turn all of them away again but one. So each caller is told a time of its own, in the
-//! order in which they were turned away.
+//! Load pattern: callers that are rejected at the same time retry at the same time. Targets that accept a number of
+//! requests a second, evenly spaced, would then reject all of them but one. So each caller gets a retry time of its
+//! own, in the order of the rejections.
 
 use std::time::Duration;
 
 use sparscale_clock::Moment;
 
-/// Longest time after which a caller is told to come back.
-const MAX_WAIT: Duration = Duration::from_secs(30);
-/// Shortest time between two callers.
-const MIN_GAP: Duration = Duration::from_millis(5);
+/// Longest delay that a caller is given.
+const MAX_DELAY: Duration = Duration::from_secs(30);
+/// Shortest time between the retries of two callers.
+const MIN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The times that one entry has given out for one service.
+/// The retry times that one entry has assigned for one service.
 #[derive(Debug, Default)]
 pub struct Returns {
+    /// Earliest retry time of the next caller.
     next: Option<Moment>,
 }
 
 impl Returns {
-    /// Time after which the next caller is to come back, if a target takes a request at `opens_at` and one more after each
-    /// `gap`.
-    pub fn promise(&mut self, opens_at: Moment, gap: Duration, now: Moment) -> Duration {
-        let latest = now + MAX_WAIT;
-        let at = self.next.map_or(opens_at, |next| next.max(opens_at)).min(latest);
-        self.next = Some(at + gap.max(MIN_GAP));
-        at.since(now)
+    /// Returns the delay after which the next caller should retry, if the targets accept a request at `opens_at` and
+    /// one more after each `interval`.
+    pub fn promise(&mut self, opens_at: Moment, interval: Duration, now: Moment) -> Duration {
+        let latest = now + MAX_DELAY;
+        let retry_at = self.next.map_or(opens_at, |next| next.max(opens_at)).min(latest);
+        self.next = Some(retry_at + interval.max(MIN_INTERVAL));
+        retry_at.since(now)
     }
 }
--- a/crates/sparscale_policy/src/silence.rs
+++ b/crates/sparscale_policy/src/silence.rs
@@ -1,32 +1,34 @@
-//! How long the silence of a target is borne before its request goes elsewhere.
+//! Decides when a target has been unresponsive for so long that its request is moved to another target.
 //!
-//! Load pattern: boxes stand still for seconds. What was sent to such a target just before lies there unanswered, its caller
-//! gives up after some seconds of silence, and the target is left with work for nobody as it wakes. A target that is
-//! merely slow, or whose whole group waits, shows the same silence for a while; leaving those would send everything
-//! twice when load is at its worst. So silence is held against a target only while others of its group go on, and against
-//! what the others take. Others that owe nothing say nothing either: on a service that few ask, a request that meets a
-//! target which stands still would wait to its deadline.
+//! Load pattern: a box freezes for seconds. Requests sent to its target shortly before are not answered, their callers
+//! give up after a few seconds without a response, and the target resumes with work that no caller waits for.
+//!
+//! A target that is only slow, or whose whole group is stalled, looks the same for a while; moving its requests would
+//! send every request twice at peak load. So a target is abandoned only while other targets of its group make progress,
+//! and its response time is compared with theirs. Targets without pending responses can't show progress, so it is also
+//! abandoned while all others are idle: on a service with little traffic, a request at a frozen target would otherwise
+//! wait until its deadline.
 
 use std::time::Duration;
 
-/// Part of the time that callers bear silence for which a target may be waited for: another one needs the rest.
-const PATIENCE_PART: f64 = 0.6;
-/// Time since the last sign of a group's life within which it counts as going on: several passes of a group under load.
-const GOES_ON: Duration = Duration::from_millis(350);
+/// Fraction of the caller's timeout for which one target may be waited for; the remainder is left for another target.
+const MAX_WAIT_FRACTION: f64 = 0.6;
+/// Time since the last activity of a group within which it counts as active: several passes of a group under load.
+const GROUP_ACTIVE_WINDOW: Duration = Duration::from_millis(350);
 
-/// What a target owes.
+/// The part of a response that a target is expected to send next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Awaited {
     /// The first event of a stream.
     First,
     /// The next event of a stream.
     Next,
-    /// A whole answer.
+    /// A complete response that is not streamed.
     Complete,
 }
 
 impl Awaited {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::First => "first_event",
@@ -36,101 +38,106 @@
     }
 }
 
-/// What is told of a target's box.
+/// What the group leader reports about a target's box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It speaks.
-    Alive,
-    /// It has said nothing lately, unlike the others of its group.
-    Silent,
-    /// Nobody tells.
+    /// It responds to the leader.
+    Responsive,
+    /// It has stopped responding, unlike the other ranks of its group.
+    Unresponsive,
+    /// There is no recent or credible report.
     Unknown,
 }
 
 impl Health {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Alive => "alive",
-            Self::Silent => "silent",
+            Self::Responsive => "alive",
+            Self::Unresponsive => "silent",
             Self::Unknown => "unknown",
         }
     }
 }
 
-/// What the decision is made from.
+/// The observations that decide whether a target is abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
-    /// What is waited for.
+    /// The part of the response that is pending.
     pub awaited: Awaited,
-    /// Time in which that is in time.
-    pub allowed: Duration,
-    /// Time that the same took lately with all targets of the group or service; none if there were none.
+    /// Time within which that part is on time.
+    pub due_within: Duration,
+    /// Mean time that this part took recently over all targets of the group or service; none without a sample.
     pub usual: Option<Duration>,
-    /// What is told of the target's box.
+    /// What the group leader reports about the target's box.
     pub health: Health,
-    /// Time since another target of the group or service was heard, or its passes were seen to go on.
+    /// Time since another target of the group or service responded, or since the group completed a pass.
     pub others_heard: Option<Duration>,
-    /// Whether no other target owes this entry anything that it could be heard by.
+    /// Whether no other target has a pending response to this entry, by which it could show progress.
     pub others_idle: bool,
-    /// Silence after which the caller gives up.
-    pub given_up_after: Duration,
+    /// Time without a response after which the caller gives up.
+    pub caller_timeout: Duration,
 }
 
-/// How much is borne: a part of what is in time, and a multiple of what is usual, whichever is longer.
+/// Factors of the timeout: it is a multiple of `due_within` or of the mean time, whichever is longer.
 #[derive(Debug, Clone, Copy)]
-struct Limit {
-    allowed: f64,
-    usual: f64,
+struct TimeoutFactors {
+    due_within: f64,
+    mean: f64,
 }
 
 impl Evidence {
-    /// Silence after which the target is left; none if it is waited for as long as the caller waits.
+    /// Time without a response after which the target is abandoned; none if the request stays there as long as its
+    /// caller waits.
     pub fn limit(&self) -> Option<Duration> {
-        let limit = self.factors();
-        let usual = self.usual.unwrap_or(self.allowed.div_f64(2.0));
-        let borne = self.allowed.mul_f64(limit.allowed).max(usual.mul_f64(limit.usual));
-        (borne <= self.given_up_after.mul_f64(PATIENCE_PART)).then_some(borne)
+        let factors = self.factors();
+        let mean = self.usual.unwrap_or(self.due_within.div_f64(2.0));
+        let timeout = self
+            .due_within
+            .mul_f64(factors.due_within)
+            .max(mean.mul_f64(factors.mean));
+        (timeout <= self.caller_timeout.mul_f64(MAX_WAIT_FRACTION)).then_some(timeout)
     }
 
-    /// Whether a target that has been silent for `silence` is to be left.
-    pub fn leaves(&self, silence: Duration) -> bool {
-        let others_go_on = self.others_heard.is_some_and(|heard| heard < GOES_ON);
-        (others_go_on || self.others_idle) && self.limit().is_some_and(|limit| silence >= limit)
+    /// Whether to abandon a target that has been unresponsive for `unresponsive_for`.
+    pub fn leaves(&self, unresponsive_for: Duration) -> bool {
+        let others_active = self.others_heard.is_some_and(|elapsed| elapsed < GROUP_ACTIVE_WINDOW);
+        (others_active || self.others_idle) && self.limit().is_some_and(|timeout| unresponsive_for >= timeout)
     }
 
-    /// A box that speaks may still have a target that hangs, so only the limit is wider.
-    fn factors(&self) -> Limit {
-        let (allowed, usual) = match (self.awaited, self.health) {
-            (Awaited::First, Health::Silent) => (0.5, 2.0),
-            (Awaited::Next, Health::Silent) => (2.0, 3.0),
+    /// The factors for this response and box. On a box that responds the target may still hang, so the factors are
+    /// larger there but not infinite.
+    fn factors(&self) -> TimeoutFactors {
+        let (due_within, mean) = match (self.awaited, self.health) {
+            (Awaited::First, Health::Unresponsive) => (0.5, 2.0),
+            (Awaited::Next, Health::Unresponsive) => (2.0, 3.0),
             (Awaited::First, _) => (1.5, 4.0),
             (Awaited::Next, _) => (4.0, 6.0),
             (Awaited::Complete, _) => (1.0, 5.0),
         };
-        Limit { allowed, usual }
+        TimeoutFactors { due_within, mean }
     }
 }
 
-/// Running mean of what targets take. One straggling answer counts for a few times the mean at most, so that it does not pass
-/// for what is usual.
+/// Running mean of response times. A sample counts for at most a small multiple of the mean, so that a single very slow
+/// response does not raise it much.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Usual(Option<Duration>);
+pub struct ResponseTimeMean(Option<Duration>);
 
-impl Usual {
-    /// Weight of the newest value.
-    const WEIGHT: f64 = 0.1;
-    /// Multiple of the mean that one value may count for.
-    const MOST: u32 = 4;
+impl ResponseTimeMean {
+    /// Weight of the newest sample.
+    const SAMPLE_WEIGHT: f64 = 0.1;
+    /// Multiple of the mean at which a sample is capped.
+    const MAX_SAMPLE_RATIO: u32 = 4;
 
-    /// Takes in one more.
-    pub fn note(&mut self, took: Duration) {
-        let mean = self.0.unwrap_or(took);
-        let counted = took.min(mean * Self::MOST);
-        self.0 = Some(mean.mul_f64(1.0 - Self::WEIGHT) + counted.mul_f64(Self::WEIGHT));
+    /// Adds a sample.
+    pub fn record(&mut self, response_time: Duration) {
+        let mean = self.0.unwrap_or(response_time);
+        let capped = response_time.min(mean * Self::MAX_SAMPLE_RATIO);
+        self.0 = Some(mean.mul_f64(1.0 - Self::SAMPLE_WEIGHT) + capped.mul_f64(Self::SAMPLE_WEIGHT));
     }
 
-    /// The mean; none before the first value.
+    /// The mean; none before the first sample.
     pub fn mean(&self) -> Option<Duration> {
         self.0
     }
--- a/crates/sparscale_policy/src/slow.rs
+++ b/crates/sparscale_policy/src/slow.rs
@@ -1,25 +1,25 @@
-//! Ranks that hold their whole group back.
+//! Detects stragglers: ranks whose slowdown delays their whole group.
 //!
-//! Load pattern: a rank that computes at a fraction of the others' pace.
+//! Load pattern: one rank computes at a fraction of the speed of the others.
 //!
-//! All ranks of a group advance together, so each pass waits for the slowest rank that has requests. One that works at a
-//! fraction of the others' pace gets no requests while that lasts, and those it has go on elsewhere, so that passes take
-//! what the others need.
+//! All ranks of a group advance together, so each pass waits for the slowest rank that has requests. A straggler gets
+//! no new requests while its slowdown lasts, and the requests that it has are moved to other ranks, so that passes take
+//! as long as the other ranks need.
 
 use sparscale_wire::{GroupLoad, RankLoad};
 
-/// How many times as long as the middle rank of its group a rank takes before it counts as slow: each pass of the group is
-/// longer by as much, which is worse than a rank less.
-const SLOW_FACTOR: f64 = 1.4;
+/// Slowdown relative to the median rank of the group above which a rank is a straggler: it lengthens each pass of the
+/// group by as much, which costs more than doing without the rank.
+const STRAGGLER_FACTOR: f64 = 1.4;
 
-/// Ranks of `load` that hold the others back.
+/// Returns the stragglers among the ranks of `load`.
 pub fn ranks(load: &GroupLoad) -> Vec<usize> {
-    let mut paces: Vec<f64> = load.ranks.iter().flatten().map(RankLoad::pace).collect();
-    paces.sort_by(f64::total_cmp);
-    let Some(middle) = paces.get(paces.len() / 2).copied() else {
+    let mut slowdowns: Vec<f64> = load.ranks.iter().flatten().map(RankLoad::pace).collect();
+    slowdowns.sort_by(f64::total_cmp);
+    let Some(median) = slowdowns.get(slowdowns.len() / 2).copied() else {
         return Vec::new();
     };
-    let told = load.ranks.iter().enumerate();
-    let slow = told.filter(|(_, rank)| rank.is_some_and(|rank| rank.pace() > middle * SLOW_FACTOR));
-    slow.map(|(rank, _)| rank).collect()
+    let reported = load.ranks.iter().enumerate();
+    let stragglers = reported.filter(|(_, rank)| rank.is_some_and(|rank| rank.pace() > median * STRAGGLER_FACTOR));
+    stragglers.map(|(rank, _)| rank).collect()
 }
--- a/crates/sparscale_policy/src/spent.rs
+++ b/crates/sparscale_policy/src/spent.rs
@@ -1,52 +1,53 @@
-//! How long a caller has been at it before this try.
+//! Estimates how much time a caller spent on earlier attempts of the same request.
 //!
-//! Load pattern: callers that were turned away come back, among others that come for the first time. What they are still
-//! worth counts from their first try.
+//! Load pattern: rejected callers retry, mixed with callers that make their first attempt. The worth of a response
+//! counts from the first attempt.
 //!
-//! Callers tell the time for which they still wait, and give a first try the same time as any other. So the longest of
-//! a route's latest deadlines is that of first tries, and what a request has less was spent on tries before it.
+//! A caller sends the time for which it still waits as its deadline, and starts each request with the same deadline.
+//! The longest recent deadline of a route is therefore that of first attempts, and a request with a shorter one has
+//! spent the difference on earlier attempts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Span over which the longest deadline is kept, and for as long again at most.
-const SPAN: Duration = Duration::from_secs(10);
+/// Window over which the longest deadline is tracked; it is kept for at most one window more.
+const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest deadlines of one route.
+/// The longest deadlines of one route, in the current and in the previous window.
 #[derive(Debug, Clone, Copy)]
-struct Longest {
-    now: Duration,
-    before: Duration,
-    since: Instant,
+struct LongestDeadlines {
+    current: Duration,
+    previous: Duration,
+    window_start: Instant,
 }
 
-/// The longest deadlines of all routes.
+/// The longest recent deadlines of all routes.
 #[derive(Debug, Default)]
 pub struct Deadlines {
-    by_route: HashMap<String, Longest>,
+    by_route: HashMap<String, LongestDeadlines>,
 }
 
 impl Deadlines {
-    /// Takes in the deadline of a request on `route`, and tells what was spent before it came.
+    /// Records the deadline of a request on `route` and returns the time that its caller spent on earlier attempts.
     pub fn spent(&mut self, route: &str, deadline: Duration, now: Instant) -> Duration {
-        let longest = self.by_route.entry(route.to_owned()).or_insert(Longest {
-            now: deadline,
-            before: Duration::ZERO,
-            since: now,
+        let longest = self.by_route.entry(route.to_owned()).or_insert(LongestDeadlines {
+            current: deadline,
+            previous: Duration::ZERO,
+            window_start: now,
         });
-        if longest.since + SPAN < now {
-            *longest = Longest {
-                now: deadline,
-                before: longest.now,
-                since: now,
+        if longest.window_start + WINDOW < now {
+            *longest = LongestDeadlines {
+                current: deadline,
+                previous: longest.current,
+                window_start: now,
             };
         }
-        longest.now = longest.now.max(deadline);
-        longest.now.max(longest.before).saturating_sub(deadline)
+        longest.current = longest.current.max(deadline);
+        longest.current.max(longest.previous).saturating_sub(deadline)
     }
 
-    /// Forgets routes that are gone.
-    pub fn retain(&mut self, mut is_there: impl FnMut(&str) -> bool) {
-        self.by_route.retain(|route, _| is_there(route));
+    /// Drops the routes that `exists` rejects.
+    pub fn retain(&mut self, mut exists: impl FnMut(&str) -> bool) {
+        self.by_route.retain(|route, _| exists(route));
     }
 }
--- a/crates/sparscale_policy/tests/closed_gate.rs
+++ b/crates/sparscale_policy/tests/closed_gate.rs
@@ -1,13 +1,13 @@
-//! A group that turns everything away: who tries it again, who waits, who is told to come back.
+//! A group that rejects every request: which requests probe it, which wait, and which are rejected by the entry.
 
 use std::time::{Duration, Instant};
 
 use sparscale_policy::gate::{Gate, Pass};
 
-/// Time for which the requests here can wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time for which the requests in these tests can wait.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-fn closed(now: Instant) -> Gate {
+fn closed_gate(now: Instant) -> Gate {
     let mut gate = Gate::default();
     assert_eq!(gate.turned_away(now), None, "one may have met a full target");
     assert_eq!(gate.turned_away(now), Some(2));
@@ -15,59 +15,59 @@
 }
 
 #[test]
-fn one_probes() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let until = began + PATIENCE;
-    let Pass::Wait(next) = gate.pass(until, began) else {
-        panic!("it waits");
+fn one_request_probes() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let until = start + MAX_WAIT;
+    let Pass::Wait(next_probe) = gate.pass(until, start) else {
+        panic!("the request waits");
     };
-    assert_eq!(gate.pass(until, next), Pass::Go);
-    assert!(matches!(gate.pass(until, next), Pass::Wait(later) if later > next));
+    assert_eq!(gate.pass(until, next_probe), Pass::Go);
+    assert!(matches!(gate.pass(until, next_probe), Pass::Wait(later) if later > next_probe));
 }
 
-/// A hundred that come in a second of closure: no more than ten are sent in vain.
+/// Of a hundred requests in a second of closure, at most ten are sent and rejected.
 #[test]
-fn few_in_vain() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let arrivals = (0..100).map(|number| began + Duration::from_millis(10 * number));
-    let sent = arrivals.filter(|now| gate.pass(*now + PATIENCE, *now) == Pass::Go);
+fn probes_limited() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let arrivals = (0..100).map(|number| start + Duration::from_millis(10 * number));
+    let sent = arrivals.filter(|now| gate.pass(*now + MAX_WAIT, *now) == Pass::Go);
     assert!(sent.count() <= 10);
 }
 
 #[test]
-fn opens_for_all() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let later = began + Duration::from_millis(700);
+fn response_opens_gate() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let later = start + Duration::from_millis(700);
     assert_eq!(gate.answered(later), Some(Duration::from_millis(700)));
-    assert_eq!(gate.pass(later + PATIENCE, later), Pass::Go);
-    assert_eq!(gate.turned_away(later), None, "counted anew");
+    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Go);
+    assert_eq!(gate.turned_away(later), None, "the count starts again");
 }
 
-/// Ranks that are away for longer than a restart takes: nobody is held for them.
+/// Ranks that are missing for longer than a restart takes: requests no longer wait for them.
 #[test]
 fn long_closure() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let late = began + Duration::from_secs(3);
-    assert_eq!(gate.pass(late + PATIENCE, late), Pass::Go, "one tries");
-    assert_eq!(gate.pass(late + PATIENCE, late), Pass::Closed);
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let later = start + Duration::from_secs(3);
+    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Go, "one request probes");
+    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Closed);
 }
 
 #[test]
-fn short_patience() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    assert_eq!(gate.pass(began, began), Pass::Closed);
+fn no_time_to_wait() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    assert_eq!(gate.pass(start, start), Pass::Closed);
 }
 
-/// What was not turned away shows only something while the gate is closed.
+/// A request without a rejection matters only while the gate is closed.
 #[test]
-fn taken_opens() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    assert_eq!(gate.taken(began + PATIENCE), Some(PATIENCE));
-    assert_eq!(gate.taken(began + PATIENCE), None);
+fn accepted_request_opens_gate() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    assert_eq!(gate.taken(start + MAX_WAIT), Some(MAX_WAIT));
+    assert_eq!(gate.taken(start + MAX_WAIT), None);
 }
--- a/crates/sparscale_policy/tests/closed_ranks.rs
+++ b/crates/sparscale_policy/tests/closed_ranks.rs
@@ -1,4 +1,4 @@
-//! Ranks that take no requests count as full, and callers of a service that takes none come back one after the other.
+//! Ranks that accept no requests count as full, and callers of a service that accepts none retry one after the other.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +10,8 @@
 
 const RANKS: usize = 12;
 
-/// Room of a group whose ranks hold one request each, `open_part` of which take requests.
-fn room(open_part: f64) -> f64 {
+/// Headroom of a group whose ranks hold one request each; the fraction `open_part` of them accepts requests.
+fn headroom(open_part: f64) -> f64 {
     let now = Instant::now();
     let rank = RankLoad {
         running: 1,
@@ -39,35 +39,35 @@
     queue.room().timely
 }
 
-/// Requests are let in for ranks that turn them away.
+/// Guards against admitting requests for ranks that reject them.
 #[test]
-fn closed_ranks_filled() {
-    let (all, half, none) = (room(1.0), room(0.5), room(0.0));
-    let held = RANKS as f64;
-    assert!(all > held, "{all}");
+fn closed_ranks_count_as_full() {
+    let (all, half, none) = (headroom(1.0), headroom(0.5), headroom(0.0));
+    let requests = RANKS as f64;
+    assert!(all > requests, "{all}");
     assert!(
-        (half - (f64::midpoint(all, held) - held)).abs() < 1e-9,
+        (half - (f64::midpoint(all, requests) - requests)).abs() < 1e-9,
         "{half} of {all}"
     );
     assert!(none <= 0.0, "{none}");
 }
 
-/// Callers that are turned away together come back together.
+/// Guards against callers that are rejected at the same time and retry at the same time.
 #[test]
-fn returns_together() {
+fn retries_spaced() {
     let now = Machine::default().now();
     let mut returns = Returns::default();
-    let (opens_in, gap) = (Duration::from_secs(2), Duration::from_millis(100));
-    let waits: Vec<Duration> = (0..4).map(|_| returns.promise(now + opens_in, gap, now)).collect();
-    let expected: Vec<Duration> = (0..4).map(|turn| opens_in + gap * turn).collect();
-    assert_eq!(waits, expected);
-    let late = now + Duration::from_mins(1);
+    let (opens_in, interval) = (Duration::from_secs(2), Duration::from_millis(100));
+    let delays: Vec<Duration> = (0..4).map(|_| returns.promise(now + opens_in, interval, now)).collect();
+    let expected: Vec<Duration> = (0..4).map(|position| opens_in + interval * position).collect();
+    assert_eq!(delays, expected);
+    let later = now + Duration::from_mins(1);
     assert_eq!(
-        returns.promise(late + opens_in, gap, late),
+        returns.promise(later + opens_in, interval, later),
         opens_in,
-        "old promises are over"
+        "earlier retry times have passed"
     );
     for _ in 0..1_000 {
-        assert!(returns.promise(late + opens_in, gap, late) <= Duration::from_secs(30));
+        assert!(returns.promise(later + opens_in, interval, later) <= Duration::from_secs(30));
     }
 }
--- a/crates/sparscale_policy/tests/group_room.rs
+++ b/crates/sparscale_policy/tests/group_room.rs
@@ -1,8 +1,8 @@
-//! How many requests a group may hold, by what its passes take.
+//! How many requests a group may hold, by the duration of its passes.
 
 use std::time::Duration;
 
-use sparscale_policy::room::{capacity, capacity_now, held};
+use sparscale_policy::headroom::{capacity, capacity_at_current_skew, reported_requests};
 use sparscale_policy::slow;
 use sparscale_samples as samples;
 use sparscale_wire::{GroupLoad, RankLoad};
@@ -10,7 +10,7 @@
 const RANKS: usize = 12;
 const PAUSE: Duration = Duration::from_millis(120);
 
-/// A group with `running` requests a rank, whose passes take `pass`.
+/// A group with `running` requests on each rank, whose passes take `pass`.
 fn group(running: u32, pass: Duration) -> GroupLoad {
     let rank = RankLoad {
         running,
@@ -27,98 +27,108 @@
     }
 }
 
-fn per_rank(running: u32, pass_ms: u64) -> f64 {
+/// Capacity for each rank.
+fn capacity_per_rank(running: u32, pass_ms: u64) -> f64 {
     let load = group(running, Duration::from_millis(pass_ms));
     capacity(&load, &samples::engine(), PAUSE) / RANKS as f64
 }
 
-/// Passes as the engine's figures say: the group fills up to where streams stay within their pauses.
+/// With passes as the performance model predicts, the group may hold as many requests as keep its streams within the
+/// allowed pause.
 #[test]
 fn usual_passes() {
-    let room = per_rank(4, 45);
-    assert!((5.0..12.0).contains(&room), "{room}");
+    let capacity = capacity_per_rank(4, 45);
+    assert!((5.0..12.0).contains(&capacity), "{capacity}");
 }
 
-/// Long passes that fewer requests would shorten.
+/// Long passes, which fewer requests would shorten, reduce the capacity.
 #[test]
 fn long_passes() {
-    assert!(per_rank(10, 110) < per_rank(4, 45));
+    assert!(capacity_per_rank(10, 110) < capacity_per_rank(4, 45));
 }
 
-/// A rank that is six times as slow makes every stream late, with few requests as with many: refusing them all would
-/// help nobody.
+/// A rank with a slowdown of six makes every stream late at any number of requests: rejecting all of them would help no
+/// caller.
 #[test]
-fn slow_rank() {
-    assert!(per_rank(3, 150) >= 5.0, "{}", per_rank(3, 150));
-    assert!(per_rank(3, 150) < 12.0, "{}", per_rank(3, 150));
+fn straggler() {
+    assert!(capacity_per_rank(3, 150) >= 5.0, "{}", capacity_per_rank(3, 150));
+    assert!(capacity_per_rank(3, 150) < 12.0, "{}", capacity_per_rank(3, 150));
 }
 
 #[test]
-fn waiting_counts() {
+fn waiting_requests_counted() {
     let mut load = group(3, Duration::from_millis(45));
     load.ranks[0] = None;
     if let Some(rank) = &mut load.ranks[1] {
         rank.queued = 11;
     }
-    assert!((held(&load) - 48.0).abs() < 1e-9, "{}", held(&load));
+    assert!(
+        (reported_requests(&load) - 48.0).abs() < 1e-9,
+        "{}",
+        reported_requests(&load)
+    );
 }
 
-/// The room of the moment for a group with `running` requests a rank and this skew, a rank.
-fn now_per_rank(running: u32, skew: f64) -> (f64, f64) {
+/// Capacity for each rank, timely and late, of a group with `running` requests on each rank and this skew.
+fn capacity_per_rank_at(running: u32, skew: f64) -> (f64, f64) {
     let load = GroupLoad {
         skew,
         ..group(running, Duration::from_millis(45))
     };
-    let capacity = capacity_now(&load, &samples::engine(), PAUSE);
+    let capacity = capacity_at_current_skew(&load, &samples::engine(), PAUSE);
     (capacity.timely / RANKS as f64, capacity.late / RANKS as f64)
 }
 
-/// A shift of demand takes room away until the next map is in force.
+/// A shift of demand reduces the capacity until the next expert map is active.
 #[test]
-fn shift_shrinks_room() {
-    let (calm, _) = now_per_rank(4, 1.1);
-    let (shifted, late) = now_per_rank(4, 2.5);
-    assert!(shifted < calm * 0.8, "{shifted} of {calm}");
-    assert!((shifted - late).abs() < 1e-9, "late ones would make the others late");
+fn shift_reduces_capacity() {
+    let (steady, _) = capacity_per_rank_at(4, 1.1);
+    let (shifted, late) = capacity_per_rank_at(4, 2.5);
+    assert!(shifted < steady * 0.8, "{shifted} of {steady}");
+    assert!(
+        (shifted - late).abs() < 1e-9,
+        "late requests would make the others late"
+    );
 }
 
-/// Those that run are late whatever is done: nobody joins them who could be in time later, only who is late already.
+/// The requests that run are late in any case: only requests that are already late are admitted, and none that could be
+/// on time later.
 #[test]
-fn spoiled_passes() {
-    let (timely, late) = now_per_rank(10, 6.0);
+fn only_late_admitted() {
+    let (timely, late) = capacity_per_rank_at(10, 6.0);
     assert!(timely < 1e-9, "{timely}");
     assert!(late >= 3.0, "{late}");
 }
 
-/// A slow rank without requests holds nobody up.
+/// A straggler without requests delays no other rank.
 #[test]
-fn idle_slow_rank() {
-    let room = |running| {
+fn idle_straggler() {
+    let capacity = |running| {
         let mut load = group(3, Duration::from_millis(45));
         load.ranks[5] = Some(RankLoad {
             running,
             pace_milli: 12_000,
             ..RankLoad::default()
         });
-        capacity_now(&load, &samples::engine(), PAUSE).timely
+        capacity_at_current_skew(&load, &samples::engine(), PAUSE).timely
     };
-    assert!(room(3) < 1e-9, "{}", room(3));
-    assert!(room(0) > 3.0 * RANKS as f64, "{}", room(0));
+    assert!(capacity(3) < 1e-9, "{}", capacity(3));
+    assert!(capacity(0) > 3.0 * RANKS as f64, "{}", capacity(0));
 }
 
 #[test]
-fn slow_by_others() {
+fn straggler_relative_to_others() {
     let mut load = group(3, Duration::from_millis(45));
     assert_eq!(slow::ranks(&load), [0_usize; 0]);
-    let paced = |pace_milli| {
+    let with_slowdown = |pace_milli| {
         Some(RankLoad {
             pace_milli,
             ..RankLoad::default()
         })
     };
-    load.ranks[4] = paced(5_000);
-    load.ranks[7] = paced(1_300);
+    load.ranks[4] = with_slowdown(5_000);
+    load.ranks[7] = with_slowdown(1_300);
     assert_eq!(slow::ranks(&load), [4]);
-    load.ranks.fill(paced(5_000));
-    assert_eq!(slow::ranks(&load), [0_usize; 0], "all alike");
+    load.ranks.fill(with_slowdown(5_000));
+    assert_eq!(slow::ranks(&load), [0_usize; 0], "all ranks are equally slow");
 }
--- a/crates/sparscale_policy/tests/heard_targets.rs
+++ b/crates/sparscale_policy/tests/heard_targets.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of who was heard.
+//! What an entry tracks of the responses of targets and of the reports of group leaders.
 
 use std::time::{Duration, Instant};
 
@@ -30,18 +30,18 @@
     Directory::new(&Roster::new(ranks.collect()), &mut Incarnations::default())
 }
 
-fn wait(seat: &Seat) -> Wait<'_> {
+fn wait(instance: &Seat) -> Wait<'_> {
     Wait {
-        seat,
+        seat: instance,
         awaited: Awaited::First,
         allowed: OBJECTIVE,
         given_up_after: OBJECTIVE * 4,
     }
 }
 
-/// A conductor's report of its group, in which the ranks of `unheard` are missing.
-fn told(group: &str, unheard: &[usize]) -> GroupLoad {
-    let load = |index: usize| (!unheard.contains(&index)).then(RankLoad::default);
+/// A group leader's report in which the ranks of `unresponsive` are missing.
+fn report(group: &str, unresponsive: &[usize]) -> GroupLoad {
+    let load = |index: usize| (!unresponsive.contains(&index)).then(RankLoad::default);
     GroupLoad {
         group: group.to_owned(),
         order: (1, 1),
@@ -53,36 +53,36 @@
     }
 }
 
-/// Deployments come and go: what is remembered is bounded by the targets that there are.
+/// Deployments come and go: the tracked state must stay bounded by the targets that exist.
 #[test]
-fn gone_forgotten() {
+fn removed_targets_dropped() {
     let now = Instant::now();
-    let mut register = Register::default();
+    let mut tracker = Register::default();
     let before = directory(&["a", "b", "c"]);
-    for seat in before.seats() {
-        register.note(seat, Awaited::First, OBJECTIVE, now);
+    for instance in before.seats() {
+        tracker.note(instance, Awaited::First, OBJECTIVE, now);
     }
-    register.note_told(&told("d", &[]), now);
-    assert_eq!(register.len(), 4);
+    tracker.note_told(&report("d", &[]), now);
+    assert_eq!(tracker.len(), 4);
     let after = directory(&["b"]);
-    register.retain(&after);
-    assert_eq!(register.len(), 1);
-    assert!(register.evidence(&wait(&after.seats()[0]), now).is_some());
-    assert!(register.evidence(&wait(&before.seats()[0]), now).is_none());
+    tracker.retain(&after);
+    assert_eq!(tracker.len(), 1);
+    assert!(tracker.evidence(&wait(&after.seats()[0]), now).is_some());
+    assert!(tracker.evidence(&wait(&before.seats()[0]), now).is_none());
 }
 
 #[test]
-fn conductor_believed() {
+fn leader_report_trusted() {
     let now = Instant::now();
     let targets = directory(&["a"]);
-    let health = |unheard: &[usize], rank: usize, later: Duration| {
-        let mut register = Register::default();
-        register.note_told(&told("a", unheard), now);
-        let evidence = register.evidence(&wait(&targets.seats()[rank]), now + later);
+    let health = |unresponsive: &[usize], rank: usize, elapsed: Duration| {
+        let mut tracker = Register::default();
+        tracker.note_told(&report("a", unresponsive), now);
+        let evidence = tracker.evidence(&wait(&targets.seats()[rank]), now + elapsed);
         evidence.expect("the group is known").health
     };
-    assert_eq!(health(&[1], 1, Duration::ZERO), Health::Silent);
-    assert_eq!(health(&[1], 2, Duration::ZERO), Health::Alive);
+    assert_eq!(health(&[1], 1, Duration::ZERO), Health::Unresponsive);
+    assert_eq!(health(&[1], 2, Duration::ZERO), Health::Responsive);
     assert_eq!(
         health(&[1], 1, Duration::from_secs(1)),
         Health::Unknown,
@@ -91,26 +91,29 @@
     assert_eq!(
         health(&[1, 2], 1, Duration::ZERO),
         Health::Unknown,
-        "its own box is the likelier cause"
+        "the leader's own box is the likelier cause"
     );
 }
 
-/// The silence of a target is held against it only where another one was heard.
+/// A target's own responses don't count as activity of others.
 #[test]
-fn others_count() {
+fn only_other_targets_count() {
     let now = Instant::now();
     let targets = directory(&["a"]);
     let [first, second, ..] = targets.seats() else {
         panic!("four ranks");
     };
-    let mut register = Register::default();
-    register.note(first, Awaited::First, OBJECTIVE, now);
-    let heard =
-        |register: &Register, seat: &Seat| register.evidence(&wait(seat), now).and_then(|seen| seen.others_heard);
-    assert_eq!(heard(&register, first), None);
-    assert_eq!(heard(&register, second), Some(Duration::ZERO));
-    register.note(second, Awaited::First, OBJECTIVE, now);
-    assert_eq!(heard(&register, first), Some(Duration::ZERO));
+    let mut tracker = Register::default();
+    tracker.note(first, Awaited::First, OBJECTIVE, now);
+    let others_heard = |tracker: &Register, instance: &Seat| {
+        tracker
+            .evidence(&wait(instance), now)
+            .and_then(|evidence| evidence.others_heard)
+    };
+    assert_eq!(others_heard(&tracker, first), None);
+    assert_eq!(others_heard(&tracker, second), Some(Duration::ZERO));
+    tracker.note(second, Awaited::First, OBJECTIVE, now);
+    assert_eq!(others_heard(&tracker, first), Some(Duration::ZERO));
 }
 
 fn plain_targets() -> Directory {
@@ -118,42 +121,44 @@
     Directory::new(&Roster::new(targets.collect()), &mut Incarnations::default())
 }
 
-/// Whoever owes nothing can't be heard; whoever owes something and says nothing speaks for a service that stands still.
+/// A target without pending responses can't show progress, so it counts as idle; one with a pending response that
+/// doesn't respond suggests that the whole service is stalled.
 #[test]
-fn idle_while_owing_nothing() {
+fn idle_without_pending_responses() {
     let now = Instant::now();
     let targets = plain_targets();
     let [first, second, ..] = targets.seats() else {
         panic!("three targets");
     };
-    let mut register = Register::default();
-    let idle = |register: &Register| register.evidence(&wait(first), now).map(|seen| seen.others_idle);
-    register.begin_wait(first);
-    register.begin_wait(first);
-    assert_eq!(idle(&register), Some(true), "its own waits don't count");
-    register.begin_wait(second);
-    register.begin_wait(second);
-    assert_eq!(idle(&register), Some(false));
-    register.end_wait(second);
-    assert_eq!(idle(&register), Some(false), "one is left");
-    register.end_wait(second);
-    assert_eq!(idle(&register), Some(true));
+    let mut tracker = Register::default();
+    let others_idle = |tracker: &Register| tracker.evidence(&wait(first), now).map(|evidence| evidence.others_idle);
+    tracker.begin_wait(first);
+    tracker.begin_wait(first);
+    assert_eq!(others_idle(&tracker), Some(true), "its own waits don't count");
+    tracker.begin_wait(second);
+    tracker.begin_wait(second);
+    assert_eq!(others_idle(&tracker), Some(false));
+    tracker.end_wait(second);
+    assert_eq!(others_idle(&tracker), Some(false), "one wait remains");
+    tracker.end_wait(second);
+    assert_eq!(others_idle(&tracker), Some(true));
 }
 
-/// One request at a group that stands still as a whole stays where it is, unless the conductor tells that this rank is silent.
+/// A single request at a group that is stalled as a whole stays where it is, unless the leader reports this rank as
+/// unresponsive.
 #[test]
-fn idle_group_told() {
+fn idle_group_needs_report() {
     let now = Instant::now();
     let targets = directory(&["a"]);
     let first = &targets.seats()[0];
-    let mut register = Register::default();
-    register.begin_wait(first);
-    let idle = |register: &Register| register.evidence(&wait(first), now).map(|seen| seen.others_idle);
-    assert_eq!(idle(&register), Some(false), "nobody tells");
-    register.note_told(&told("a", &[1]), now);
-    assert_eq!(idle(&register), Some(false), "it speaks");
-    let mut later = told("a", &[0]);
-    later.order = (1, 2);
-    register.note_told(&later, now);
-    assert_eq!(idle(&register), Some(true));
+    let mut tracker = Register::default();
+    tracker.begin_wait(first);
+    let others_idle = |tracker: &Register| tracker.evidence(&wait(first), now).map(|evidence| evidence.others_idle);
+    assert_eq!(others_idle(&tracker), Some(false), "no report");
+    tracker.note_told(&report("a", &[1]), now);
+    assert_eq!(others_idle(&tracker), Some(false), "the rank responds");
+    let mut next_report = report("a", &[0]);
+    next_report.order = (1, 2);
+    tracker.note_told(&next_report, now);
+    assert_eq!(others_idle(&tracker), Some(true));
 }
--- a/crates/sparscale_policy/tests/limited_target.rs
+++ b/crates/sparscale_policy/tests/limited_target.rs
@@ -1,5 +1,5 @@
-//! A rate that a target names for all entries, summed over entries that come and go: histories are searched for one in which it
-//! gets more than it bears, or hardly anything in calm.
+//! Searches histories of entries that start, end and lose contact for one in which a target gets more requests than it
+//! tolerates under its rate limit. Under stable conditions it must also get most of what it accepts.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,33 +11,33 @@
 use sparscale_policy::rate_limit::{BURST, FACTOR, Members, Pacer, Peer, Rate, Share, WINDOW};
 
 const HISTORIES: u64 = 100;
-/// Time between two sends that an entry would like to make.
+/// Time between two attempts of an entry to send.
 const STEP_MS: u64 = 50;
-/// Steps between two looks of an entry at who is live.
-const LOOK_STEPS: u64 = 4;
-/// Time between two tellings of a limit that goes on.
-const TELL_MS: u64 = 3_000;
+/// Steps between two updates of an entry's view of the live entries.
+const VIEW_UPDATE_STEPS: u64 = 4;
+/// Time between two announcements of an unchanged limit.
+const ANNOUNCE_INTERVAL_MS: u64 = 3_000;
 const START: &str = "target-1";
 
-/// What happens next.
+/// One event of a history.
 #[derive(Debug, Clone)]
 enum Event {
     /// Time passes, in ms.
-    Passes(u64),
-    /// The link between two entries fails, or comes back.
+    Elapse(u64),
+    /// The link between two entries fails, or is restored.
     Cut(usize, usize),
-    Mend(usize, usize),
-    /// Entries below a number hear only each other, and so do the others.
-    Split(usize),
-    /// All links come back.
+    Restore(usize, usize),
+    /// The entries below this number lose contact with all others.
+    Partition(usize),
+    /// All links are restored.
     Heal,
-    /// An entry is killed and starts again, knowing nobody for a moment.
-    Restarts(usize),
+    /// An entry is killed and restarts, without links at first.
+    Restart(usize),
     /// An entry ends for good.
-    Ends(usize),
-    /// An entry stands still.
-    Freezes(usize),
-    Wakes(usize),
+    End(usize),
+    /// An entry freezes, or resumes.
+    Freeze(usize),
+    Resume(usize),
 }
 
 impl Arbitrary for Event {
@@ -45,15 +45,15 @@
         let (one, other) = (usize::arbitrary(g), usize::arbitrary(g));
         let pauses = [100, 900, 2_000, 4_100, 11_500, 12_500, 20_000];
         match u32::arbitrary(g) % 20 {
-            0..=7 => Self::Passes(*g.choose(&pauses).unwrap_or(&100)),
+            0..=7 => Self::Elapse(*g.choose(&pauses).unwrap_or(&100)),
             8 | 9 => Self::Cut(one, other),
-            10 => Self::Mend(one, other),
-            11 | 12 => Self::Split(one),
+            10 => Self::Restore(one, other),
+            11 | 12 => Self::Partition(one),
             13 => Self::Heal,
-            14..=16 => Self::Restarts(one),
-            17 => Self::Ends(one),
-            18 => Self::Freezes(one),
-            _ => Self::Wakes(one),
+            14..=16 => Self::Restart(one),
+            17 => Self::End(one),
+            18 => Self::Freeze(one),
+            _ => Self::Resume(one),
         }
     }
 }
@@ -78,92 +78,92 @@
 struct Entry {
     address: SocketAddr,
     pacer: Pacer,
-    frozen: bool,
-    ended: bool,
+    is_frozen: bool,
+    has_ended: bool,
     /// Whether it has nothing to send.
-    idle: bool,
-    /// When it told the others that the target limits its rate, in ms.
-    told: u64,
-    /// When it heard each other entry last, in ms; none if it never did in this life.
-    heard: Vec<Option<u64>>,
+    is_idle: bool,
+    /// When it last announced the limit to the others, in ms.
+    announced_at: u64,
+    /// When it last received a message from each other entry, in ms; none if it never did since its start.
+    last_seen: Vec<Option<u64>>,
 }
 
 struct World {
-    began: Moment,
+    start: Moment,
     now: u64,
     rate: Rate,
-    start: Start,
+    target_start: Start,
     entries: Vec<Entry>,
-    cut: HashSet<(usize, usize)>,
+    cut_links: HashSet<(usize, usize)>,
     sends: Vec<u64>,
 }
 
 impl World {
     fn new(entries: usize, rate: f64) -> Self {
-        let began = Machine::default().now();
+        let start = Machine::default().now();
         let entry = |index: usize| Entry {
             address: SocketAddr::from(([10, 0, 0, 1], 7_000 + index as u16)),
-            pacer: Pacer::new(began),
-            frozen: false,
-            ended: false,
-            idle: false,
-            told: 0,
-            heard: vec![Some(0); entries],
+            pacer: Pacer::new(start),
+            is_frozen: false,
+            has_ended: false,
+            is_idle: false,
+            announced_at: 0,
+            last_seen: vec![Some(0); entries],
         };
         Self {
-            began,
+            start,
             now: 0,
             rate: Rate::try_from(rate).expect("a rate"),
-            start: Start::of(START, None),
+            target_start: Start::of(START, None),
             entries: (0..entries).map(entry).collect(),
-            cut: HashSet::new(),
+            cut_links: HashSet::new(),
             sends: Vec::new(),
         }
     }
 
     fn is_linked(&self, one: usize, other: usize) -> bool {
-        let runs = |index: usize| !self.entries[index].frozen && !self.entries[index].ended;
-        runs(one) && runs(other) && !self.cut.contains(&(one.min(other), one.max(other)))
+        let runs = |index: usize| !self.entries[index].is_frozen && !self.entries[index].has_ended;
+        runs(one) && runs(other) && !self.cut_links.contains(&(one.min(other), one.max(other)))
     }
 
     fn play(&mut self, events: &[Event]) {
         let count = self.entries.len();
         for event in events {
             match event {
-                Event::Passes(time) => self.pass(*time),
+                Event::Elapse(time) => self.elapse(*time),
                 Event::Cut(one, other) => {
                     let (one, other) = (one % count, other % count);
-                    self.cut.insert((one.min(other), one.max(other)));
+                    self.cut_links.insert((one.min(other), one.max(other)));
                 }
-                Event::Mend(one, other) => {
+                Event::Restore(one, other) => {
                     let (one, other) = (one % count, other % count);
-                    self.cut.remove(&(one.min(other), one.max(other)));
+                    self.cut_links.remove(&(one.min(other), one.max(other)));
                 }
-                Event::Split(at) => {
+                Event::Partition(at) => {
                     let at = at % count;
-                    self.cut
+                    self.cut_links
                         .extend((0..at).flat_map(|one| (at..count).map(move |other| (one, other))));
                 }
-                Event::Heal => self.cut.clear(),
-                Event::Restarts(index) => {
-                    let now = self.began + Duration::from_millis(self.now);
+                Event::Heal => self.cut_links.clear(),
+                Event::Restart(index) => {
+                    let now = self.start + Duration::from_millis(self.now);
                     let entry = &mut self.entries[index % count];
                     entry.pacer = Pacer::new(now);
-                    entry.ended = false;
-                    entry.heard = vec![None; count];
+                    entry.has_ended = false;
+                    entry.last_seen = vec![None; count];
                 }
-                Event::Ends(index) => self.entries[index % count].ended = true,
-                Event::Freezes(index) => self.entries[index % count].frozen = true,
-                Event::Wakes(index) => self.entries[index % count].frozen = false,
+                Event::End(index) => self.entries[index % count].has_ended = true,
+                Event::Freeze(index) => self.entries[index % count].is_frozen = true,
+                Event::Resume(index) => self.entries[index % count].is_frozen = false,
             }
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn elapse(&mut self, time: u64) {
         for step in 0..time / STEP_MS {
             self.now += STEP_MS;
-            if step % LOOK_STEPS == 0 {
-                self.look();
+            if step % VIEW_UPDATE_STEPS == 0 {
+                self.update_views();
             }
             for index in 0..self.entries.len() {
                 self.send(index);
@@ -171,19 +171,19 @@
         }
     }
 
-    /// Sends if the entry may; the target confirms its limit, and the entry tells the others now and then.
+    /// Sends if the entry may. The target confirms its limit, which the entry announces to the others at intervals.
     fn send(&mut self, index: usize) {
-        let now = self.began + Duration::from_millis(self.now);
+        let now = self.start + Duration::from_millis(self.now);
         let entry = &mut self.entries[index];
-        if entry.frozen || entry.ended || entry.idle || !entry.pacer.take(now) {
+        if entry.is_frozen || entry.has_ended || entry.is_idle || !entry.pacer.try_acquire(now) {
             return;
         }
         self.sends.push(self.now);
         entry.pacer.confirm(now);
-        if self.now < entry.told + TELL_MS {
+        if self.now < entry.announced_at + ANNOUNCE_INTERVAL_MS {
             return;
         }
-        entry.told = self.now;
+        entry.announced_at = self.now;
         for other in 0..self.entries.len() {
             if other != index && self.is_linked(index, other) {
                 self.entries[other].pacer.confirm(now);
@@ -191,32 +191,33 @@
         }
     }
 
-    /// Every entry that runs sees whom it hears.
-    fn look(&mut self) {
-        let now = self.began + Duration::from_millis(self.now);
+    /// Updates the view of every entry that runs.
+    fn update_views(&mut self) {
+        let now = self.start + Duration::from_millis(self.now);
         for index in 0..self.entries.len() {
-            if self.entries[index].frozen || self.entries[index].ended {
+            if self.entries[index].is_frozen || self.entries[index].has_ended {
                 continue;
             }
             let others = (0..self.entries.len()).filter(|other| *other != index);
             let others: Vec<(usize, bool)> = others.map(|other| (other, self.is_linked(index, other))).collect();
             for (other, _) in others.iter().filter(|(_, linked)| *linked) {
-                self.entries[index].heard[*other] = Some(self.now);
+                self.entries[index].last_seen[*other] = Some(self.now);
             }
             let peer = |(other, linked): &(usize, bool)| Peer {
                 address: self.entries[*other].address,
                 linked: *linked,
-                silent: self.entries[index].heard[*other].map(|heard| Duration::from_millis(self.now - heard)),
+                silent: self.entries[index].last_seen[*other]
+                    .map(|last_seen| Duration::from_millis(self.now - last_seen)),
             };
             let peers: Vec<Peer> = others.iter().map(peer).collect();
             let members = Members::new(self.entries[index].address, &peers);
-            let share = members.share(self.rate, self.start);
+            let share = members.share(self.rate, self.target_start);
             self.entries[index].pacer.set_share(share, now);
         }
     }
 
-    /// Most sends in a window, and what the target bears.
-    fn most(&self) -> (usize, f64) {
+    /// Largest number of sends in a window, and the number that the target tolerates.
+    fn max_sends(&self) -> (usize, f64) {
         let window = WINDOW.as_millis() as u64;
         let in_window = |from: &u64| {
             self.sends
@@ -229,17 +230,17 @@
     }
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "quickcheck hands histories over")]
+#[expect(clippy::needless_pass_by_value, reason = "quickcheck passes histories by value")]
 fn stays_within(history: History) -> bool {
     let mut world = World::new(history.entries, history.rate);
-    world.pass(5_000);
+    world.elapse(5_000);
     world.play(&history.events);
-    world.pass(5_000);
-    let (most, borne) = world.most();
-    most as f64 <= borne
+    world.elapse(5_000);
+    let (most, tolerated) = world.max_sends();
+    most as f64 <= tolerated
 }
 
-/// Entries that come, go, stand still and are cut off from each other never send more than the target bears.
+/// Entries that start, end, freeze and lose contact with each other never send more than the target tolerates.
 #[test]
 fn rate_exceeded() {
     QuickCheck::new()
@@ -248,84 +249,90 @@
 }
 
 fn assert_within(world: &World) {
-    let (most, borne) = world.most();
-    assert!(most as f64 <= borne, "{most} requests in a window, {borne} are borne");
+    let (most, tolerated) = world.max_sends();
+    assert!(
+        most as f64 <= tolerated,
+        "{most} requests in a window, {tolerated} are tolerated"
+    );
 }
 
-/// Entries that are all cut off from each other do not each take the whole rate.
+/// Entries that have all lost contact with each other must not each use the whole rate.
 #[test]
-fn rate_exceeded_by_islands() {
+fn rate_exceeded_when_isolated() {
     let mut world = World::new(15, 1.0);
     let cuts: Vec<Event> = (0..15)
         .flat_map(|one| (0..one).map(move |other| Event::Cut(one, other)))
         .collect();
     world.play(&cuts);
-    world.pass(30_000);
+    world.elapse(30_000);
     assert_within(&world);
 }
 
-/// Entries that start again and again do not send anew each time.
+/// Entries that restart repeatedly must not send after each restart.
 #[test]
 fn rate_exceeded_by_restarts() {
     let mut world = World::new(53, 1.0);
     for _ in 0..40 {
-        let restarts: Vec<Event> = (0..53).map(Event::Restarts).collect();
+        let restarts: Vec<Event> = (0..53).map(Event::Restart).collect();
         world.play(&restarts);
-        world.pass(500);
+        world.elapse(500);
     }
     assert_within(&world);
 }
 
-/// An entry whose share comes and goes does not send each time that it comes.
+/// An entry that repeatedly loses and regains its share must not send each time that it regains it.
 #[test]
-fn rate_exceeded_by_turns() {
-    let began = Machine::default().now();
-    let mut pacer = Pacer::new(began);
+fn rate_exceeded_by_share_changes() {
+    let start = Machine::default().now();
+    let mut pacer = Pacer::new(start);
     for turn in 1..100 {
-        let now = began + Duration::from_millis(100) * turn;
+        let now = start + Duration::from_millis(100) * turn;
         let share = if turn % 2 == 0 {
-            Share::Each(Duration::from_secs(1))
+            Share::Interval(Duration::from_secs(1))
         } else {
             Share::None
         };
         pacer.set_share(share, now);
-        assert!(!pacer.take(now + Duration::from_millis(99)), "turn {turn}");
+        assert!(!pacer.try_acquire(now + Duration::from_millis(99)), "turn {turn}");
     }
 }
 
-/// Entries that hold shares and have nothing to send: the others find out whether the limit has ended, a few at a time.
+/// If the holders have nothing to send, the other entries probe whether the limit has ended, a few at a time.
 #[test]
 fn idle_holders() {
     for entries in [4, 53] {
         let mut world = World::new(entries, 1.0);
-        world.look();
-        let now = world.began;
+        world.update_views();
+        let now = world.start;
         for entry in &mut world.entries {
-            entry.idle = entry
+            entry.is_idle = entry
                 .pacer
-                .next()
-                .is_none_or(|next| next < now + Duration::from_secs(9));
+                .next_send()
+                .is_none_or(|next_send| next_send < now + Duration::from_secs(9));
         }
-        world.pass(60_000);
+        world.elapse(60_000);
         assert_within(&world);
-        assert!(!world.sends.is_empty(), "{entries} entries never ask again");
+        assert!(!world.sends.is_empty(), "{entries} entries never probe the target");
     }
 }
 
-/// In calm the target gets most of what it takes.
+/// Under stable conditions the target gets most of the requests that it accepts.
 #[test]
 fn rate_wasted() {
     for entries in [1, 2, 4, 15, 53, 75] {
         for rate in [1.0, 5.0, 20.0] {
             let mut world = World::new(entries, rate);
-            world.pass(40_000);
-            let got = world.sends.len() as f64 / 40.0;
-            assert!(got >= 0.75 * rate, "{entries} entries send {got} of {rate} a second");
+            world.elapse(40_000);
+            let sent_per_second = world.sends.len() as f64 / 40.0;
+            assert!(
+                sent_per_second >= 0.75 * rate,
+                "{entries} entries send {sent_per_second} of {rate} a second"
+            );
         }
     }
 }
 
-/// Limited targets are spread over the entries: no entry is left without any.
+/// Limited targets spread over the entries: each entry has a share of some of them, and none of too many.
 #[test]
 fn shares_spread() {
     let world = World::new(53, 1.0);
@@ -347,19 +354,22 @@
             .map(|(_, peer)| *peer)
             .collect();
         let members = Members::new(peers[index].address, &others);
-        let held = (0..129)
+        let share_count = (0..129)
             .filter(|target| {
                 let start = Start::of(&format!("target-{target}"), None);
-                matches!(members.share(rate, start), Share::Each(_))
+                matches!(members.share(rate, start), Share::Interval(_))
             })
             .count();
-        assert!((1..=16).contains(&held), "entry {index} has shares of {held} targets");
+        assert!(
+            (1..=16).contains(&share_count),
+            "entry {index} has shares of {share_count} targets"
+        );
     }
 }
 
-/// What is no rate says nothing; zero still lets single requests show that the limit has ended.
+/// A text that is not a rate is rejected; a rate of zero still lets single requests show that the limit has ended.
 #[test]
-fn garbled_rates() {
+fn invalid_rates() {
     for text in ["", "-1", "NaN", "inf", "1e999", "many", "1,5"] {
         assert!(Rate::try_from(text).is_err(), "{text}");
     }
--- a/crates/sparscale_policy/tests/overload/main.rs
+++ b/crates/sparscale_policy/tests/overload/main.rs
@@ -1,51 +1,53 @@
-//! Load at its worst, replayed in virtual time against the engine's own figures.
+//! Compares the admission queue with unlimited admission under overload, in virtual time and by the engine's
+//! performance model.
 //!
-//! To compare two ways: `cargo test --release -p sparscale_policy --test overload -- --nocapture` prints a line a load.
+//! `cargo test --release -p sparscale_policy --test overload -- --nocapture` prints one line for each load and kind of
+//! admission.
 
 mod model;
 
-use model::{Load, Model, Second, Way};
+use model::{Admission, Load, Model, Second};
 use sparscale_samples as samples;
 
-/// Requests a second that the group serves in time on a calm day.
-const CALM: f64 = 45.0;
-/// Seconds that are played.
+/// Requests a second that the group serves on time under a steady load.
+const STEADY_RATE: f64 = 45.0;
+/// Number of simulated seconds.
 const SECONDS: usize = 16;
-/// Those with a burst.
+/// The seconds of the burst.
 const BURST: std::ops::Range<usize> = 4..9;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
-/// Worth of a late answer; one in time is worth 1.
-const LATE: f64 = 0.5;
-/// Part of the worth that may be lost where more is gained elsewhere.
+/// Worth of a late answer; one on time is worth 1.
+const LATE_WORTH: f64 = 0.5;
+/// Fraction of the worth that the queue may lose under one load, as it gains more under others.
 const TOLERANCE: f64 = 0.03;
 
 fn is_burst(ms: u64) -> bool {
     BURST.contains(&(ms as usize / 1_000))
 }
 
-/// Demand shifts each 3.6 s; the next map is in force half a second later.
-fn shifts(ms: u64) -> f64 {
+/// Skew while demand shifts every 3.6 s and the next expert map is active half a second later.
+fn shifting_skew(ms: u64) -> f64 {
     if ms > 2_000 && ms % 3_600 < 500 { 3.0 } else { 1.15 }
 }
 
-const fn steady(_: u64) -> f64 {
+const fn steady_skew(_: u64) -> f64 {
     1.15
 }
 
-const fn usual(_: u64) -> f64 {
+const fn usual_prompts(_: u64) -> f64 {
     0.0
 }
 
-fn calm(_: u64) -> f64 {
-    CALM
+fn steady_rate(_: u64) -> f64 {
+    STEADY_RATE
 }
 
-fn busy(ms: u64) -> f64 {
-    if is_burst(ms) { CALM * 1.7 } else { CALM }
+fn busy_rate(ms: u64) -> f64 {
+    if is_burst(ms) { STEADY_RATE * 1.7 } else { STEADY_RATE }
 }
 
-fn crowded(ms: u64) -> f64 {
-    if is_burst(ms) { CALM * 2.5 } else { CALM }
+fn crowded_rate(ms: u64) -> f64 {
+    if is_burst(ms) { STEADY_RATE * 2.5 } else { STEADY_RATE }
 }
 
 fn long_prompts(ms: u64) -> f64 {
@@ -60,64 +62,65 @@
     }
 }
 
-/// Outcomes of one load, over all seeds.
-struct Played(Vec<Second>);
+/// Outcomes of one load, summed over all seeds.
+struct Outcomes(Vec<Second>);
 
-impl Played {
-    fn new(name: &str, load: Load, way: Way) -> Self {
-        let plays = SEEDS.map(|seed| Model::new(samples::engine(), load, way, seed).run(SECONDS as u64));
-        let played = Self(plays.fold(vec![Second::default(); SECONDS], |sum, seconds| {
+impl Outcomes {
+    fn simulate(name: &str, load: Load, admission: Admission) -> Self {
+        let runs = SEEDS.map(|seed| Model::new(samples::engine(), load, admission, seed).run(SECONDS as u64));
+        let outcomes = Self(runs.fold(vec![Second::default(); SECONDS], |sum, seconds| {
             sum.iter().zip(&seconds).map(|(sum, second)| sum.plus(second)).collect()
         }));
-        let (timely, lost) = (played.part(0..SECONDS, |second| second.timely), played.lost());
-        let (worth, after) = (played.worth(0..SECONDS), played.worth(BURST.end + 1..SECONDS));
-        println!("{name:>18} {way:?}: worth {worth:.3}, after {after:.3}, timely {timely:.3}, lost {lost:.3}");
-        played
+        let (timely, lost) = (outcomes.fraction(0..SECONDS, |second| second.timely), outcomes.lost());
+        let (worth, after) = (outcomes.worth(0..SECONDS), outcomes.worth(BURST.end + 1..SECONDS));
+        println!("{name:>18} {admission:?}: worth {worth:.3}, after {after:.3}, timely {timely:.3}, lost {lost:.3}");
+        outcomes
     }
 
     fn count(&self, span: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> f64 {
         self.0[span].iter().map(|second| f64::from(of(second))).sum()
     }
 
-    fn part(&self, span: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> f64 {
-        self.count(span.clone(), of) / self.count(span, |second| second.came)
+    fn fraction(&self, span: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> f64 {
+        self.count(span.clone(), of) / self.count(span, |second| second.arrived)
     }
 
-    /// Worth of what came in `span`; an answer in time by a later try lies between a timely and a late one.
+    /// Mean worth of the requests that arrived in `span`. An answer that is on time only by its retry is worth the mean
+    /// of a timely and a late one.
     fn worth(&self, span: std::ops::Range<usize>) -> f64 {
-        let part = |of: fn(&Second) -> u32| self.part(span.clone(), of);
-        part(|second| second.timely)
-            + LATE * part(|second| second.late)
-            + f64::midpoint(1.0, LATE) * part(|second| second.again)
+        let fraction = |of: fn(&Second) -> u32| self.fraction(span.clone(), of);
+        fraction(|second| second.timely)
+            + LATE_WORTH * fraction(|second| second.late)
+            + f64::midpoint(1.0, LATE_WORTH) * fraction(|second| second.timely_retry)
     }
 
     fn lost(&self) -> f64 {
-        self.part(0..SECONDS, |second| second.refused + second.left)
+        self.fraction(0..SECONDS, |second| second.rejected + second.abandoned)
     }
 }
 
 #[test]
-fn calm_day() {
-    let played = Played::new("calm", load(calm, steady, usual), Way::Queue);
-    assert!(played.part(0..SECONDS, |second| second.timely) >= 0.97);
-    assert!(played.lost() < f64::EPSILON);
+fn steady_load_served() {
+    let outcomes = Outcomes::simulate("calm", load(steady_rate, steady_skew, usual_prompts), Admission::Queue);
+    assert!(outcomes.fraction(0..SECONDS, |second| second.timely) >= 0.97);
+    assert!(outcomes.lost() < f64::EPSILON);
 }
 
-/// Whoever waits or is turned away does so for something: against letting everybody in at once no load is worth less,
-/// and fewer callers end with nothing.
+/// Waiting and rejections must pay off: compared with admitting every request at once, no load is worth less, and no
+/// more callers end without an answer.
 #[test]
 fn better_than_open() {
     let loads = [
-        ("shifts", load(calm, shifts, usual)),
-        ("busy", load(busy, steady, usual)),
-        ("busy, shifts", load(busy, shifts, usual)),
-        ("crowded", load(crowded, steady, usual)),
-        ("crowded, shifts", load(crowded, shifts, usual)),
-        ("long prompts", load(calm, steady, long_prompts)),
+        ("shifts", load(steady_rate, shifting_skew, usual_prompts)),
+        ("busy", load(busy_rate, steady_skew, usual_prompts)),
+        ("busy, shifts", load(busy_rate, shifting_skew, usual_prompts)),
+        ("crowded", load(crowded_rate, steady_skew, usual_prompts)),
+        ("crowded, shifts", load(crowded_rate, shifting_skew, usual_prompts)),
+        ("long prompts", load(steady_rate, steady_skew, long_prompts)),
     ];
     for (name, load) in loads {
-        let open = Played::new(name, load, Way::Open);
-        let queue = Played::new(name, load, Way::Queue);
+        let open = Outcomes::simulate(name, load, Admission::Open);
+        let queue = Outcomes::simulate(name, load, Admission::Queue);
         let (with, without) = (queue.worth(0..SECONDS), open.worth(0..SECONDS));
         assert!(with >= without - TOLERANCE, "{name}: worth {with:.3} for {without:.3}");
         assert!(
@@ -129,24 +132,28 @@
     }
 }
 
-/// While half as much again and more comes, as many a second are in time as 0.8 of a calm second's.
+/// During bursts of 1.7 and 2.5 times the steady rate, the number of timely answers is at least 0.8 of that under the
+/// steady load.
 #[test]
-fn burst_in_time() {
-    let calm = Played::new("calm", load(calm, steady, usual), Way::Queue);
-    let calm = calm.count(BURST, |second| second.timely);
-    for (name, rate) in [("busy", busy as fn(u64) -> f64), ("crowded", crowded)] {
-        let burst = Played::new(name, load(rate, steady, usual), Way::Queue);
+fn burst_on_time() {
+    let steady = Outcomes::simulate("calm", load(steady_rate, steady_skew, usual_prompts), Admission::Queue);
+    let steady = steady.count(BURST, |second| second.timely);
+    for (name, rate) in [("busy", busy_rate as fn(u64) -> f64), ("crowded", crowded_rate)] {
+        let burst = Outcomes::simulate(name, load(rate, steady_skew, usual_prompts), Admission::Queue);
         let timely = burst.count(BURST, |second| second.timely);
-        assert!(timely >= 0.8 * calm, "{name}: {timely} in time, {calm} on a calm day");
+        assert!(
+            timely >= 0.8 * steady,
+            "{name}: {timely} on time, {steady} under the steady load"
+        );
     }
 }
 
-/// Those who were turned away come back when there is room: a twentieth of them at most ends with nothing where all that
-/// came could be served in the end.
+/// Rejected callers retry when there is headroom: at most a twentieth of the callers end without an answer under loads
+/// that could be served in full by the end.
 #[test]
-fn returns_served() {
-    for (name, skew) in [("busy", steady as fn(u64) -> f64), ("busy, shifts", shifts)] {
-        let played = Played::new(name, load(busy, skew, usual), Way::Queue);
-        assert!(played.lost() <= 0.05, "{name}: {:.3}", played.lost());
+fn retries_served() {
+    for (name, skew) in [("busy", steady_skew as fn(u64) -> f64), ("busy, shifts", shifting_skew)] {
+        let outcomes = Outcomes::simulate(name, load(busy_rate, skew, usual_prompts), Admission::Queue);
+        assert!(outcomes.lost() <= 0.05, "{name}: {:.3}", outcomes.lost());
     }
 }
--- a/crates/sparscale_policy/tests/return_order.rs
+++ b/crates/sparscale_policy/tests/return_order.rs
@@ -1,4 +1,4 @@
-//! Who is turned away at a queue, and when each is told to come back.
+//! Which requests an admission queue rejects, and when their callers should retry.
 
 use std::time::{Duration, Instant};
 
@@ -10,25 +10,25 @@
 const RANKS: usize = 12;
 const PAUSE: Duration = Duration::from_millis(120);
 const OBJECTIVE: Duration = Duration::from_millis(500);
-/// Time that callers still wait.
-const LEFT: Duration = Duration::from_secs(8);
-/// Requests of this entry that are in.
-const INSIDE: usize = 20;
-/// A draw in the middle: times are told as they are.
-const MIDDLE: f64 = 0.5;
+/// Time for which callers still wait.
+const REMAINING: Duration = Duration::from_secs(8);
+/// Requests of this entry that are in flight.
+const IN_FLIGHT: usize = 20;
+/// The sample without jitter: delays are returned as computed.
+const MEDIAN_SAMPLE: f64 = 0.5;
 
-/// A queue before a group whose ranks are full.
-fn full(now: Instant) -> Queue<usize> {
+/// A queue for a group whose ranks are full.
+fn full_queue(now: Instant) -> Queue<usize> {
     queue(samples::engine().slots, 1.1, now)
 }
 
-/// A queue before a group with `running` requests on each rank, whose experts' work is as uneven as `skew`.
+/// A queue for a group with `running` requests on each rank and a `skew` of the experts' work.
 fn queue(running: u32, skew: f64, now: Instant) -> Queue<usize> {
-    shared(running, skew, 1, now)
+    shared_queue(running, skew, 1, now)
 }
 
-/// The same of one of `entries` entries that share the group.
-fn shared(running: u32, skew: f64, entries: usize, now: Instant) -> Queue<usize> {
+/// The same for one of `entries` entries that share the group.
+fn shared_queue(running: u32, skew: f64, entries: usize, now: Instant) -> Queue<usize> {
     let rank = RankLoad {
         running,
         ..RankLoad::default()
@@ -51,7 +51,7 @@
         entries,
     };
     let mut queue = Queue::new(now);
-    queue.refresh(Some(&load), &group, INSIDE, now);
+    queue.refresh(Some(&load), &group, IN_FLIGHT, now);
     queue
 }
 
@@ -61,67 +61,67 @@
         objective: OBJECTIVE,
         pause: PAUSE,
         spent,
-        left: LEFT.checked_sub(spent),
+        left: REMAINING.checked_sub(spent),
     }
 }
 
-/// Lets requests join until one is turned away, and gives the time that it is told.
+/// Adds requests until one is rejected. Returns the number added and the retry delay of the rejected one.
 fn fill(queue: &mut Queue<usize>, spent: Duration, now: Instant) -> (usize, Duration) {
     for number in 0..1_000 {
-        match queue.decide(&request(now, spent), INSIDE, MIDDLE, now) {
+        match queue.decide(&request(now, spent), IN_FLIGHT, MEDIAN_SAMPLE, now) {
             Decision::Wait { timely_until, .. } => queue.join((0, number), timely_until, number),
             Decision::Refuse { retry, .. } => return (number, retry),
-            Decision::Enter => panic!("there is no room"),
+            Decision::Enter => panic!("there is no headroom"),
         }
     }
-    panic!("nobody was turned away");
+    panic!("no request was rejected");
 }
 
-/// The line holds as many as can be in time; who came back has waited before and stands in line for longer.
+/// The backlog holds as many first attempts as can be on time; a retry has already waited, so it may wait longer.
 #[test]
-fn line_stays_short() {
+fn backlog_stays_short() {
     let now = Instant::now();
-    let (first_tries, _) = fill(&mut full(now), Duration::ZERO, now);
-    let (returned, _) = fill(&mut full(now), Duration::from_secs(1), now);
-    assert!(first_tries < returned, "{first_tries} and {returned}");
+    let (first_attempts, _) = fill(&mut full_queue(now), Duration::ZERO, now);
+    let (retries, _) = fill(&mut full_queue(now), Duration::from_secs(1), now);
+    assert!(first_attempts < retries, "{first_attempts} and {retries}");
 }
 
-/// One of many entries has few requests in at the moment. It does not wait for those to leave: places that come free anywhere
-/// in the group are shared by all entries.
+/// One of many entries has few requests in flight. It must not wait for those to end: all entries share the places that
+/// become free anywhere in the group.
 #[test]
-fn one_of_many() {
+fn one_of_many_entries() {
     let now = Instant::now();
-    let queue = &mut shared(samples::engine().slots, 1.1, 24, now);
-    let inside = 1;
-    let decision = queue.decide(&request(now, Duration::ZERO), inside, MIDDLE, now);
+    let queue = &mut shared_queue(samples::engine().slots, 1.1, 24, now);
+    let in_flight = 1;
+    let decision = queue.decide(&request(now, Duration::ZERO), in_flight, MEDIAN_SAMPLE, now);
     assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}");
-    let expected = queue.expected_wait(inside);
-    // Six of its group's requests are its own share, and each stays for a second.
+    let expected = queue.expected_wait(in_flight);
+    // The entry's share is six of the requests in the group, and each of them stays for a second.
     assert!(expected <= Duration::from_millis(200), "{expected:?}");
 }
 
 #[test]
-fn one_after_another() {
+fn retry_delays_increase() {
     let now = Instant::now();
-    let mut queue = full(now);
+    let mut queue = full_queue(now);
     let (_, first) = fill(&mut queue, Duration::ZERO, now);
-    let mut told = vec![first];
+    let mut delays = vec![first];
     for _ in 0..5 {
-        told.push(fill(&mut queue, Duration::ZERO, now).1);
+        delays.push(fill(&mut queue, Duration::ZERO, now).1);
     }
-    assert!(told.is_sorted(), "{told:?}");
-    assert!(told[0] < told[5], "{told:?}");
+    assert!(delays.is_sorted(), "{delays:?}");
+    assert!(delays[0] < delays[5], "{delays:?}");
 }
 
-/// Passes are too long for anybody to be in time, and there are places: a late answer is better than none, and nobody else
-/// loses by it.
+/// Passes are too long for any request to be on time, and there are free places: a late answer is better than none, and
+/// it delays no other request.
 #[test]
-fn late_at_worst() {
+fn waits_until_late() {
     let now = Instant::now();
     let mut queue = queue(4, 6.0, now);
-    let room = queue.room();
-    assert!(room.timely < 1.0 && room.late >= 1.0, "{room:?}");
-    let decision = queue.decide(&request(now, Duration::ZERO), 0, MIDDLE, now);
+    let headroom = queue.room();
+    assert!(headroom.timely < 1.0 && headroom.late >= 1.0, "{headroom:?}");
+    let decision = queue.decide(&request(now, Duration::ZERO), 0, MEDIAN_SAMPLE, now);
     let Decision::Wait { timely_until, .. } = decision else {
         panic!("{decision:?}");
     };
@@ -130,9 +130,9 @@
     assert_eq!(queue.next(timely_until + Duration::from_millis(1)), Some(1));
 }
 
-/// While nobody tells loads, as long as that lasts, what is remembered of those let in does not grow.
+/// While no loads are reported, for however long, the record of recent admissions must not grow.
 #[test]
-fn untold_bounded() {
+fn unreported_admissions_bounded() {
     let now = Instant::now();
     let mut queue: Queue<usize> = Queue::new(now);
     let size = |queue: &Queue<usize>| format!("{queue:?}").len();
@@ -142,21 +142,21 @@
         }
         size(&queue)
     };
-    let early = admit(0, 1_000);
-    assert!(admit(1_000, 10_000) < early * 2);
+    let early_size = admit(0, 1_000);
+    assert!(admit(1_000, 10_000) < early_size * 2);
 }
 
 quickcheck! {
-    /// However many are turned away, whenever and by whatever draw: nobody is told a time at which its caller has come back
-    /// by itself, or hardly any time at all.
-    fn within_patience(lots: Vec<u8>, spent_ms: u16) -> bool {
+    /// However many requests are rejected, and whatever the sample: no retry delay is so long that the caller would
+    /// have retried by itself, or close to zero.
+    fn delay_within_bounds(samples: Vec<u8>, spent_ms: u16) -> bool {
         let now = Instant::now();
-        let mut queue = full(now);
+        let mut queue = full_queue(now);
         let spent = Duration::from_millis(u64::from(spent_ms % 7_000));
         fill(&mut queue, Duration::from_secs(1), now);
         let request = request(now, spent);
         let longest = request.left.unwrap_or_default() / 3;
-        lots.iter().all(|lot| match queue.decide(&request, INSIDE, f64::from(*lot) / 255.0, now) {
+        samples.iter().all(|sample| match queue.decide(&request, IN_FLIGHT, f64::from(*sample) / 255.0, now) {
             Decision::Refuse { retry, .. } => retry <= longest + Duration::from_micros(1) && retry >= longest.min(Duration::from_millis(150)),
             Decision::Enter | Decision::Wait { .. } => false,
         })
--- a/crates/sparscale_policy/tests/several_groups.rs
+++ b/crates/sparscale_policy/tests/several_groups.rs
@@ -1,89 +1,94 @@
-//! A request goes to a group that runs and has room, if there is one.
+//! A request goes to a group that runs and has headroom, if there is one.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sparscale_policy::group::{Candidate, choose};
 
-fn group(room: f64, wait: f64) -> Candidate {
+fn group(headroom: f64, wait: f64) -> Candidate {
     Candidate {
         open: true,
-        room,
+        room: headroom,
         wait,
         ranks: 24,
     }
 }
 
-fn drawn(candidates: &[Candidate]) -> Vec<usize> {
+/// How often each candidate is chosen.
+fn choice_counts(candidates: &[Candidate]) -> Vec<usize> {
     let mut counts = vec![0; candidates.len()];
-    for lot in 0..1_000 {
-        let chosen = choose(candidates, f64::from(lot) / 1_000.0).expect("there are groups");
+    for step in 0..1_000 {
+        let chosen = choose(candidates, f64::from(step) / 1_000.0).expect("there are groups");
         counts[chosen] += 1;
     }
     counts
 }
 
-/// One of three groups has its next map later: it gets nothing while the others have room, and those what they can take.
+/// One of three groups gets its next expert map later: it gets no requests while the others have headroom, and those
+/// get requests in proportion to it.
 #[test]
-fn full_group_spared() {
-    let counts = drawn(&[group(-3.0, 0.4), group(4.0, 0.0), group(2.0, 0.0)]);
+fn full_group_avoided() {
+    let counts = choice_counts(&[group(-3.0, 0.4), group(4.0, 0.0), group(2.0, 0.0)]);
     assert_eq!(counts[0], 0);
     assert!((660..=674).contains(&counts[1]), "{counts:?}");
 }
 
-/// Load at its worst: no group has room, so the shortest line is joined.
+/// At peak load no group has headroom, so the request joins the backlog with the shortest wait.
 #[test]
-fn shortest_line() {
+fn shortest_wait() {
     assert_eq!(
-        drawn(&[group(-3.0, 0.9), group(0.4, 0.2), group(-9.0, 1.4)]),
+        choice_counts(&[group(-3.0, 0.9), group(0.4, 0.2), group(-9.0, 1.4)]),
         [0, 1_000, 0]
     );
 }
 
-/// A group that lost a rank turns everything away: the others take its part.
+/// A group that lost a rank rejects every request: the others take its share.
 #[test]
-fn closed_group_passed_over() {
+fn closed_group_avoided() {
     let closed = Candidate {
         open: false,
         ..group(9.0, 0.0)
     };
-    assert_eq!(drawn(&[closed, group(-1.0, 0.3), group(-2.0, 0.5)]), [0, 1_000, 0]);
-    assert_eq!(drawn(&[closed]), [1_000]);
+    assert_eq!(
+        choice_counts(&[closed, group(-1.0, 0.3), group(-2.0, 0.5)]),
+        [0, 1_000, 0]
+    );
+    assert_eq!(choice_counts(&[closed]), [1_000]);
 }
 
-/// Nothing is known of any group: each gets what its ranks can take.
+/// While no loads are known, groups are weighted by their numbers of ranks.
 #[test]
-fn unknown_by_ranks() {
+fn unknown_loads_weighted_by_ranks() {
     let small = Candidate {
         ranks: 12,
         ..group(f64::INFINITY, 0.0)
     };
-    let counts = drawn(&[small, group(f64::INFINITY, 0.0)]);
+    let counts = choice_counts(&[small, group(f64::INFINITY, 0.0)]);
     assert!((330..=337).contains(&counts[0]), "{counts:?}");
 }
 
 #[derive(Debug, Clone)]
-struct Any(Vec<Candidate>);
+struct Candidates(Vec<Candidate>);
 
-impl Arbitrary for Any {
+impl Arbitrary for Candidates {
     fn arbitrary(g: &mut Gen) -> Self {
         let count = usize::arbitrary(g) % 5;
-        let mut any = || Candidate {
+        let mut candidate = || Candidate {
             open: bool::arbitrary(g),
             room: f64::from(i16::arbitrary(g)) / 100.0,
             wait: f64::from(u8::arbitrary(g)) / 50.0,
             ranks: usize::arbitrary(g) % 130,
         };
-        Self((0..count).map(|_| any()).collect())
+        Self((0..count).map(|_| candidate()).collect())
     }
 }
 
 quickcheck! {
-    /// Somebody takes the request if there is a group, and nobody who is closed while another is open.
-    fn somebody_open(any: Any, lot: u16) -> bool {
-        let lot = f64::from(lot) / f64::from(u16::MAX);
-        let any_open = any.0.iter().any(|candidate| candidate.open);
-        match choose(&any.0, lot) {
-            Some(chosen) => any.0[chosen].open || !any_open,
-            None => any.0.is_empty(),
+    /// A group is chosen if there is any, and never a closed one while another is open.
+    fn open_group_chosen(candidates: Candidates, sample: u16) -> bool {
+        let sample = f64::from(sample) / f64::from(u16::MAX);
+        let any_open = candidates.0.iter().any(|candidate| candidate.open);
+        match choose(&candidates.0, sample) {
+            Some(chosen) => candidates.0[chosen].open || !any_open,
+            None => candidates.0.is_empty(),
         }
     }
 }
--- a/crates/sparscale_policy/tests/silent_targets.rs
+++ b/crates/sparscale_policy/tests/silent_targets.rs
@@ -1,151 +1,164 @@
-//! Silence is held against a target that stands still, and never against one that is slow or waits with its group.
+//! Requests leave a frozen target, and never one that is only slow or waits with its group.
 
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sparscale_policy::silence::{Awaited, Evidence, Health, Usual};
+use sparscale_policy::silence::{Awaited, Evidence, Health, ResponseTimeMean};
 
 const OBJECTIVE: Duration = Duration::from_millis(500);
 const PAUSE: Duration = Duration::from_millis(150);
-const GIVEN_UP_AFTER: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A stream of a calm group, waiting for its next event.
-fn stream() -> Evidence {
+/// A stream of a lightly loaded group that waits for its next event.
+fn next_event() -> Evidence {
     Evidence {
         awaited: Awaited::Next,
-        allowed: PAUSE,
+        due_within: PAUSE,
         usual: Some(millis(50)),
-        health: Health::Silent,
+        health: Health::Unresponsive,
         others_heard: Some(millis(30)),
         others_idle: false,
-        given_up_after: GIVEN_UP_AFTER,
+        caller_timeout: CALLER_TIMEOUT,
     }
 }
 
-fn first() -> Evidence {
+fn first_event() -> Evidence {
     Evidence {
         awaited: Awaited::First,
-        allowed: OBJECTIVE,
+        due_within: OBJECTIVE,
         usual: Some(millis(200)),
-        ..stream()
+        ..next_event()
     }
 }
 
-/// Boxes stand still for three seconds: whoever is told of it leaves in time to be served elsewhere within twice the objective.
+/// Boxes freeze for three seconds. If the group leader reports it, the target is abandoned early enough for the request
+/// to be served by another one within twice the objective.
 #[test]
-fn asleep_left() {
-    assert!(first().limit().is_some_and(|limit| limit <= OBJECTIVE));
-    assert!(stream().limit().is_some_and(|limit| limit <= OBJECTIVE));
-    // Nobody tells, as when the conductor sleeps, too: later, and still before the caller gives up.
+fn frozen_target_abandoned() {
+    assert!(first_event().limit().is_some_and(|limit| limit <= OBJECTIVE));
+    assert!(next_event().limit().is_some_and(|limit| limit <= OBJECTIVE));
+    // Without a report, as when the leader is frozen, too: later, but still before the caller gives up.
     let unknown = |evidence: Evidence| Evidence {
         health: Health::Unknown,
         ..evidence
     };
-    assert!(unknown(first()).limit().is_some_and(|limit| limit <= 2 * OBJECTIVE));
-    assert!(unknown(stream()).limit().is_some_and(|limit| limit <= 2 * OBJECTIVE));
+    assert!(
+        unknown(first_event())
+            .limit()
+            .is_some_and(|limit| limit <= 2 * OBJECTIVE)
+    );
+    assert!(
+        unknown(next_event())
+            .limit()
+            .is_some_and(|limit| limit <= 2 * OBJECTIVE)
+    );
 }
 
-/// A straggler makes each pass of its group take 300 ms, up from 50 at once: nobody leaves, neither at first nor as it lasts.
+/// A straggler raises the pass time of its group from 50 to 300 ms: no target is abandoned, neither at first nor while
+/// this lasts.
 #[test]
-fn straggler_borne() {
-    let mut usual = Usual::default();
-    usual.note(millis(50));
+fn straggler_tolerated() {
+    let mut mean_time = ResponseTimeMean::default();
+    mean_time.record(millis(50));
     for _ in 0..100 {
-        let seen = Evidence {
-            usual: usual.mean(),
-            health: Health::Alive,
-            ..stream()
+        let evidence = Evidence {
+            usual: mean_time.mean(),
+            health: Health::Responsive,
+            ..next_event()
         };
-        assert!(!seen.leaves(millis(300)), "{seen:?}");
-        usual.note(millis(300));
+        assert!(!evidence.leaves(millis(300)), "{evidence:?}");
+        mean_time.record(millis(300));
     }
 }
 
-/// Load at its worst makes first events take over half of the callers' patience: leaving would send everything twice.
+/// At peak load, first events take 0.9 s of the callers' timeout of 2 s: abandoning targets would send every request
+/// twice.
 #[test]
-fn overload_borne() {
-    for health in [Health::Alive, Health::Unknown] {
-        let seen = Evidence {
+fn overload_tolerated() {
+    for health in [Health::Responsive, Health::Unknown] {
+        let evidence = Evidence {
             usual: Some(millis(900)),
             health,
-            ..first()
+            ..first_event()
         };
-        assert_eq!(seen.limit(), None);
-        assert!(!seen.leaves(millis(1_900)));
+        assert_eq!(evidence.limit(), None);
+        assert!(!evidence.leaves(millis(1_900)));
     }
 }
 
-/// The last request of a burst meets the silent target, and nobody is heard any more because nobody owes anything.
+/// The last request of a burst is at the unresponsive target, and no other target responds because none has a pending
+/// response.
 #[test]
-fn idle_others_left() {
+fn abandoned_while_others_idle() {
     let last = Evidence {
         awaited: Awaited::Complete,
         others_heard: Some(Duration::from_secs(3)),
         others_idle: true,
-        ..first()
+        ..first_event()
     };
     assert!(last.leaves(2 * OBJECTIVE), "{last:?}");
     assert!(!last.leaves(OBJECTIVE / 2), "{last:?}");
 }
 
-/// One answer that took very long does not make silence usual.
+/// A single very slow response must not raise the mean much.
 #[test]
-fn one_straggling_answer() {
-    let mut usual = Usual::default();
+fn outlier_capped() {
+    let mut mean_time = ResponseTimeMean::default();
     for _ in 0..50 {
-        usual.note(millis(50));
+        mean_time.record(millis(50));
     }
-    usual.note(millis(8_000));
-    assert!(usual.mean().is_some_and(|mean| mean <= millis(70)));
+    mean_time.record(millis(8_000));
+    assert!(mean_time.mean().is_some_and(|mean| mean <= millis(70)));
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Any(Evidence);
+struct AnyEvidence(Evidence);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyEvidence {
     fn arbitrary(g: &mut Gen) -> Self {
         let time = |g: &mut Gen, most: u64| millis(u64::arbitrary(g) % most);
         let maybe = |g: &mut Gen, most: u64| bool::arbitrary(g).then(|| time(g, most));
         let awaited = [Awaited::First, Awaited::Next, Awaited::Complete];
-        let health = [Health::Alive, Health::Silent, Health::Unknown];
+        let health = [Health::Responsive, Health::Unresponsive, Health::Unknown];
         Self(Evidence {
             awaited: *g.choose(&awaited).unwrap_or(&Awaited::First),
-            allowed: time(g, 2_000),
+            due_within: time(g, 2_000),
             usual: maybe(g, 4_000),
             health: *g.choose(&health).unwrap_or(&Health::Unknown),
             others_heard: maybe(g, 2_000),
             others_idle: bool::arbitrary(g),
-            given_up_after: time(g, 10_000),
+            caller_timeout: time(g, 10_000),
         })
     }
 }
 
 quickcheck! {
-    /// Whoever leaves, leaves time for another target.
-    fn time_is_left(any: Any, silence: u16) -> bool {
-        let silence = millis(u64::from(silence));
+    /// If a target is abandoned, enough time remains for another one.
+    fn time_remains(any: AnyEvidence, unresponsive_ms: u16) -> bool {
+        let unresponsive_for = millis(u64::from(unresponsive_ms));
         let limit = any.0.limit();
-        limit.is_none_or(|limit| limit <= any.0.given_up_after.mul_f64(0.6)) && (!any.0.leaves(silence) || limit.is_some())
+        limit.is_none_or(|limit| limit <= any.0.caller_timeout.mul_f64(0.6)) && (!any.0.leaves(unresponsive_for) || limit.is_some())
     }
 
-    /// While others owe something and none of them is heard nobody is left: the group may stand still.
-    fn stopped_group_borne(any: Any, silence: u16) -> bool {
-        let stopped = Evidence { others_heard: None, others_idle: false, ..any.0 };
-        !stopped.leaves(millis(u64::from(silence)))
+    /// While other targets have pending responses and none of them responds, no target is abandoned: the group may be
+    /// stalled.
+    fn stalled_group_tolerated(any: AnyEvidence, unresponsive_ms: u16) -> bool {
+        let stalled = Evidence { others_heard: None, others_idle: false, ..any.0 };
+        !stalled.leaves(millis(u64::from(unresponsive_ms)))
     }
 
-    /// A box that is told to be silent is never borne for longer than one that speaks.
-    fn told_no_later(any: Any) -> bool {
-        let of = |health| Evidence { health, ..any.0 }.limit().unwrap_or(Duration::MAX);
-        of(Health::Silent) <= of(Health::Alive) && of(Health::Alive) == of(Health::Unknown)
+    /// A box that is reported as unresponsive is never given more time than one that responds.
+    fn unresponsive_box_abandoned_earlier(any: AnyEvidence) -> bool {
+        let limit = |health| Evidence { health, ..any.0 }.limit().unwrap_or(Duration::MAX);
+        limit(Health::Unresponsive) <= limit(Health::Responsive) && limit(Health::Responsive) == limit(Health::Unknown)
     }
 
-    /// What is usually slow is borne for longer.
-    fn slow_borne_longer(any: Any, more: u16) -> bool {
+    /// Responses that usually take longer are given more time.
+    fn slow_responses_given_more_time(any: AnyEvidence, more: u16) -> bool {
         let Some(usual) = any.0.usual else { return true };
         let slower = Evidence { usual: Some(usual + millis(u64::from(more))), ..any.0 };
         any.0.limit().unwrap_or(Duration::MAX) <= slower.limit().unwrap_or(Duration::MAX)
--- a/crates/sparscale_policy/tests/throttle_register.rs
+++ b/crates/sparscale_policy/tests/throttle_register.rs
@@ -1,4 +1,4 @@
-//! What is known of a target's limit follows the latest word of its present start.
+//! The tracked limit of a target follows the latest statement of its present start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn register() -> (Register, Moment) {
+fn tracker() -> (Register, Moment) {
     let now = Machine::default().now();
-    let mut register = Register::default();
-    register.set_members(Members::new(SocketAddr::from(([10, 0, 0, 1], 7_000)), &[]), now);
-    (register, now)
+    let mut tracker = Register::default();
+    tracker.set_members(Members::new(SocketAddr::from(([10, 0, 0, 1], 7_000)), &[]), now);
+    (tracker, now)
 }
 
-fn limit(born_ms: u64, rate: Option<f64>, as_of: Moment) -> Notice {
+fn notice(born_ms: u64, rate: Option<f64>, as_of: Moment) -> Notice {
     Notice {
         start: Start::of("target-1", Some(born_ms)),
         rate: rate.map(|rate| Rate::try_from(rate).expect("a rate")),
@@ -26,105 +26,111 @@
     }
 }
 
-fn is_open(register: &Register, start: Start, now: Moment) -> bool {
-    register.opening(start, now) == Opening::Now
+fn is_open(tracker: &Register, start: Start, now: Moment) -> bool {
+    tracker.opening(start, now) == Opening::Now
 }
 
-/// A word that is older than what is known, told late, changes nothing.
+/// A notice that is older than the known state and arrives late changes nothing.
 #[test]
-fn late_word() {
-    let (mut register, now) = register();
+fn late_notice_ignored() {
+    let (mut tracker, now) = tracker();
     let later = now + SECOND;
-    assert!(register.note(limit(1, Some(1.0), later), later));
+    assert!(tracker.note(notice(1, Some(1.0), later), later));
     assert!(
-        !register.note(limit(1, None, now), later),
-        "an older word ended the limit"
+        !tracker.note(notice(1, None, now), later),
+        "an older notice ended the limit"
     );
-    assert!(!is_open(&register, limit(1, None, now).start, later));
-    assert!(register.note(limit(1, None, later), later), "the latest word counts");
-    assert!(is_open(&register, limit(1, None, now).start, later));
+    assert!(!is_open(&tracker, notice(1, None, now).start, later));
+    assert!(tracker.note(notice(1, None, later), later), "the latest notice applies");
+    assert!(is_open(&tracker, notice(1, None, now).start, later));
 }
 
-/// A target that starts again asks nothing yet.
+/// A restarted target has no limits yet.
 #[test]
-fn next_start() {
-    let (mut register, now) = register();
-    register.note(limit(1, Some(1.0), now), now);
-    assert!(is_open(&register, Start::of("target-1", Some(2)), now));
+fn restart_clears_limit() {
+    let (mut tracker, now) = tracker();
+    tracker.note(notice(1, Some(1.0), now), now);
+    assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
 }
 
-/// A rate that changes with each answer does not keep the target from getting any.
+/// Guards against starvation: each new rate must not restart the wait, or a target whose rate changes with each
+/// response would get no requests.
 #[test]
 fn changing_rate() {
-    let (mut register, began) = register();
+    let (mut tracker, start) = tracker();
     let mut sends = 0;
     for tenth in 0_u32..100 {
-        let now = began + SECOND / 10 * tenth;
+        let now = start + SECOND / 10 * tenth;
         let rate = 1.0 + f64::from(tenth % 3) / 10.0;
-        register.note(limit(1, Some(rate), now), now);
-        sends += u32::from(register.take(limit(1, None, now).start, now));
+        tracker.note(notice(1, Some(rate), now), now);
+        sends += u32::from(tracker.take(notice(1, None, now).start, now));
     }
     assert!((7..=12).contains(&sends), "{sends} sends in 10 s");
 }
 
-/// Whoever asks for news hears of each limit once, and of its end.
+/// Each limit is listed once as a change, and so is its end.
 #[test]
-fn news_once() {
-    let (mut register, now) = register();
-    register.note(limit(1, Some(1.0), now), now);
-    let (news, position) = register.news(0);
-    assert_eq!(news, [limit(1, Some(1.0), now)]);
-    assert!(register.news(position).0.is_empty());
-    register.note(limit(1, None, now + SECOND), now + SECOND);
-    assert_eq!(register.news(position).0, [limit(1, None, now + SECOND)]);
+fn changes_listed_once() {
+    let (mut tracker, now) = tracker();
+    tracker.note(notice(1, Some(1.0), now), now);
+    let (changes, position) = tracker.news(0);
+    assert_eq!(changes, [notice(1, Some(1.0), now)]);
+    assert!(tracker.news(position).0.is_empty());
+    tracker.note(notice(1, None, now + SECOND), now + SECOND);
+    assert_eq!(tracker.news(position).0, [notice(1, None, now + SECOND)]);
 }
 
-/// A rest holds until its end, whatever is asked meanwhile; a shorter one does not end it, and none lasts for ever.
+/// A backoff lasts until its end, whatever the rate and even if a shorter one follows; its length is capped.
 #[test]
-fn rests() {
-    let (mut register, now) = register();
-    let start = limit(1, None, now).start;
-    assert!(register.rest(start, 3 * SECOND, now).is_some());
-    assert!(register.rest(start, SECOND, now).is_none(), "it asked for more before");
-    register.note(limit(1, Some(40.0), now), now);
-    assert!(!register.take(start, now + 2 * SECOND));
-    assert_eq!(register.opening(start, now), Opening::At(now + 3 * SECOND));
-    assert!(register.take(start, now + 3 * SECOND));
-    register.rest(start, Duration::MAX, now);
+fn backoff() {
+    let (mut tracker, now) = tracker();
+    let start = notice(1, None, now).start;
+    assert!(tracker.rest(start, 3 * SECOND, now).is_some());
+    assert!(tracker.rest(start, SECOND, now).is_none(), "a longer backoff is known");
+    tracker.note(notice(1, Some(40.0), now), now);
+    assert!(!tracker.take(start, now + 2 * SECOND));
+    assert_eq!(tracker.opening(start, now), Opening::At(now + 3 * SECOND));
+    assert!(tracker.take(start, now + 3 * SECOND));
+    tracker.rest(start, Duration::MAX, now);
     assert!(
-        register.take(start, now + Duration::from_hours(1)),
-        "a rest without end"
+        tracker.take(start, now + Duration::from_hours(1)),
+        "a backoff without end"
     );
 }
 
-/// That a target leaves counts at once and for good, however late it is told; for its next start it says nothing.
+/// Leaving takes effect at once and is final, even if its notice arrives late; it does not apply to the target's next
+/// start.
 #[test]
-fn leaves() {
-    let (mut register, now) = register();
+fn leaving_is_final() {
+    let (mut tracker, now) = tracker();
     let leaving = Notice {
         leaving: true,
-        ..limit(1, None, now)
+        ..notice(1, None, now)
     };
-    register.note(limit(1, Some(1.0), now + SECOND), now + SECOND);
-    assert!(register.note(leaving, now + 2 * SECOND));
-    register.note(limit(1, None, now + 3 * SECOND), now + 3 * SECOND);
-    assert_eq!(register.opening(leaving.start, now + 4 * SECOND), Opening::Never);
-    assert!(!register.take(leaving.start, now + 4 * SECOND));
-    assert!(is_open(&register, Start::of("target-1", Some(2)), now));
+    tracker.note(notice(1, Some(1.0), now + SECOND), now + SECOND);
+    assert!(tracker.note(leaving, now + 2 * SECOND));
+    tracker.note(notice(1, None, now + 3 * SECOND), now + 3 * SECOND);
+    assert_eq!(tracker.opening(leaving.start, now + 4 * SECOND), Opening::Never);
+    assert!(!tracker.take(leaving.start, now + 4 * SECOND));
+    assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
 }
 
-/// A target that names another rate in every answer does not keep all entries busy with it; a fall is told at once.
+/// Guards against a flood of announcements by a target that states another rate in each response. A sharp drop and the
+/// end of a limit are announced at once.
 #[test]
-fn news_seldom() {
-    let (mut register, began) = register();
-    let mut news = 0;
+fn announcements_limited() {
+    let (mut tracker, start) = tracker();
+    let mut announcements = 0;
     for hundredth in 0_u32..500 {
-        let now = began + SECOND / 100 * hundredth;
+        let now = start + SECOND / 100 * hundredth;
         let rate = 10.0 + f64::from(hundredth % 7) / 10.0;
-        news += u32::from(register.note(limit(1, Some(rate), now), now));
+        announcements += u32::from(tracker.note(notice(1, Some(rate), now), now));
     }
-    assert!(news <= 6, "{news} tellings in 5 s");
-    let now = began + 5 * SECOND;
-    assert!(register.note(limit(1, Some(2.0), now), now), "a fall is told at once");
-    assert!(register.note(limit(1, None, now), now), "an end is told at once");
+    assert!(announcements <= 6, "{announcements} announcements in 5 s");
+    let now = start + 5 * SECOND;
+    assert!(
+        tracker.note(notice(1, Some(2.0), now), now),
+        "a drop is announced at once"
+    );
+    assert!(tracker.note(notice(1, None, now), now), "an end is announced at once");
 }
--- a/crates/sparscale_policy/tests/waiting_line.rs
+++ b/crates/sparscale_policy/tests/waiting_line.rs
@@ -1,57 +1,63 @@
-//! Who goes next of those that wait for room.
+//! The order in which requests of a backlog are admitted.
 
 use std::time::{Duration, Instant};
 
-use sparscale_policy::line::Line;
-use sparscale_policy::room::Room;
+use sparscale_policy::headroom::Headroom;
+use sparscale_policy::line::Backlog;
 
-/// Time since the line began.
-const NOW: Duration = Duration::from_secs(10);
-const ROOM: Room = Room { timely: 1.0, late: 1.0 };
+/// Time from the creation of the backlog to the admissions.
+const ELAPSED: Duration = Duration::from_secs(10);
+const HEADROOM: Headroom = Headroom { timely: 1.0, late: 1.0 };
 
-/// A line of `(tier, number, time from now until which it can be in time, in milliseconds)`, and the order in which
-/// `room` lets its requests in.
-fn order(waiting: &[(u8, usize, i64)], room: Room) -> Vec<usize> {
-    let began = Instant::now();
-    let now = began + NOW;
-    let mut line = Line::default();
+/// Adds requests given as `(tier, number, time from now until which it can be on time, in milliseconds)` and returns
+/// the order in which `headroom` admits them.
+fn admission_order(waiting: &[(u8, usize, i64)], headroom: Headroom) -> Vec<usize> {
+    let start = Instant::now();
+    let now = start + ELAPSED;
+    let mut backlog = Backlog::default();
     for (tier, number, until_ms) in waiting {
         let offset = Duration::from_millis(until_ms.unsigned_abs());
-        let until = began
+        let until = start
             + if *until_ms < 0 {
-                NOW.saturating_sub(offset)
+                ELAPSED.saturating_sub(offset)
             } else {
-                NOW + offset
+                ELAPSED + offset
             };
-        line.join((*tier, *number), until, *number);
+        backlog.insert((*tier, *number), until, *number);
     }
-    let mut order = Vec::new();
-    while let Some(number) = line.next(room, now) {
-        order.push(number);
+    let mut admitted = Vec::new();
+    while let Some(number) = backlog.next(headroom, now) {
+        admitted.push(number);
     }
-    order
+    admitted
 }
 
 #[test]
-fn tiers_then_arrival() {
-    assert_eq!(order(&[(2, 1, 100), (1, 3, 100), (1, 2, 300)], ROOM), [2, 3, 1]);
+fn order_by_tier_then_arrival() {
+    assert_eq!(
+        admission_order(&[(2, 1, 100), (1, 3, 100), (1, 2, 300)], HEADROOM),
+        [2, 3, 1]
+    );
 }
 
-/// Being late already, it loses nothing by waiting on; one that can still be in time would.
+/// A late request loses nothing by waiting longer, while one that can still be on time would.
 #[test]
-fn late_behind() {
-    assert_eq!(order(&[(0, 1, -50), (1, 2, 100), (1, 3, 100)], ROOM), [2, 3, 1]);
+fn late_request_last() {
+    assert_eq!(
+        admission_order(&[(0, 1, -50), (1, 2, 100), (1, 3, 100)], HEADROOM),
+        [2, 3, 1]
+    );
 }
 
-/// While passes are too long for anybody to be in time, those that are late go in.
+/// While passes are too long for any request to be on time, only late requests are admitted.
 #[test]
-fn late_alone() {
-    let room = Room { timely: 0.0, late: 1.0 };
-    assert_eq!(order(&[(1, 1, 100), (1, 2, -50)], room), [2]);
+fn only_late_admitted() {
+    let headroom = Headroom { timely: 0.0, late: 1.0 };
+    assert_eq!(admission_order(&[(1, 1, 100), (1, 2, -50)], headroom), [2]);
 }
 
 #[test]
-fn no_room() {
-    let room = Room { timely: 0.9, late: 0.9 };
-    assert_eq!(order(&[(1, 1, 100), (1, 2, -50)], room), [0_usize; 0]);
+fn no_headroom() {
+    let headroom = Headroom { timely: 0.9, late: 0.9 };
+    assert_eq!(admission_order(&[(1, 1, 100), (1, 2, -50)], headroom), [0_usize; 0]);
 }
