--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -1,4 +1,6 @@
-//! Whether a request may be served, as far as this entry's beliefs can tell.
+//! Decides whether a request may be served, from what this entry has observed of the catalog and the quarantine.
+//!
+//! Limits, route, key and deadline are checked here, before a request reaches a queue or a target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,23 +21,24 @@
 use crate::incoming::read_body;
 use crate::refusal::{Reason, Refusal};
 
-/// When a caller is told to come back to an entry that knows too little.
+/// `Retry-After` of a rejection for missing or outdated state of this entry.
 const UNSURE_RETRY: Duration = Duration::from_millis(400);
-/// Age of a process up to which it waits for what the store says of requests that crash targets. After it the others are
-/// served: a store that cannot tell must not stop everyone, and ends are counted here, too.
+/// Time after the start of the process during which requests are rejected while the list of requests that crash targets
+/// has not been read. After that they are served: an unavailable store must not stop all traffic, and this entry also
+/// counts the targets that terminate under a request.
 const STRIKES_LIMIT: Duration = Duration::from_secs(2);
 
-/// How old the catalog may be.
+/// Maximum age of the catalog for decisions that depend on it.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
-    /// For a request with a key: the key may have been taken away since. [`Duration::MAX`] where the last known keys hold
-    /// until newer ones are learnt: an outage of the store then stops nobody.
+    /// For a request with a key, because the key may have been revoked since. With [`Duration::MAX`] the last known
+    /// keys stay valid until newer ones arrive, so that an outage of the store rejects no caller.
     pub keyed: Duration,
-    /// For saying that a route or key does not exist: it may have been added since.
+    /// For reporting that a route or key does not exist, because it may have been added since.
     pub denial: Duration,
 }
 
-/// Admits requests.
+/// Checks requests and passes the admitted ones on to the [`Gateway`].
 #[derive(Debug)]
 pub(crate) struct Admission {
     pub(crate) gateway: Arc<Gateway>,
@@ -43,13 +46,13 @@
 }
 
 impl Admission {
-    /// Bounds of what callers may send now.
+    /// Current limits for requests from callers.
     pub(crate) fn limits(&self) -> Limits {
         let catalog = self.gateway.board.catalog();
         catalog.map(|belief| *belief.value.limits()).unwrap_or_default()
     }
 
-    /// Answers one request.
+    /// Reads, checks and serves one request.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         let began = Instant::now();
         let (parts, incoming) = request.into_parts();
@@ -83,7 +86,7 @@
         let unsure = |reason| Refusal::retry(reason, UNSURE_RETRY);
         let belief = self.gateway.board.catalog().ok_or_else(|| unsure(Reason::NoCatalog))?;
         let age = belief.age(self.gateway.board.now());
-        // What is not there may have been added since the catalog was read.
+        // A missing route or key may have been added since the catalog was read.
         let deny = |reason| {
             if age > self.freshness.denial {
                 unsure(Reason::StaleCatalog)
@@ -121,7 +124,7 @@
     }
 }
 
-/// What was found out about an admitted request.
+/// What the catalog says about an admitted request.
 struct Admitted {
     catalog: Arc<Catalog>,
     route: sparscale_catalog::RouteKey,
@@ -164,6 +167,6 @@
         reason = refusal.reason.name(),
         version = catalog.as_ref().map(|belief| belief.position.offset),
         age_ms = catalog.map(|belief| belief.age(board.now()).as_millis() as u64);
-        "refused"
+        "request rejected"
     );
 }
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -1,4 +1,7 @@
-//! One send of one request to one target.
+//! One attempt: sends a request to one target and classifies the reply.
+//!
+//! The classes separate replies after which the request cannot have run, so that any request may be retried, from those
+//! after which it may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,42 +23,42 @@
 use crate::head::{Head, without_hop_by_hop};
 use crate::pool::{Connection, Pool, connect};
 
-/// Bytes of an answer that are collected before any of them goes to the caller. A longer answer is passed on as it
-/// comes.
+/// Bytes of a reply that are buffered before any of them goes to the caller. A longer reply is forwarded as it arrives.
 const COLLECTED_BYTES: usize = 256 << 10;
 
-/// A request as it goes to targets.
+/// A request in the form that is sent to targets.
 #[derive(Debug, Clone)]
 pub(crate) struct Outbound {
     pub(crate) head: Head,
     pub(crate) body: Bytes,
-    /// What the request is, however often it comes.
+    /// Identifies the content of the request; equal for each retry.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) workspace: Option<HeaderValue>,
-    /// When its answer has to be there.
+    /// Deadline of the reply.
     pub(crate) until: Instant,
-    /// The same by the clock that goes on while the machine is suspended: its caller waits no longer for that.
+    /// The same deadline by the clock that counts suspended time, as the caller's wait goes on while this box is
+    /// suspended.
     pub(crate) due: Moment,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub(crate) may_repeat: bool,
-    /// Where a resumed stream goes on, if not where the caller said.
+    /// Event id after which a resumed stream continues, if it differs from the one that the caller sent.
     pub(crate) last_event: Option<u64>,
-    /// How soon the target should begin.
+    /// How soon the target should start the request; 0 is the most urgent.
     pub(crate) urgency: Option<u8>,
 }
 
-/// Why an answer is missing or of no use.
+/// Why a reply is missing or unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Loss {
-    /// None came in time.
+    /// No complete reply arrived in time.
     Timeout,
-    /// The connection broke.
+    /// The connection was lost.
     Broken,
-    /// It answers another request.
+    /// The reply carries the id of another request.
     Foreign,
-    /// It is no proper answer: no digest, or an encoding that nobody asked for.
+    /// The reply has no digest, or an encoding that was not requested.
     Spoiled,
-    /// Its status promises that the request has not run, and the target does not say so.
+    /// The status guarantees that the request has not run, but the target did not confirm it.
     Unfounded,
 }
 
@@ -71,45 +74,45 @@
     }
 }
 
-/// What became of a send.
+/// Outcome of sending a request to a target.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// The target was not reached: nothing was sent.
+    /// The target could not be reached; nothing was sent.
     NotSent,
-    /// The target says that it has not run the request.
+    /// The target reported that it did not run the request.
     Refused(Rejection),
-    /// A whole answer.
+    /// A complete reply.
     Complete(Reply),
-    /// The head of an answer that goes on.
+    /// A reply whose head has arrived and whose body is still arriving.
     Begun(Begun),
-    /// It may have run; no whole answer came.
+    /// The request may have run, but there is no complete reply.
     Lost(Loss),
 }
 
-/// A refusal by a target.
+/// A rejection by a target.
 #[derive(Debug)]
 pub(crate) struct Rejection {
     pub(crate) status: StatusCode,
-    /// Target at fault, if it is another one.
+    /// Id or address of the target at fault, if it is another one.
     pub(crate) at_fault: Option<String>,
-    /// When the target wants to be asked again.
+    /// Backoff requested by the target.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// Whether it says that `target` is not there any more: another incarnation has its address.
+    /// Whether it shows that `target` no longer exists, because another incarnation has its address.
     pub(crate) fn is_gone(&self, target: &Target) -> bool {
         let other = self.at_fault.as_deref().is_some_and(|name| !is_named(target, name));
         self.status == StatusCode::MISDIRECTED_REQUEST && !other
     }
 }
 
-/// Whether `name`, an id or an address, is that of `target`.
+/// Whether `name` is the id or the address of `target`.
 pub(crate) fn is_named(target: &Target, name: &str) -> bool {
     name == target.id || name.parse() == Ok(target.address)
 }
 
-/// A whole answer.
+/// A complete reply.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -117,17 +120,17 @@
     pub(crate) body: Bytes,
 }
 
-/// An answer that goes on.
+/// A reply whose body is still arriving.
 #[derive(Debug)]
 pub(crate) struct Begun {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// What was collected already.
+    /// Start of the body, buffered so far.
     pub(crate) collected: Bytes,
     pub(crate) rest: Rest,
 }
 
-/// The rest of an answer, with the connection that it comes on.
+/// The remaining body of a reply, and the connection that it arrives on.
 #[derive(Debug)]
 pub(crate) struct Rest {
     incoming: Incoming,
@@ -137,24 +140,25 @@
     pool: Arc<Pool>,
 }
 
-/// Sends requests to targets.
+/// HTTP client for requests to targets.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     pub(crate) pool: Arc<Pool>,
     pub(crate) dialect: Arc<Dialect>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) board: Arc<Board>,
-    /// Longest rest of a connection that a request which may run once is sent on.
+    /// Maximum idle time of a connection that is reused for a request which may run only once.
     pub(crate) max_rest_once: Duration,
 }
 
 impl Caller {
-    /// Sends `outbound` to `target`. A stream of events is handed over at its head, anything else whole.
+    /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other replies once complete
+    /// or longer than [`COLLECTED_BYTES`].
     pub(crate) async fn send(&self, seat: &Seat, outbound: &Outbound) -> Outcome {
         let connection = match self.connection(seat, outbound).await {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!(target = seat.target.id.as_str(), error = error.to_string().as_str(); "not reached");
+                log::debug!(target = seat.target.id.as_str(), error = error.to_string().as_str(); "connecting to the target failed");
                 return Outcome::NotSent;
             }
         };
@@ -180,7 +184,7 @@
         let request = self.request(target, outbound);
         let mut sent = connection.sender.try_send_request(request).await;
         if !connection.fresh && matches!(&sent, Err(error) if error.message().is_some()) {
-            // The idle connection was closed under us and nothing was written: a fresh one takes its place.
+            // The target closed the idle connection before anything was written: retry on a new one.
             connection = match connect(target.address).await {
                 Ok(connection) => connection,
                 Err(_) => return Outcome::NotSent,
@@ -231,8 +235,8 @@
         request
     }
 
-    /// Notes what the target asks of those that send to it. An answer to another request, or by another target at the same
-    /// address, says nothing of it.
+    /// Records the rate limit or backoff requested by the target. A reply to another request, or from another target at
+    /// the same address, is ignored.
     fn note_signal(&self, chosen: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
         let signal = Signal::read(parts.status, &parts.headers, &self.dialect.backpressure);
         let own = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
@@ -250,7 +254,7 @@
         signal
     }
 
-    /// What the head of an answer says about the request.
+    /// Classifies a reply by its head.
     fn judge(&self, parts: &Parts, outbound: &Outbound) -> Verdict {
         if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
             return Verdict::Lost(Loss::Foreign);
@@ -258,7 +262,8 @@
         if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return Verdict::Refused;
         }
-        // Without the target's word that it has not run the request, these would promise to callers what nobody knows.
+        // Unless the target confirms that the request has not run, forwarding these would give callers a guarantee that
+        // may be false.
         let promises = [
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::TOO_MANY_REQUESTS,
@@ -323,7 +328,7 @@
         Outcome::Complete(Reply { status, headers, body })
     }
 
-    /// Reads the short body of a refusal, so that its connection can be used again.
+    /// Reads the short body of a rejection, so that its connection can be reused.
     async fn give_back(&self, target: Incarnation, connection: Connection, incoming: Incoming, answer: &HeaderMap) {
         if incoming
             .size_hint()
@@ -343,7 +348,7 @@
 }
 
 impl Rest {
-    /// The next bytes of the answer; none at its proper end. The connection is given back there.
+    /// The next bytes of the body, or none at its regular end, where the connection goes back to the pool.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Loss> {
         loop {
             let Some(frame) = self.incoming.frame().await else {
@@ -352,7 +357,7 @@
                 }
                 return Ok(None);
             };
-            // Trailers are not passed on.
+            // Trailers are not forwarded.
             if let Ok(data) = frame.map_err(|_broken| Loss::Broken)?.into_data() {
                 return Ok(Some(data));
             }
@@ -365,7 +370,7 @@
     content_type.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-/// Headers that go on to the caller; the framing is the entry's own.
+/// Headers to forward to the caller, without those for message framing, which the entry sets itself.
 fn to_caller(headers: &HeaderMap) -> HeaderMap {
     let mut kept = without_hop_by_hop(headers);
     kept.remove(header::CONTENT_LENGTH);
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -1,4 +1,6 @@
-//! One request from a caller, from its head to its answer.
+//! Takes one request from admission to its answer: waits for headroom, sends attempts, and decides about retries.
+//!
+//! Retries are paid for from a budget that all entries share, so that failing targets don't cause a flood of retries.
 
 mod choice;
 mod leave;
@@ -39,67 +41,68 @@
 use crate::tries::Tries;
 use crate::waiting::{Arrival, Permit, Queues};
 
-/// Groups of a service that one request looks at, drawn anew for each: of a hundred, the best of a few is nearly as good as the
-/// best, and looking at all would cost an entry more than the request itself.
+/// Maximum number of groups of a service that one request considers, sampled anew for each. Of a hundred groups, the
+/// best of a few is nearly as good as the best of all, and checking all of them would cost an entry more than the
+/// request itself.
 const MAX_LOOKED_AT: usize = 8;
-/// When a caller is told to come back after a target turned its request away.
+/// `Retry-After` of a rejection after targets could not be reached or rejected the request.
 const TURNED_AWAY_RETRY: Duration = Duration::from_millis(200);
-/// When a caller is told to come back if no target is there.
+/// `Retry-After` of a rejection because no target is available or the group stays closed.
 const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) board: Arc<Board>,
     pub(crate) mesh: Arc<Mesh>,
     pub(crate) caller: Caller,
     pub(crate) loads: Arc<Loads>,
-    /// Targets that owe answers.
+    /// Response times of the targets that requests wait for.
     pub(crate) silences: Silences,
     pub(crate) hall: String,
     pub(crate) allowance: Allowance,
     pub(crate) budgets: Mutex<HashMap<String, Budget>>,
     pub(crate) splits: Splits,
     pub(crate) figures: Figures,
-    /// Entries that share the slack of the budgets, this one included; 0 while that is not known.
+    /// Number of entries that share the slack of the budgets, including this one; 0 while unknown.
     pub(crate) sharers: AtomicUsize,
     /// Start of this process.
     pub(crate) started: Moment,
     pub(crate) queues: Arc<Queues>,
-    /// Whether groups run.
+    /// Whether groups are serving.
     pub(crate) gates: Gates,
-    /// What callers spent on earlier tries.
+    /// Latest deadlines by route, from which the time spent on earlier attempts is derived.
     pub(crate) deadlines: Mutex<Deadlines>,
-    /// When callers of each service were told to come back.
+    /// Retry times assigned to callers, by service.
     pub(crate) returns: Mutex<HashMap<String, Returns>>,
 }
 
-/// How a send went.
+/// Outcome of an attempt.
 enum Attempt {
-    /// An answer for the caller.
+    /// There is an answer for the caller.
     Answered(Answer),
-    /// The target was not reached: nothing was sent.
+    /// The target could not be reached; nothing was sent.
     NotSent,
-    /// The target says that it has not run the request.
+    /// The target reported that it did not run the request.
     Refused(Rejection),
-    /// The target failed, and the request may run again.
+    /// The target answered with an error, and the request may run again.
     Failed(Reply),
-    /// It may have run; no whole answer came.
+    /// The request may have run, but there is no complete reply.
     Lost(Loss),
-    /// Its target was left for another one.
+    /// The target was abandoned in favor of another one.
     Left,
 }
 
-/// Why a request is to be sent once more.
+/// Why a request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Cause {
-    /// Its target turned it away, failed, or gave no whole answer.
+    /// The target rejected it, failed, or sent no complete reply.
     Unserved,
-    /// Another incarnation had its target's address.
+    /// Another incarnation had the target's address.
     Gone,
-    /// Its target held the group back.
+    /// The target was a straggler.
     LeftSlow,
-    /// Its target was silent.
+    /// The target was unresponsive.
     LeftSilent,
 }
 
@@ -114,7 +117,7 @@
     }
 }
 
-/// A request that may be sent.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) catalog: Arc<Catalog>,
@@ -128,7 +131,7 @@
         self.catalog.route(self.route)
     }
 
-    /// What its target owes first.
+    /// What the target is expected to send first.
     fn awaited(&self) -> Awaited {
         if is_stream(self) {
             Awaited::First
@@ -137,7 +140,7 @@
         }
     }
 
-    /// What it waits for once it is sent.
+    /// The wait for the first response of a target.
     fn first_wait<'a>(&self, seat: &'a Seat) -> Wait<'a> {
         Wait {
             seat,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Silence after which its caller gives up.
+    /// Time without a response after which the caller gives up.
     pub(crate) fn given_up_after(&self) -> Duration {
         match self.route().kind {
             Kind::Stream { .. } => patience::longest_silence(self.route().objective, pause_of(self)),
@@ -157,7 +160,8 @@
 }
 
 impl Gateway {
-    /// Waits at the queue of the group that is to serve the request, if a group does.
+    /// Chooses a group for a streaming request and waits until it is admitted there. None if no group serves the
+    /// request.
     pub(crate) async fn permit(&self, job: &Job, tries: &mut Tries) -> Result<Option<Permit>, Refusal> {
         let Some(belief) = self.board.targets() else {
             return Ok(None);
@@ -203,7 +207,7 @@
         self.queues.enter(arrival).await.map(Some)
     }
 
-    /// Time that the caller spent on tries before this one.
+    /// Time that the caller spent on attempts before this one.
     fn spent(&self, job: &Job) -> Duration {
         let Some(deadline) = job.outbound.head.deadline else {
             return Duration::ZERO;
@@ -212,7 +216,7 @@
         deadlines.spent(&job.route().name, deadline, job.began.into_std())
     }
 
-    /// Sends until there is an answer or nothing more may be tried.
+    /// Sends attempts until there is an answer or no further attempt is allowed.
     pub(crate) async fn answer(&self, job: &Job, tries: &mut Tries) -> Result<Answer, Refusal> {
         loop {
             if self.board.now() >= job.outbound.due {
@@ -222,7 +226,8 @@
             if self.closed(job, tries).await {
                 return tries.give_up(Refusal::retry(Reason::GroupClosed, NO_TARGET_RETRY));
             }
-            // Looked at before each send: targets may have ended under it elsewhere since it came, or under it here.
+            // Checked before each attempt: since the request arrived, targets may have terminated while running it, here
+            // or at other entries.
             if let Some(refusal) = self.held(job.outbound.fingerprint) {
                 return tries.give_up(refusal);
             }
@@ -238,13 +243,13 @@
         }
     }
 
-    /// The refusal of a request whose service takes nothing from this entry now.
+    /// The refusal to return if no target of the service accepts requests from this entry now.
     fn throttled_now(&self, job: &Job, tries: &Tries) -> Option<Refusal> {
         let targets = self.board.targets()?;
         self.throttled(job, tries.service.as_deref()?, &targets.value)
     }
 
-    /// Draws what follows from a send: an answer, another send (none), or a refusal.
+    /// Handles the outcome of an attempt: returns an answer, none for another attempt, or a refusal.
     async fn settle(
         &self,
         job: &Job,
@@ -264,7 +269,7 @@
                 tries.tried.push(seat);
                 return Ok(Some(answer));
             }
-            // Its next send was paid for when it left.
+            // The next attempt was charged to the budget when the target was abandoned.
             Attempt::Left => {
                 tries.lost = Some(Refusal::new(Reason::NoAnswer));
                 tries.tried.push(seat);
@@ -297,9 +302,9 @@
         tries.give_up(Refusal::new(Reason::NoAnswer)).map(Some)
     }
 
-    /// Sends once, up to a whole answer or the first event. A target that turns out to hold its group back, or that is
-    /// silent while others are heard, is left if the request may go elsewhere: each pass of the group would wait for
-    /// the one, and the caller in vain for the other.
+    /// Runs one attempt, up to a complete reply or the first event. A target that turns out to be a straggler, or that
+    /// is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each pass
+    /// of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
     async fn attempt(&self, job: &Job, seat: &Seat, tries: &Tries) -> Attempt {
         let mut sending = std::pin::pin!(self.send(job, seat));
         if let Some(place) = &seat.target.membership {
@@ -342,7 +347,7 @@
         }
     }
 
-    /// A send without a whole answer: final unless the request may run again.
+    /// Handles an attempt without a complete reply, which is final unless the request may run again.
     async fn lost(&self, job: &Job, seat: &Seat, loss: Loss, tries: &mut Tries) -> Result<(), Refusal> {
         self.loads.note_failure(seat.key);
         self.look_after(job, seat, loss).await;
@@ -359,15 +364,15 @@
         Err(Refusal::new(reason))
     }
 
-    /// The refusal of a request that is held back, because targets ended under it.
+    /// The refusal of a request that is quarantined because targets terminated while running it.
     pub(crate) fn held(&self, request: Fingerprint) -> Option<Refusal> {
         let hold = self.board.quarantine.held(&request)?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "targets ended under the request");
+        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
         Some(Refusal::retry(Reason::Quarantined, hold.left))
     }
 
-    /// Looks whether the target at which an answer was lost has ended, or only the connection to it. The end of a target
-    /// speaks against what it ran.
+    /// Checks whether the target that did not complete its reply has terminated or only the connection was lost. A
+    /// termination is recorded against the request, which may have caused it.
     pub(crate) async fn look_after(&self, job: &Job, seat: &Seat, loss: Loss) {
         let ended = loss == Loss::Broken && self.caller.pool.has_ended(seat).await;
         if ended {
@@ -383,7 +388,7 @@
             at = seat.target.id.as_str(),
             loss = loss.name(),
             ended;
-            "no whole answer"
+            "no complete reply from the target"
         );
     }
 
@@ -412,7 +417,7 @@
         }
     }
 
-    /// Whether the budget of the service allows one more send of a request.
+    /// Charges one more attempt to the budget of the service; returns whether the budget allows it.
     fn spend(&self, job: &Job, tries: &Tries, cause: Cause) -> bool {
         let Some(service) = tries.service.as_deref() else {
             return false;
@@ -439,12 +444,12 @@
             share,
             sharers,
             life_ms;
-            "one more send"
+            "retry requested from the budget"
         );
         verdict.source.is_some()
     }
 
-    /// Waits for the first event of a stream; any other long answer is taken as it is.
+    /// Waits for the first event of a stream. Other long replies are returned as they are.
     async fn begin(&self, job: &Job, begun: Begun, running: Running) -> Result<Answer, Loss> {
         if !is_stream(job) || !begun.status.is_success() {
             return Ok(Answer::Long(Box::new(begun), running));
@@ -461,7 +466,7 @@
         })))
     }
 
-    /// Notes that a request is over; a failure is worth a warning, which the log never leaves out.
+    /// Records the end of a request. Failures are logged as warnings, which the log never drops.
     pub(crate) fn end(&self, job: &Job, outcome: &str, tried: &Tried, status: u16) {
         self.figures.end(job.route().kind, outcome, job.began.elapsed());
         let sound = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
@@ -479,17 +484,17 @@
             targets:? = tried.ids(),
             prompt_tokens = job.outbound.head.size.prompt,
             took_ms = job.began.elapsed().as_millis() as u64;
-            "request"
+            "request finished"
         );
     }
 }
 
-/// The workspace as a header value; names are checked where they come in.
+/// The workspace as a header value, or none if it is not a valid one; names are validated when they are read.
 pub(crate) fn header_of(name: &str) -> Option<HeaderValue> {
     HeaderValue::from_str(name).ok()
 }
 
-/// Longest pause that the request's route allows between events.
+/// Longest pause between events that the route of the request allows.
 pub(crate) fn pause_of(job: &Job) -> Duration {
     match job.route().kind {
         Kind::Stream { longest_pause, .. } => longest_pause.unwrap_or_default(),
--- a/crates/sparscale_gateway/src/exchange/choice.rs
+++ b/crates/sparscale_gateway/src/exchange/choice.rs
@@ -1,4 +1,4 @@
-//! Which group and target take the next send of a request.
+//! Chooses the group and the target for the next attempt of a request.
 
 use http::StatusCode;
 use sparscale_catalog::{Directory, Seat};
@@ -14,15 +14,15 @@
 use crate::tries::Tries;
 
 impl Gateway {
-    /// Turns to another group of the service if the request's own does not run.
+    /// Switches to another group of the service if the chosen one is closed.
     pub(super) fn leave_closed_group(&self, job: &Job, tries: &mut Tries) {
         if tries.group.as_ref().is_some_and(|group| self.gates.is_closed(group)) {
             self.leave_group(job, tries);
         }
     }
 
-    /// Turns to another group of the service, if one runs: two ranks of a group that has just stopped would both turn the
-    /// request away, and a route allows only so many sends.
+    /// Switches to another group of the service, if one is serving. Two ranks of a group that has just stopped
+    /// serving would both reject the request, and a route allows only a limited number of attempts.
     pub(super) fn leave_group(&self, job: &Job, tries: &mut Tries) {
         let (Some(group), Some(service)) = (&tries.group, &tries.service) else {
             return;
@@ -35,18 +35,18 @@
             return;
         }
         let other = others[rand::random_range(0..others.len())];
-        log::info!(target: DECISION, decision = "leave_group", request = job.outbound.head.id_text(), group = group.as_str(), other; "its group turns requests away");
+        log::info!(target: DECISION, decision = "leave_group", request = job.outbound.head.id_text(), group = group.as_str(), other; "group rejects requests; switching to another group");
         tries.group = Some(other.to_owned());
     }
 
-    /// Whether the request's group stays closed for longer than it can wait.
+    /// Waits for the request's group to open; returns whether it stays closed for longer than the request can wait.
     pub(super) async fn closed(&self, job: &Job, tries: &Tries) -> bool {
         let Some(group) = &tries.group else { return false };
         let until = job.began + patience::longest_wait(job.route().objective, pause_of(job));
         self.gates.pass(group, until.min(job.outbound.until)).await == Pass::Closed
     }
 
-    /// The target for the next send: one of the request's group that was not tried, or else any.
+    /// The target for the next attempt: an untried one of the request's group, or else any untried one.
     pub(super) fn next_target(&self, job: &Job, tries: &mut Tries) -> Option<Seat> {
         let targets = self.board.targets()?.value;
         if tries.service.is_none() {
@@ -72,7 +72,7 @@
             .as_deref()
             .and_then(|group| choose(&tries.tried, Some(group)));
         let untried = in_group.or_else(|| choose(&tries.tried, None));
-        // All were tried: what may run more than once may go to one of them again.
+        // All targets were tried: a request that may run more than once may go to one of them again.
         untried.or_else(|| {
             job.outbound
                 .may_repeat
@@ -81,8 +81,8 @@
         })
     }
 
-    /// Load of a rank as its group's conductor told it; none of one that the conductor does not hear. Of one that has
-    /// started since nothing is known but that it has no requests yet.
+    /// The load of a rank as reported by the leader of its group, or none if the leader does not receive from the rank.
+    /// A rank that has started since the report counts as having no requests.
     fn reported(&self, seat: &Seat) -> Option<RankLoad> {
         let place = seat.target.membership.as_ref()?;
         let group = self.mesh.group(&place.group)?;
@@ -95,14 +95,14 @@
         }))
     }
 
-    /// The service whose turn it is on the route; one without targets is passed over.
+    /// The next service of the route by weight, skipping services without targets.
     pub(super) fn service(&self, job: &Job, targets: &Directory) -> Option<String> {
         let shares = &job.route().shares;
         let there = |service: &str| targets.of_service(service).next().is_some();
         self.splits.next(&job.route().name, shares, there)
     }
 
-    /// Notes what a target said of itself, or of another one, as it turned a request away.
+    /// Records a rejection, and what it says about the target itself or about another target at fault.
     pub(super) fn note_rejection(&self, job: &Job, seat: &Seat, rejection: &Rejection) {
         log::info!(
             target: DECISION,
@@ -112,14 +112,14 @@
             status = rejection.status.as_u16(),
             retry_ms = rejection.retry_after.map(|retry| retry.as_millis() as u64),
             at_fault = rejection.at_fault.as_deref();
-            "its target has not run it"
+            "target rejected the request without running it"
         );
         if let Some(place) = &seat.target.membership
             && rejection.status == StatusCode::SERVICE_UNAVAILABLE
         {
             self.gates.turned_away(&place.group);
         }
-        // The target at fault may be another one, on which this one waited.
+        // The rejecting target may have waited for another one, which is then at fault.
         let named = rejection.at_fault.as_deref();
         let other = named.filter(|name| !is_named(&seat.target, name));
         let at_fault = match other {
--- a/crates/sparscale_gateway/src/exchange/leave.rs
+++ b/crates/sparscale_gateway/src/exchange/leave.rs
@@ -1,4 +1,4 @@
-//! Leaving a target on which a request runs for another one.
+//! Abandons a target that is a straggler or unresponsive, so that its request can be sent to another one.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use crate::tries::Tries;
 
 impl Gateway {
-    /// Whether a request may leave `target`, on which it runs, for another one after `sends` sends; if so, the next one is
-    /// paid for.
+    /// Whether a request may move from `target`, a straggler, to another target after `sends` attempts. If so, the
+    /// retry has been charged to the budget.
     pub(crate) fn may_leave(&self, job: &Job, target: &str, sends: usize, tries: &Tries) -> bool {
         let elsewhere = job.outbound.may_repeat && sends < job.route().attempts as usize;
         let left = elsewhere && self.spend(job, tries, Cause::LeftSlow);
-        log::info!(target: DECISION, decision = "leave_slow", request = job.outbound.head.id_text(), at = target, left; "its target holds the group back");
+        log::info!(target: DECISION, decision = "leave_slow", request = job.outbound.head.id_text(), at = target, left; "target is a straggler and slows its group down");
         left
     }
 
-    /// The same for a target that is silent. It gets no more requests of this entry for a while.
+    /// Like [`Self::may_leave`], for an unresponsive target, which then gets no requests from this entry for a while.
     pub(crate) fn may_leave_silent(
         &self,
         job: &Job,
@@ -47,7 +47,7 @@
             others_idle = evidence.others_idle,
             may_repeat = job.outbound.may_repeat,
             left;
-            "its target is silent"
+            "target does not respond"
         );
         left
     }
--- a/crates/sparscale_gateway/src/exchange/throttled.rs
+++ b/crates/sparscale_gateway/src/exchange/throttled.rs
@@ -1,4 +1,4 @@
-//! Requests for which all targets are closed by what they ask of those that send to them.
+//! Rejects requests while all targets of a service limit their request rate or have requested a backoff.
 
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::refusal::{Reason, Refusal};
 
 impl Gateway {
-    /// The refusal of a request of `service` if its targets take none from this entry now; with the time at which the first
-    /// of them does.
+    /// The refusal of a request if no target of `service` accepts any from this entry now, with the time until the
+    /// first one does.
     pub(super) fn throttled(&self, job: &Job, service: &str, targets: &Directory) -> Option<Refusal> {
         let throttle = &self.board.throttle;
         if throttle.is_idle() {
@@ -30,7 +30,7 @@
             }
         }
         let opens_at = opens_at?;
-        // Callers come back to any entry, and each promises by itself.
+        // Callers may retry at any entry, and each entry assigns retry times independently.
         let entries = self.mesh.line().borrow().entries;
         let rate: f64 = ready.iter().filter_map(|seat| throttle.rate(seat)).sum();
         let gap = Duration::try_from_secs_f64(entries as f64 / rate).unwrap_or_default();
@@ -46,12 +46,12 @@
             service,
             rate,
             retry_ms = retry.as_millis() as u64;
-            "no target takes a request now"
+            "all targets of the service limit their request rate or requested a backoff"
         );
         Some(Refusal::retry(Reason::Throttled, retry))
     }
 
-    /// Part of the ranks of `group` that take requests from this entry now.
+    /// Fraction of the ranks of `group` that accept requests from this entry now, 0 to 1.
     pub(crate) fn open_part(&self, targets: &Directory, group: Group<'_>) -> f64 {
         if self.board.throttle.is_idle() {
             return 1.0;
--- a/crates/sparscale_gateway/src/gate.rs
+++ b/crates/sparscale_gateway/src/gate.rs
@@ -1,4 +1,6 @@
-//! Holds requests for groups that do not run; see [`gate`].
+//! Holds requests back while their group of ranks does not serve, and releases them once it serves again.
+//!
+//! [`gate`] decides; this module keeps one gate per group and wakes the requests that wait at it.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,38 +11,38 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What one request may do.
+/// Whether a request may be sent to its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Pass {
-    /// Be sent.
+    /// The request may be sent.
     Go,
     /// The group stays closed for longer than the request can wait.
     Closed,
 }
 
-/// The gates of all groups.
+/// The gates of all groups, by group name.
 #[derive(Debug, Default)]
 pub(crate) struct Gates {
     by_group: Mutex<HashMap<String, Held>>,
 }
 
-/// One group's gate, and those who wait before it.
+/// The gate of one group, and the channel that wakes the requests waiting at it.
 #[derive(Debug, Default)]
 struct Held {
     gate: Gate,
-    /// Counts openings.
+    /// Number of times that the gate has opened.
     openings: watch::Sender<u64>,
 }
 
 impl Held {
     fn opened(&self, group: &str, closed: Duration) {
         self.openings.send_modify(|openings| *openings += 1);
-        log::info!(target: DECISION, decision = "gate_open", group, closed_ms = closed.as_millis() as u64; "the group runs again");
+        log::info!(target: DECISION, decision = "gate_open", group, closed_ms = closed.as_millis() as u64; "group is serving again");
     }
 }
 
 impl Gates {
-    /// Waits until a request may be sent to `group`, at most until `until`.
+    /// Waits until a request may be sent to `group`, but no longer than `until`.
     pub(crate) async fn pass(&self, group: &str, until: Instant) -> Pass {
         loop {
             let (next_try, mut openings) = {
@@ -61,21 +63,21 @@
         }
     }
 
-    /// Whether `group` does not run as far as is known here, and it is not yet time to try again.
+    /// Whether `group` is known not to serve and no probe is due yet.
     pub(crate) fn is_closed(&self, group: &str) -> bool {
         self.lock().get(group).is_some_and(|held| held.gate.is_closed(now()))
     }
 
-    /// Notes that a target of `group` has turned a request away.
+    /// Records that a target of `group` rejected a request.
     pub(crate) fn turned_away(&self, group: &str) {
         let mut gates = self.lock();
         let held = gates.entry(group.to_owned()).or_default();
         if let Some(turned_away) = held.gate.turned_away(now()) {
-            log::info!(target: DECISION, decision = "gate_closed", group, turned_away; "the group turns everything away");
+            log::info!(target: DECISION, decision = "gate_closed", group, turned_away; "group rejects all requests");
         }
     }
 
-    /// Notes that a request sent to `group` was not turned away within [`gate::TAKEN_AFTER`].
+    /// Records that a request sent to `group` was not rejected within [`gate::TAKEN_AFTER`].
     pub(crate) fn taken(&self, group: &str) {
         let mut gates = self.lock();
         let Some(held) = gates.get_mut(group) else { return };
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Notes that a target of `group` has begun a request.
+    /// Records that a target of `group` has started to answer a request.
     pub(crate) fn answered(&self, group: &str) {
         let mut gates = self.lock();
         let Some(held) = gates.get_mut(group) else { return };
--- a/crates/sparscale_gateway/src/loads.rs
+++ b/crates/sparscale_gateway/src/loads.rs
@@ -1,4 +1,7 @@
-//! What this entry has at each target, and how the targets have answered lately.
+//! Chooses targets by load: counts the requests that this entry has at each target and tracks recent failures.
+//!
+//! Many entries choose from the same delayed load reports. Without a weighted random choice all of them would send to
+//! the same least loaded target until the next report.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,31 +16,32 @@
 use crate::slow::Slow;
 use crate::tried::Tried;
 
-/// First time for which a target that failed is passed over; doubled with each failure in a row.
+/// How long a target is avoided after its first failure; doubled with each consecutive failure.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(250);
-/// Doublings of that time at most.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time for which a target that is gone is passed over; the roster drops it within this. Without it a request whose route
-/// allows two targets is sent to two that are gone, right after a restart, and refused.
+/// How long a target is avoided whose address now belongs to another incarnation; the roster removes it within this
+/// time. Otherwise a request whose route allows two targets could be sent to two such targets right after a restart,
+/// and be rejected.
 const GONE_AVOIDANCE: Duration = Duration::from_secs(10);
-/// Age of a rank's load when it is used, on the mean: it is read and told each 100 ms, and told on once.
+/// Mean age of a rank's load at the time of use: it is read and reported every 100 ms, and forwarded once.
 const STALE: Duration = Duration::from_millis(150);
-/// Span over which this entry's sends are counted, as a sample of what all entries send.
+/// Window over which the sends of this entry are counted, to estimate the send rate of all entries.
 const RATE_SPAN: Duration = Duration::from_secs(1);
-/// What speaks against a target in another hall, in requests on top of those that it has.
+/// Penalty for a target in another hall, as a number of additional requests.
 const OTHER_HALL: f64 = 0.5;
 
-/// One target, as this entry sees it.
+/// State of one target, as observed by this entry.
 #[derive(Debug, Default)]
 struct State {
-    /// Requests of this entry that have not ended.
+    /// Requests of this entry that have not finished.
     running: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
     avoid_until: Option<Instant>,
-    /// Whether its address was seen to be another's.
+    /// Whether another incarnation answered at its address.
     gone: bool,
-    /// Sends that a report may not hold yet.
+    /// Recent sends that the latest load report may not include yet.
     unreported: VecDeque<Instant>,
 }
 
@@ -51,31 +55,31 @@
     }
 }
 
-/// All targets.
+/// The load and recent failures of all targets.
 #[derive(Debug)]
 pub(crate) struct Loads {
     targets: Mutex<HashMap<Incarnation, State>>,
-    /// Entries that send to the same targets, this one included.
+    /// Number of entries that send to the same targets, including this one.
     entries: Arc<AtomicUsize>,
-    /// Sends of this entry to groups within [`RATE_SPAN`].
+    /// Sends of this entry to targets in groups within the last [`RATE_SPAN`].
     sends: Mutex<VecDeque<Instant>>,
-    /// Targets that hold their groups back.
+    /// Targets that slow their groups down.
     pub(crate) slow: Slow,
 }
 
-/// What a request looks for.
+/// Selects the targets that a request may be sent to.
 #[derive(Debug)]
 pub(crate) struct Search<'a> {
     pub(crate) service: &'a str,
-    /// The only group that it may go to, if it has one.
+    /// The only group that the request may go to, if it is bound to one.
     pub(crate) group: Option<&'a str>,
-    /// Targets that are left out.
+    /// Targets to exclude.
     pub(crate) tried: &'a Tried,
-    /// Hall of the entry.
+    /// Hall of this entry, preferred over others.
     pub(crate) hall: &'a str,
 }
 
-/// A request that counts as running at a target until this is dropped.
+/// Counts a request as in flight at a target until dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
     loads: Arc<Loads>,
@@ -84,7 +88,7 @@
 }
 
 impl Loads {
-    /// Nothing is known yet; `entries` is how many send to the same targets.
+    /// Starts without any observations; `entries` counts the entries that send to the same targets.
     pub(crate) fn new(entries: Arc<AtomicUsize>) -> Self {
         Self {
             targets: Mutex::default(),
@@ -94,10 +98,11 @@
         }
     }
 
-    /// The target that `search` is for, among those that `may_take` allows.
+    /// Chooses a target for `search` among those that `may_take` accepts.
     ///
-    /// Among ranks whose loads were told, so that all entries together fill them evenly (see [`sparscale_policy::spread`]); else the
-    /// one that this entry has least at. A target that failed a moment ago is taken only if there is no other.
+    /// Targets with a reported load are drawn at random so that all entries together fill them evenly (see
+    /// [`sparscale_policy::spread`]). Without any reported load it is the target with the fewest requests of this
+    /// entry. A target that failed recently is chosen only if there is no other.
     pub(crate) fn choose(
         &self,
         targets: &Directory,
@@ -132,7 +137,8 @@
         self.spread(&told, part, search.hall).cloned()
     }
 
-    /// Whether a later entry names the address of `seat`, and nothing has shown yet that this one is not there.
+    /// Whether a newer roster entry has the address of `seat`, unless that newer target was itself found to be
+    /// replaced.
     fn is_superseded(&self, targets: &Directory, seat: &Seat) -> bool {
         if !seat.target.superseded {
             return false;
@@ -147,7 +153,8 @@
             .is_some_and(|state| state.gone && state.avoided(now))
     }
 
-    /// The target that this entry has least at, in proportion to its slots; of equals one in the same hall, then any.
+    /// The target with the fewest requests of this entry per slot. Ties go to the entry's own hall, then to a random
+    /// one.
     fn least<'t>(&self, ready: impl Iterator<Item = &'t Seat>, hall: &str) -> Option<&'t Seat> {
         let now = Instant::now();
         let targets = self.lock();
@@ -167,8 +174,8 @@
         best.map(|(_, seat)| seat)
     }
 
-    /// One of the targets whose load was told, drawn so that all entries together fill them evenly; `part` of their
-    /// requests come to these.
+    /// Draws one of the targets with a reported load, so that all entries together fill them evenly. `part` is the
+    /// fraction of this entry's requests that may go to these targets.
     fn spread<'t>(&self, told: &[(&'t Seat, RankLoad)], part: f64, hall: &str) -> Option<&'t Seat> {
         let now = Instant::now();
         let expected = self.expected(now) * part;
@@ -183,11 +190,11 @@
             let state = targets.get(&seat.key);
             let own = state.map_or(0, |state| state.running);
             let unreported = state.map_or(0, |state| state.unreported(now));
-            // What is told holds this entry's own requests, too, as they were then.
+            // The report includes the requests of this entry as of the time it was made.
             let running = f64::from(own).max(f64::from(load.running + load.queued) + unreported as f64);
             let distance = if target.hall == hall { 0.0 } else { OTHER_HALL };
             let capacity = f64::from(target.slots.max(1)) / load.pace();
-            // The request itself takes longer there, too.
+            // The request itself takes longer on a slower rank.
             let slowness = (load.pace() - 1.0).max(0.0) / f64::from(target.slots.max(1));
             Candidate {
                 load: (running + distance) / capacity + slowness,
@@ -199,7 +206,7 @@
         open.get(chosen).map(|(seat, _)| *seat)
     }
 
-    /// Requests that other entries send until something new is told, if they send as much as this one.
+    /// Requests that the other entries send before the next report, if each sends at the rate of this one.
     fn expected(&self, now: Instant) -> f64 {
         let mut sends = self.sends.lock().unwrap_or_else(PoisonError::into_inner);
         while sends.front().is_some_and(|sent| *sent + RATE_SPAN < now) {
@@ -210,7 +217,7 @@
         rate * others as f64 * STALE.as_secs_f64()
     }
 
-    /// Counts a request as running at `target`.
+    /// Counts a request as in flight at the target of `seat`.
     pub(crate) fn enter(self: &Arc<Self>, seat: &Seat) -> Running {
         let now = Instant::now();
         if seat.target.membership.is_some() {
@@ -231,7 +238,7 @@
         }
     }
 
-    /// Notes a good answer of a target.
+    /// Records a successful answer of a target.
     pub(crate) fn note_good(&self, target: Incarnation) {
         if let Some(state) = self.lock().get_mut(&target) {
             state.failures = 0;
@@ -240,7 +247,7 @@
         }
     }
 
-    /// Notes a failure of a target: it is avoided for a while.
+    /// Records a failure of a target, which is then avoided for a while.
     pub(crate) fn note_failure(&self, target: Incarnation) {
         let mut targets = self.lock();
         let state = targets.entry(target).or_default();
@@ -249,7 +256,7 @@
         state.avoid_until = Some(Instant::now() + FIRST_AVOIDANCE * 2_u32.pow(doublings));
     }
 
-    /// Notes that a target is not there any more: it is avoided until the roster drops it.
+    /// Records that another incarnation has the address of a target, which is then avoided until the roster removes it.
     pub(crate) fn note_gone(&self, target: Incarnation) {
         let mut targets = self.lock();
         let state = targets.entry(target).or_default();
@@ -257,7 +264,7 @@
         state.gone = true;
     }
 
-    /// Forgets targets that are gone and have nothing running.
+    /// Drops the state of targets that left the roster and have no requests in flight.
     pub(crate) fn retain(&self, targets: &Directory) {
         self.lock()
             .retain(|target, state| state.running > 0 || targets.find(*target).is_some());
@@ -276,7 +283,7 @@
     }
 }
 
-/// What speaks against a target, the weightiest first.
+/// Cost of choosing a target; fields in order of precedence.
 struct Cost {
     avoided: bool,
     load: f64,
--- a/crates/sparscale_gateway/src/phase.rs
+++ b/crates/sparscale_gateway/src/phase.rs
@@ -1,19 +1,19 @@
-//! How far this entry has got with serving callers, and with stopping.
+//! Phases of an entry from serving callers to shutdown.
 
 use std::sync::atomic::AtomicUsize;
 
-/// Whether callers are still served.
+/// Whether the entry accepts callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Yes.
+    /// Callers are served normally.
     Serving,
-    /// The balancer is being told; new requests are served, and answers close their connections.
+    /// The load balancer is being notified; new requests are still served, and each answer closes its connection.
     Leaving,
-    /// Idle connections are closed, and nothing new is accepted.
+    /// Idle connections are closed, and no new ones are accepted.
     Closing,
 }
 
-/// Counts connections and requests that are in progress.
+/// Counts the open connections from callers.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     pub(crate) connections: AtomicUsize,
--- a/crates/sparscale_gateway/src/refusal.rs
+++ b/crates/sparscale_gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The entry's own answers: why a request was not served, and when to come back.
+//! Answers that the entry itself gives for requests that are not served: the reason, and when to retry.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 pub enum Reason {
     /// No catalog is known yet.
     NoCatalog,
-    /// The catalog is too old to tell whether the request may run.
+    /// The catalog is too old to decide whether the request may run.
     StaleCatalog,
-    /// No route fits host and path.
+    /// No route matches host and path.
     NoRoute,
     /// The key is unknown.
     NoKey,
@@ -26,34 +26,34 @@
     BodyTooLong,
     /// The body did not arrive in time.
     BodyLate,
-    /// The body cannot be read.
+    /// The body could not be read.
     BodyBroken,
-    /// No target of the service takes work.
+    /// No target of the service accepts requests.
     NoTarget,
-    /// All targets have as much as they can serve in time.
+    /// All targets already have as many requests as they can serve in time.
     Busy,
-    /// The group of targets does not run now.
+    /// The group of targets does not serve now.
     GroupClosed,
-    /// All targets of the service have asked for less than what comes.
+    /// All targets of the service limit their request rate or have requested a backoff.
     Throttled,
-    /// Targets turned the request away without running it.
+    /// Targets rejected the request without running it.
     TurnedAway,
     /// No target could be reached.
     Unreachable,
-    /// Targets ended under it: it is held back, so that no more do.
+    /// Targets terminated while running the request, so it is quarantined to protect the others.
     Quarantined,
-    /// This process does not know yet which requests are held back.
+    /// This process has not read the list of quarantined requests yet.
     Starting,
-    /// The time was over before the request was sent.
+    /// The deadline passed before the request was sent.
     TooLate,
-    /// It was sent, and no whole answer came in time.
+    /// The request was sent, and no complete answer arrived in time.
     NoAnswer,
-    /// It was sent, and the answer broke off or was not the target's.
+    /// The request was sent, and the answer was interrupted or did not come from the target.
     BrokenAnswer,
 }
 
 impl Reason {
-    /// Name in logs and answers.
+    /// Name of the reason in log lines and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoCatalog => "no_catalog",
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Status of the answer. 408, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status of the response. 408, 429 and 503 guarantee that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -104,17 +104,17 @@
     }
 }
 
-/// A request that is not served.
+/// The response to a request that is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is not served.
     pub reason: Reason,
-    /// When to come back, where that helps.
+    /// Time to wait before a retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that nothing is to be gained from repeating.
+    /// A refusal that a retry would not change.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// A refusal of a request whose own time was over: nothing here speaks against another one right away.
+    /// A refusal of a request whose time ran out; a new request may be sent at once.
     pub fn at_once(reason: Reason) -> Self {
         Self::retry(reason, Duration::ZERO)
     }
 
-    /// A refusal of a request that may be sent again after `wait`.
+    /// A refusal of a request that may be retried after `wait`.
     pub fn retry(reason: Reason, wait: Duration) -> Self {
         Self {
             reason,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The answer; it carries the request's id as a target's would.
+    /// The HTTP response, with the request id echoed as a target would.
     pub(crate) fn response(self, request_id: &HeaderName, id: Option<&HeaderValue>) -> Response<Body> {
         let text = format!("{{\"error\":\"{}\"}}\n", self.reason.name());
         let body = Full::new(Bytes::from(text))
--- a/crates/sparscale_gateway/src/silences.rs
+++ b/crates/sparscale_gateway/src/silences.rs
@@ -1,4 +1,7 @@
-//! Watches every wait for a target; see [`silence`](sparscale_policy::silence).
+//! Detects targets that stop responding while requests wait for them.
+//!
+//! A suspended box leaves requests unanswered until their callers give up. The limits come from
+//! [`silence`](sparscale_policy::silence); this module observes the responses and checks each wait.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,46 +12,46 @@
 use sparscale_wire::GroupLoad;
 use tokio::time::Instant;
 
-/// Time between two looks at a target whose silence is longer than usual.
+/// Interval between the checks of a target that has not responded yet.
 const LOOK_PAUSE: Duration = Duration::from_millis(40);
-/// Shortest silence at which it is looked at all.
+/// Time without a response before the first check.
 const FIRST_LOOK: Duration = Duration::from_millis(120);
-/// What a look may come late before this process counts as having stood still itself: then nothing was heard because nobody
-/// listened.
+/// Delay of a check from which on this process itself is assumed to have been suspended: it then could not have
+/// received any response, and the wait starts again.
 const STOOD_STILL: Duration = Duration::from_millis(150);
 
-/// A silence that is not borne any longer, and what speaks for it.
+/// A target found unresponsive, and the evidence for it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Verdict {
     pub(crate) evidence: Evidence,
     pub(crate) silence: Duration,
 }
 
-/// What is known of all targets that answer requests of this entry.
+/// Response times and load reports of all targets that serve requests of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Silences {
     heard: Mutex<Register>,
 }
 
 impl Silences {
-    /// Notes that a target has given what it owed since `since`.
+    /// Records that a target has sent the awaited response; the wait began at `since`.
     pub(crate) fn note(&self, seat: &Seat, awaited: Awaited, since: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(since);
         self.lock().note(seat, awaited, took, now.into_std());
     }
 
-    /// Takes in what a conductor tells of its group.
+    /// Records a load report from the leader of a group.
     pub(crate) fn note_told(&self, load: &GroupLoad) {
         self.lock().note_told(load, Instant::now().into_std());
     }
 
-    /// Forgets what is gone.
+    /// Drops the state of groups and services that `targets` no longer contains.
     pub(crate) fn retain(&self, targets: &Directory) {
         self.lock().retain(targets);
     }
 
-    /// Returns once the target of `wait` has been silent for too long, counted from now.
+    /// Returns once the target of `wait` has been unresponsive for too long, counted from the call.
     pub(crate) async fn outlasted(&self, wait: Wait<'_>) -> Verdict {
         let _waiting = Waiting::new(self, wait.seat);
         let mut since = Instant::now();
@@ -77,7 +80,7 @@
     }
 }
 
-/// A wait for a target, until this is dropped.
+/// Counts a wait for a target until dropped.
 struct Waiting<'a> {
     silences: &'a Silences,
     seat: &'a Seat,
--- a/crates/sparscale_gateway/src/slow.rs
+++ b/crates/sparscale_gateway/src/slow.rs
@@ -1,4 +1,4 @@
-//! Keeps who holds the whole group back; see [`slow`].
+//! Tracks the stragglers: targets that slow down the whole group they belong to; see [`slow`].
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,18 +10,18 @@
 use sparscale_wire::GroupLoad;
 use tokio::sync::watch;
 
-/// Loads of a group, and the ranks that hold it back by them.
+/// The load report of a group, and the ranks that are stragglers according to it.
 type SlowRanks = (Arc<GroupLoad>, Vec<usize>);
 
-/// Targets that hold their groups back.
+/// The current stragglers.
 #[derive(Debug, Default)]
 pub(crate) struct Slow {
     targets: watch::Sender<BTreeSet<Incarnation>>,
 }
 
 impl Slow {
-    /// Works out anew who is slow, from the latest loads of the groups of `targets`. A load that was read before a target's
-    /// present start says nothing about it.
+    /// Recomputes the stragglers from the latest load reports of the groups of `targets`. A report made before the
+    /// current start of a target is ignored for that target.
     pub(crate) fn update(&self, mesh: &Mesh, targets: &Directory) {
         let mut groups: HashMap<&str, Option<SlowRanks>> = HashMap::new();
         let mut found = BTreeSet::new();
@@ -43,7 +43,7 @@
         self.targets.send_if_modified(|known| {
             let changed = *known != found;
             if changed {
-                log::info!(target: DECISION, decision = "slow_targets", before = known.len(), now:? = names; "targets that hold their groups back");
+                log::info!(target: DECISION, decision = "slow_targets", before = known.len(), now:? = names; "stragglers changed");
                 *known = found;
             }
             changed
@@ -54,7 +54,7 @@
         self.targets.borrow().contains(&target)
     }
 
-    /// Returns once `target` is slow.
+    /// Returns once `target` is a straggler.
     pub(crate) async fn becomes(&self, target: Incarnation) {
         let mut targets = self.targets.subscribe();
         if targets.wait_for(|slow| slow.contains(&target)).await.is_err() {
--- a/crates/sparscale_gateway/src/split.rs
+++ b/crates/sparscale_gateway/src/split.rs
@@ -1,21 +1,21 @@
-//! Splits a route's requests among its services, in proportion to their weights.
+//! Splits the requests of a route among its services in proportion to their weights (smooth weighted round-robin).
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
 use sparscale_catalog::Share;
 
-/// Credit of each service of each route: what it is owed of the requests so far.
+/// Credit of each service, by route: the share of past requests that it has not received yet, in units of weight.
 #[derive(Debug, Default)]
 pub(crate) struct Splits {
     credits: Mutex<HashMap<String, HashMap<String, i64>>>,
 }
 
 impl Splits {
-    /// The service whose turn it is; services that are not `there` are passed over while another one is.
+    /// Chooses the service for the next request; services that are not `there` are skipped while another one is.
     ///
-    /// Each turn gives each service its weight in credit and takes the sum from the one that is chosen, so that any
-    /// run of requests is split as the weights say.
+    /// Each call adds its weight to the credit of each candidate and subtracts the sum of these weights from the chosen
+    /// one, so that the requests of any period are split by weight.
     pub(crate) fn next(&self, route: &str, shares: &[Share], there: impl Fn(&str) -> bool) -> Option<String> {
         if let [only] = shares {
             return Some(only.service.clone());
@@ -38,7 +38,7 @@
         Some(chosen.service.clone())
     }
 
-    /// Forgets routes that are gone.
+    /// Drops the credits of routes that no longer exist.
     pub(crate) fn retain(&self, known: impl Fn(&str) -> bool) {
         let mut credits = self.credits.lock().unwrap_or_else(PoisonError::into_inner);
         credits.retain(|route, _| known(route));
--- a/crates/sparscale_gateway/src/tries.rs
+++ b/crates/sparscale_gateway/src/tries.rs
@@ -1,35 +1,36 @@
-//! The sends of one request so far, and the best that can be said of them.
+//! State of one request over its attempts, and the answer or refusal to return when no further attempt is made.
 
 use crate::answer::Answer;
 use crate::attempt::Reply;
 use crate::refusal::Refusal;
 use crate::tried::Tried;
 
-/// Tries that reach no target, at most; they cost a target nothing.
+/// Maximum number of unavailable targets per request. They don't count as attempts, as they received no work.
 const MAX_UNREACHED: u32 = 3;
 
-/// The sends of one request.
+/// The attempts made so far for one request.
 #[derive(Debug, Default)]
 pub(crate) struct Tries {
-    /// Service that takes the request, once it is chosen.
+    /// Service that takes the request, once chosen.
     pub(crate) service: Option<String>,
-    /// Group of ranks that takes the request, if one does.
+    /// Group of ranks that takes the request, if the service has groups.
     pub(crate) group: Option<String>,
-    /// Targets that it was sent to.
+    /// Targets that the request was sent to.
     pub(crate) tried: Tried,
-    /// Targets that were not reached, in a row or not.
+    /// Number of targets that were unreachable or replaced, consecutive or not.
     pub(crate) unreached: u32,
-    /// A target's own failure.
+    /// Error answer of a target, kept in case no later attempt succeeds.
     pub(crate) failure: Option<Reply>,
-    /// What to say after a send without an answer: from then on nobody may say that the request has not run.
+    /// Refusal to return after an attempt without a complete answer: the request may have run, so no later refusal may
+    /// claim that it has not.
     pub(crate) lost: Option<Refusal>,
-    /// What to say as long as every target has said that it has not run the request.
+    /// Refusal to return as long as every target has reported that it did not run the request.
     pub(crate) refusal: Option<Refusal>,
 }
 
 impl Tries {
-    /// The best that can be said now: a target's own failure, that nobody knows, a refusal that was met, or
-    /// `otherwise`.
+    /// The final result in order of preference: a target's error answer, the refusal for an unknown outcome, the
+    /// refusal for a request that did not run, or `otherwise`.
     pub(crate) fn give_up(&mut self, otherwise: Refusal) -> Result<Answer, Refusal> {
         match self.failure.take() {
             Some(failure) => Ok(Answer::Complete(failure)),
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Goes on after a target that is not there, which does not count as one that the request was sent to; a few times only,
-    /// and if `paid` says so. `refusal` is what to say of it.
+    /// Continues after an unavailable target, which does not count as an attempt, if the limit is not reached and
+    /// `paid` allows it. Otherwise returns the final result; `refusal` describes the failure.
     pub(crate) fn pass_over(
         &mut self,
         refusal: Refusal,
--- a/crates/sparscale_gateway/src/waiting.rs
+++ b/crates/sparscale_gateway/src/waiting.rs
@@ -1,4 +1,6 @@
-//! Carries out what the queues before groups decide; see [`queue`].
+//! Queues requests in front of groups of ranks, as [`queue`] decides: admits them, lets them wait, or rejects them.
+//!
+//! Under overload, requests beyond the headroom of a group would delay every stream that the group serves.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,53 +18,53 @@
 
 use crate::refusal::{Reason, Refusal};
 
-/// A request that wants in.
+/// A request that asks to be admitted to a group.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival<'a> {
-    /// Id of the request, for the log.
+    /// Request id, for the log.
     pub(crate) request: &'a str,
-    /// Group that it goes to.
+    /// Name of the group.
     pub(crate) group: &'a str,
     pub(crate) engine: &'a Engine,
-    /// Longest pause between events that its route allows.
+    /// Longest pause between events that the route allows.
     pub(crate) pause: Duration,
-    /// Time in which its first event is due.
+    /// Time within which the first event is due.
     pub(crate) objective: Duration,
-    /// 0 for the most urgent.
+    /// Priority; 0 is the most urgent.
     pub(crate) tier: u8,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub(crate) ranks: usize,
-    /// Part of them that take requests from this entry.
+    /// Fraction of the ranks that accept requests from this entry, 0 to 1.
     pub(crate) open_part: f64,
-    /// When it came.
+    /// When the request arrived.
     pub(crate) began: Instant,
-    /// What its caller spent on tries before it; worth counts from the first.
+    /// Time that the caller spent on earlier attempts; the value of a request is counted from its first attempt.
     pub(crate) spent: Duration,
-    /// How long its caller still waits, where that is told.
+    /// How much longer the caller waits, if it sent a deadline.
     pub(crate) left: Option<Duration>,
 }
 
-/// Held by each request of this entry that is in, and by the queue.
+/// Reference count of the admitted requests: each of them holds a clone, and so does the queue.
 type Token = Arc<()>;
 
-/// The queues of all groups.
+/// The queues of all groups, by group name.
 #[derive(Debug)]
 pub(crate) struct Queues {
     mesh: Arc<Mesh>,
-    /// Entries that share the room, this one included.
+    /// Number of entries that share the headroom, including this one.
     entries: Arc<AtomicUsize>,
     by_group: Mutex<HashMap<String, Held>>,
     tickets: AtomicUsize,
 }
 
-/// One group's queue, with what counts the requests that are in.
+/// The queue of one group, and the count of its admitted requests.
 #[derive(Debug)]
 struct Held {
     queue: Queue<oneshot::Sender<Token>>,
     token: Token,
 }
 
-/// Counts a request as inside until this is dropped.
+/// An admitted request; dropping it frees its place in the group.
 #[derive(Debug)]
 pub(crate) struct Permit {
     _token: Token,
@@ -81,12 +83,12 @@
         })
     }
 
-    /// Which of the groups a request is to wait for; `open` tells whether one runs.
+    /// Chooses the group to wait for; `open` reports whether a group is serving.
     pub(crate) fn choose<'a>(&self, arrivals: &[Arrival<'a>], open: impl Fn(&str) -> bool) -> Option<Arrival<'a>> {
         if let [arrival] = arrivals {
             return Some(*arrival);
         }
-        // A group that nobody leads is no choice while others are led: its targets may be another writer's.
+        // While any group has a leader, groups without one are excluded: their targets may belong to another writer.
         let led = |arrival: &Arrival<'_>| self.mesh.group(arrival.group).is_some();
         let any_led = arrivals.iter().any(led);
         let mut queues = self.lock();
@@ -103,7 +105,7 @@
         group::choose(&candidates, rand::random()).map(|chosen| arrivals[chosen])
     }
 
-    /// Lets a request in, at once or when room comes free; or refuses it with the time to come back.
+    /// Admits a request, at once or when headroom becomes free, or rejects it with a time to retry after.
     pub(crate) async fn enter(self: &Arc<Self>, arrival: Arrival<'_>) -> Result<Permit, Refusal> {
         let ticket = (arrival.tier, self.tickets.fetch_add(1, Ordering::Relaxed));
         let (waiting, limit) = {
@@ -135,13 +137,13 @@
         if let Ok(Ok(token)) = let_in {
             return Ok(self.permit(arrival.group, token));
         }
-        // Its time is short now and a refusal would come late: it goes in, and is served late at worst.
+        // The remaining time is short and a rejection would come too late: admit it, which is late at worst.
         let mut queues = self.lock();
         let token = self.refreshed(&mut queues, arrival).admit();
         Ok(self.permit(arrival.group, token))
     }
 
-    /// Lets waiting requests in after news of a group's loads.
+    /// Admits waiting requests after the load report of a group has changed.
     pub(crate) fn refresh(&self, group: Group<'_>, open_part: f64, engine: &Engine, pause: Duration) {
         let mut queues = self.lock();
         let arrival = Arrival {
@@ -160,7 +162,7 @@
         self.refreshed(&mut queues, arrival);
     }
 
-    /// Groups at whose queues requests wait.
+    /// Groups with requests in their backlog.
     pub(crate) fn crowded(&self) -> Vec<String> {
         let queues = self.lock();
         let crowded = queues.iter().filter(|(_, held)| held.queue.waiting() > 0);
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The group's queue, with its room worked out anew if there is news.
+    /// The queue of the group, with its headroom recomputed if there is a new load report.
     fn refreshed<'d>(&self, queues: &'d mut HashMap<String, Held>, arrival: Arrival<'_>) -> &'d mut Held {
         let held = queues.entry(arrival.group.to_owned()).or_insert_with(Held::new);
         let group = queue::Group {
@@ -209,7 +211,7 @@
     }
 }
 
-/// Takes a request out of the line when it stops waiting, for whatever reason.
+/// Removes a request from the backlog when it stops waiting for any reason, including cancellation.
 struct Waiting<'a> {
     queues: &'a Queues,
     group: &'a str,
@@ -225,7 +227,7 @@
 }
 
 impl Permit {
-    /// Notes that the stream let in by this permit has its first event.
+    /// Records that the stream admitted by this permit has received its first event.
     pub(crate) fn first_event(&self) {
         if let Some(held) = self.queues.lock().get_mut(&self.group) {
             held.queue.first_event(self.entered.elapsed());
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Requests of this entry that are in.
+    /// Number of admitted requests of this entry that have not finished.
     fn inside(&self) -> usize {
         Arc::strong_count(&self.token) - 1
     }
@@ -262,7 +264,7 @@
 
     fn let_in(&mut self) {
         while let Some(sender) = self.queue.next(now()) {
-            // One that has left meanwhile takes no room.
+            // A request that has stopped waiting in the meantime takes no headroom.
             if sender.send(Arc::clone(&self.token)).is_ok() {
                 self.queue.admit(now());
             }
@@ -272,7 +274,7 @@
     fn log_refusal(&self, arrival: &Arrival<'_>, expected: Duration, retry: Duration) {
         let queue = &self.queue;
         let room = queue.room();
-        log::info!(target: DECISION, decision = "turn_back", request = arrival.request, group = arrival.group, load:? = queue.order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = room.timely, late_room = room.late, waiting = queue.waiting(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no room in the group");
+        log::info!(target: DECISION, decision = "turn_back", request = arrival.request, group = arrival.group, load:? = queue.order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = room.timely, late_room = room.late, waiting = queue.waiting(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
     }
 }
 
