--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -16,17 +16,17 @@
 
 use crate::attempt::Outbound;
 use crate::body::Body;
-use crate::exchange::{Gateway, Job, header_of};
+use crate::exchange::{Gateway, Job, workspace_header};
 use crate::head::{Head, length_of};
 use crate::incoming::read_body;
 use crate::refusal::{Reason, Refusal};
 
 /// `Retry-After` of a rejection for missing or outdated state of this entry.
-const UNSURE_RETRY: Duration = Duration::from_millis(400);
+const INCOMPLETE_STATE_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time after the start of the process during which requests are rejected while the list of requests that crash targets
 /// has not been read. After that they are served: an unavailable store must not stop all traffic, and this entry also
 /// counts the targets that terminate under a request.
-const STRIKES_LIMIT: Duration = Duration::from_secs(2);
+const MAX_STRIKES_WAIT: Duration = Duration::from_secs(2);
 
 /// Maximum age of the catalog for decisions that depend on it.
 #[derive(Debug, Clone, Copy)]
@@ -49,23 +49,25 @@
     /// Current limits for requests from callers.
     pub(crate) fn limits(&self) -> Limits {
         let catalog = self.gateway.board.catalog();
-        catalog.map(|belief| *belief.value.limits()).unwrap_or_default()
+        catalog
+            .map(|observation| *observation.value.limits())
+            .unwrap_or_default()
     }
 
     /// Reads, checks and serves one request.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
-        let began = Instant::now();
+        let received_at = Instant::now();
         let (parts, incoming) = request.into_parts();
         let limits = self.limits();
-        let too_long = length_of(&parts) > limits.header_bytes;
+        let head_too_long = length_of(&parts) > limits.header_bytes;
         let head = Head::new(parts, &self.gateway.caller.dialect);
-        let refused = match read_body(incoming, &limits).await {
-            Ok(_) if too_long => Refusal::new(Reason::HeadTooLong),
-            Ok(body) => match self.admit(&head, began) {
+        let refusal = match read_body(incoming, &limits).await {
+            Ok(_) if head_too_long => Refusal::new(Reason::HeadTooLong),
+            Ok(body) => match self.admit(&head, received_at) {
                 Ok(admitted) => {
-                    let job = admitted.into_job(head, body, began);
-                    match self.gateway.held(job.outbound.fingerprint) {
-                        Some(refusal) => return self.refuse(&job.outbound.head, refusal),
+                    let job = admitted.into_job(head, body, received_at);
+                    match self.gateway.quarantine_refusal(job.outbound.fingerprint) {
+                        Some(refusal) => return self.reject(&job.outbound.head, refusal),
                         None => return self.gateway.serve(job).await,
                     }
                 }
@@ -73,70 +75,74 @@
             },
             Err(refusal) => refusal,
         };
-        self.refuse(&head, refused)
+        self.reject(&head, refusal)
     }
 
-    fn refuse(&self, head: &Head, refused: Refusal) -> Response<Body> {
-        self.gateway.figures.refused(refused.reason);
-        log_refusal(head, refused, &self.gateway.board);
-        refused.response(&self.gateway.caller.dialect.request_id, head.id.as_ref())
+    fn reject(&self, head: &Head, refusal: Refusal) -> Response<Body> {
+        self.gateway.figures.refused(refusal.reason);
+        log_refusal(head, refusal, &self.gateway.board);
+        refusal.response(&self.gateway.caller.dialect.request_id, head.id.as_ref())
     }
 
-    fn admit(&self, head: &Head, began: Instant) -> Result<Admitted, Refusal> {
-        let unsure = |reason| Refusal::retry(reason, UNSURE_RETRY);
-        let belief = self.gateway.board.catalog().ok_or_else(|| unsure(Reason::NoCatalog))?;
-        let age = belief.age(self.gateway.board.now());
+    fn admit(&self, head: &Head, received_at: Instant) -> Result<AdmittedRequest, Refusal> {
+        let retry_later = |reason| Refusal::with_retry_after(reason, INCOMPLETE_STATE_RETRY_DELAY);
+        let observation = self
+            .gateway
+            .board
+            .catalog()
+            .ok_or_else(|| retry_later(Reason::NoCatalog))?;
+        let age = observation.age(self.gateway.board.now());
         // A missing route or key may have been added since the catalog was read.
         let deny = |reason| {
             if age > self.freshness.denial {
-                unsure(Reason::StaleCatalog)
+                retry_later(Reason::StaleCatalog)
             } else {
                 Refusal::new(reason)
             }
         };
-        let catalog = belief.value;
-        let route = catalog.route_of(&head.host, head.path.path());
-        let route = route.ok_or_else(|| deny(Reason::NoRoute))?;
-        let (workspace, tier) = match catalog.access(route, head.bearer.as_deref()) {
-            Access::Denied => return Err(deny(Reason::NoKey)),
+        let catalog = observation.value;
+        let route_key = catalog.route_of(&head.host, head.path.path());
+        let route_key = route_key.ok_or_else(|| deny(Reason::NoRoute))?;
+        let (workspace, tier) = match catalog.access(route_key, head.bearer.as_deref()) {
+            Access::Denied => return Err(deny(Reason::UnknownKey)),
             Access::Open => (None, None),
-            Access::Workspace(_) if age > self.freshness.keyed => return Err(unsure(Reason::StaleCatalog)),
+            Access::Workspace(_) if age > self.freshness.keyed => return Err(retry_later(Reason::StaleCatalog)),
             Access::Workspace(workspace) => (Some(workspace.name.clone()), workspace.tier),
         };
         if self.gateway.board.quarantine.age().is_none()
-            && self.gateway.board.now().since(self.gateway.started) < STRIKES_LIMIT
+            && self.gateway.board.now().since(self.gateway.started) < MAX_STRIKES_WAIT
         {
-            return Err(unsure(Reason::Starting));
+            return Err(retry_later(Reason::Starting));
         }
-        let described = catalog.route(route);
-        let allowed = head
+        let route = catalog.route(route_key);
+        let timeout = head
             .deadline
-            .map_or(described.timeout, |deadline| deadline.min(described.timeout));
-        Ok(Admitted {
+            .map_or(route.timeout, |deadline| deadline.min(route.timeout));
+        Ok(AdmittedRequest {
             workspace,
-            until: began + allowed,
-            due: self.gateway.board.now() + allowed.saturating_sub(began.elapsed()),
-            tier: tier.unwrap_or(described.tier),
-            may_repeat: described.kind.may_repeat(),
-            route,
+            deadline: received_at + timeout,
+            deadline_timestamp: self.gateway.board.now() + timeout.saturating_sub(received_at.elapsed()),
+            tier: tier.unwrap_or(route.tier),
+            retryable: route.kind.may_repeat(),
+            route: route_key,
             catalog,
         })
     }
 }
 
 /// What the catalog says about an admitted request.
-struct Admitted {
+struct AdmittedRequest {
     catalog: Arc<Catalog>,
     route: sparscale_catalog::RouteKey,
     workspace: Option<String>,
     tier: u8,
-    until: Instant,
-    due: Moment,
-    may_repeat: bool,
+    deadline: Instant,
+    deadline_timestamp: Moment,
+    retryable: bool,
 }
 
-impl Admitted {
-    fn into_job(self, head: Head, body: bytes::Bytes, began: Instant) -> Job {
+impl AdmittedRequest {
+    fn into_job(self, head: Head, body: bytes::Bytes, received_at: Instant) -> Job {
         let workspace = self.workspace.as_deref();
         let fingerprint = Fingerprint::of(head.method.as_str(), head.path.as_str(), workspace, &body);
         Job {
@@ -144,16 +150,16 @@
                 head,
                 body,
                 fingerprint,
-                workspace: workspace.and_then(header_of),
-                until: self.until,
-                due: self.due,
-                may_repeat: self.may_repeat,
+                workspace: workspace.and_then(workspace_header),
+                until: self.deadline,
+                deadline_timestamp: self.deadline_timestamp,
+                may_repeat: self.retryable,
                 last_event: None,
                 urgency: Some(self.tier.min(9)),
             },
             catalog: self.catalog,
             route: self.route,
-            began,
+            began: received_at,
         }
     }
 }
@@ -165,8 +171,8 @@
         decision = "refuse",
         request = head.id_text(),
         reason = refusal.reason.name(),
-        version = catalog.as_ref().map(|belief| belief.position.offset),
-        age_ms = catalog.map(|belief| belief.age(board.now()).as_millis() as u64);
+        version = catalog.as_ref().map(|observation| observation.position.offset),
+        age_ms = catalog.map(|observation| observation.age(board.now()).as_millis() as u64);
         "request rejected"
     );
 }
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -24,7 +24,7 @@
 use crate::pool::{Connection, Pool, connect};
 
 /// Bytes of a reply that are buffered before any of them goes to the caller. A longer reply is forwarded as it arrives.
-const COLLECTED_BYTES: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// A request in the form that is sent to targets.
 #[derive(Debug, Clone)]
@@ -38,7 +38,7 @@
     pub(crate) until: Instant,
     /// The same deadline by the clock that counts suspended time, as the caller's wait goes on while this box is
     /// suspended.
-    pub(crate) due: Moment,
+    pub(crate) deadline_timestamp: Moment,
     /// Whether the request may run more than once.
     pub(crate) may_repeat: bool,
     /// Event id after which a resumed stream continues, if it differs from the one that the caller sent.
@@ -55,11 +55,11 @@
     /// The connection was lost.
     Broken,
     /// The reply carries the id of another request.
-    Foreign,
+    RequestIdMismatch,
     /// The reply has no digest, or an encoding that was not requested.
     Spoiled,
     /// The status guarantees that the request has not run, but the target did not confirm it.
-    Unfounded,
+    UnconfirmedRejection,
 }
 
 impl Loss {
@@ -67,26 +67,26 @@
         match self {
             Self::Timeout => "timeout",
             Self::Broken => "broken",
-            Self::Foreign => "foreign",
+            Self::RequestIdMismatch => "foreign",
             Self::Spoiled => "spoiled",
-            Self::Unfounded => "unfounded",
+            Self::UnconfirmedRejection => "unfounded",
         }
     }
 }
 
 /// Outcome of sending a request to a target.
 #[derive(Debug)]
-pub(crate) enum Outcome {
+pub(crate) enum SendOutcome {
     /// The target could not be reached; nothing was sent.
     NotSent,
     /// The target reported that it did not run the request.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// A complete reply.
     Complete(Reply),
     /// A reply whose head has arrived and whose body is still arriving.
-    Begun(Begun),
+    Partial(Begun),
     /// The request may have run, but there is no complete reply.
-    Lost(Loss),
+    ReplyLost(Loss),
 }
 
 /// A rejection by a target.
@@ -101,9 +101,9 @@
 
 impl Rejection {
     /// Whether it shows that `target` no longer exists, because another incarnation has its address.
-    pub(crate) fn is_gone(&self, target: &Target) -> bool {
-        let other = self.at_fault.as_deref().is_some_and(|name| !is_named(target, name));
-        self.status == StatusCode::MISDIRECTED_REQUEST && !other
+    pub(crate) fn is_replaced(&self, target: &Target) -> bool {
+        let other_at_fault = self.at_fault.as_deref().is_some_and(|name| !is_named(target, name));
+        self.status == StatusCode::MISDIRECTED_REQUEST && !other_at_fault
     }
 }
 
@@ -135,7 +135,7 @@
 pub(crate) struct Rest {
     incoming: Incoming,
     connection: Option<Connection>,
-    answer: HeaderMap,
+    headers: HeaderMap,
     target: Incarnation,
     pool: Arc<Pool>,
 }
@@ -153,58 +153,59 @@
 
 impl Caller {
     /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other replies once complete
-    /// or longer than [`COLLECTED_BYTES`].
-    pub(crate) async fn send(&self, seat: &Seat, outbound: &Outbound) -> Outcome {
-        let connection = match self.connection(seat, outbound).await {
+    /// or longer than [`MAX_BUFFERED_BYTES`].
+    pub(crate) async fn send(&self, instance: &Seat, outbound: &Outbound) -> SendOutcome {
+        let connection = match self.connection(instance, outbound).await {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!(target = seat.target.id.as_str(), error = error.to_string().as_str(); "connecting to the target failed");
-                return Outcome::NotSent;
+                log::debug!(target = instance.target.id.as_str(), error = error.to_string().as_str(); "connecting to the target failed");
+                return SendOutcome::NotSent;
             }
         };
-        let answered = tokio::time::timeout_at(outbound.until, self.exchange(seat, outbound, connection));
-        answered.await.unwrap_or(Outcome::Lost(Loss::Timeout))
+        let reply = tokio::time::timeout_at(outbound.until, self.exchange(instance, outbound, connection));
+        reply.await.unwrap_or(SendOutcome::ReplyLost(Loss::Timeout))
     }
 
-    async fn connection(&self, seat: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
-        let max_rest = if outbound.may_repeat {
+    async fn connection(&self, instance: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
+        let max_idle = if outbound.may_repeat {
             Duration::MAX
         } else {
             self.max_rest_once
         };
-        match self.pool.take(seat.key, max_rest) {
+        match self.pool.take(instance.key, max_idle) {
             Some(connection) => Ok(connection),
-            None => connect(seat.target.address).await,
+            None => connect(instance.target.address).await,
         }
     }
 
-    async fn exchange(&self, chosen: &Seat, outbound: &Outbound, connection: Connection) -> Outcome {
-        let target = &chosen.target;
+    async fn exchange(&self, instance: &Seat, outbound: &Outbound, connection: Connection) -> SendOutcome {
+        let target = &instance.target;
         let mut connection = connection;
         let request = self.request(target, outbound);
-        let mut sent = connection.sender.try_send_request(request).await;
-        if !connection.fresh && matches!(&sent, Err(error) if error.message().is_some()) {
+        let mut result = connection.sender.try_send_request(request).await;
+        if !connection.fresh && matches!(&result, Err(error) if error.message().is_some()) {
             // The target closed the idle connection before anything was written: retry on a new one.
             connection = match connect(target.address).await {
                 Ok(connection) => connection,
-                Err(_) => return Outcome::NotSent,
+                Err(_) => return SendOutcome::NotSent,
             };
-            sent = connection.sender.try_send_request(self.request(target, outbound)).await;
+            result = connection.sender.try_send_request(self.request(target, outbound)).await;
         }
-        let (parts, incoming) = match sent {
+        let (parts, incoming) = match result {
             Ok(response) => response.into_parts(),
-            Err(error) if error.message().is_some() => return Outcome::NotSent,
-            Err(_) => return Outcome::Lost(Loss::Broken),
+            Err(error) if error.message().is_some() => return SendOutcome::NotSent,
+            Err(_) => return SendOutcome::ReplyLost(Loss::Broken),
         };
-        let signal = self.note_signal(chosen, &parts, outbound);
-        match self.judge(&parts, outbound) {
-            Verdict::Lost(loss) => Outcome::Lost(loss),
-            Verdict::Refused => {
+        let signal = self.record_signal(instance, &parts, outbound);
+        match self.classify(&parts, outbound) {
+            ReplyClass::Unusable(error) => SendOutcome::ReplyLost(error),
+            ReplyClass::Rejected => {
                 let rejection = self.rejection(&parts, signal);
-                self.give_back(chosen.key, connection, incoming, &parts.headers).await;
-                Outcome::Refused(rejection)
+                self.return_connection(instance.key, connection, incoming, &parts.headers)
+                    .await;
+                SendOutcome::Rejected(rejection)
             }
-            Verdict::Answered => self.collect(chosen.key, parts, incoming, connection).await,
+            ReplyClass::Answered => self.collect(instance.key, parts, incoming, connection).await,
         }
     }
 
@@ -217,18 +218,21 @@
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(dialect.expected_target.clone(), id);
         }
-        let left = outbound.due.since(self.clock.now());
-        headers.insert(dialect.deadline.clone(), HeaderValue::from(left.as_millis() as u64));
+        let time_left = outbound.deadline_timestamp.since(self.clock.now());
+        headers.insert(
+            dialect.deadline.clone(),
+            HeaderValue::from(time_left.as_millis() as u64),
+        );
         if let Some(workspace) = &outbound.workspace {
             headers.insert(dialect.workspace.clone(), workspace.clone());
         }
         if let Some(urgency) = outbound.urgency {
             headers.insert(dialect.urgency.clone(), HeaderValue::from(u16::from(urgency)));
         }
-        if let Some(last) = outbound.last_event {
+        if let Some(last_event) = outbound.last_event {
             headers.insert(
                 header::HeaderName::from_static("last-event-id"),
-                HeaderValue::from(last),
+                HeaderValue::from(last_event),
             );
         }
         *request.headers_mut() = headers;
@@ -237,114 +241,126 @@
 
     /// Records the rate limit or backoff requested by the target. A reply to another request, or from another target at
     /// the same address, is ignored.
-    fn note_signal(&self, chosen: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
+    fn record_signal(&self, instance: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
         let signal = Signal::read(parts.status, &parts.headers, &self.dialect.backpressure);
-        let own = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
-        if !own || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        let is_own_reply = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
+        if !is_own_reply || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return signal;
         }
         match signal.rate {
-            Asked::Nothing => self.board.throttle.note(chosen, None, signal.leaving),
-            Asked::For(rate) => self.board.throttle.note(chosen, Some(rate), signal.leaving),
+            Asked::Nothing => self.board.throttle.note(instance, None, signal.leaving),
+            Asked::For(rate) => self.board.throttle.note(instance, Some(rate), signal.leaving),
             Asked::Unreadable => {}
         }
-        if let Some(rest) = signal.rest {
-            self.board.throttle.rest(chosen, rest);
+        if let Some(backoff) = signal.rest {
+            self.board.throttle.rest(instance, backoff);
         }
         signal
     }
 
     /// Classifies a reply by its head.
-    fn judge(&self, parts: &Parts, outbound: &Outbound) -> Verdict {
+    fn classify(&self, parts: &Parts, outbound: &Outbound) -> ReplyClass {
         if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
-            return Verdict::Lost(Loss::Foreign);
+            return ReplyClass::Unusable(Loss::RequestIdMismatch);
         }
         if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            return Verdict::Refused;
+            return ReplyClass::Rejected;
         }
         // Unless the target confirms that the request has not run, forwarding these would give callers a guarantee that
         // may be false.
-        let promises = [
+        let not_run_statuses = [
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::SERVICE_UNAVAILABLE,
         ];
-        if promises.contains(&parts.status) {
-            return Verdict::Lost(Loss::Unfounded);
+        if not_run_statuses.contains(&parts.status) {
+            return ReplyClass::Unusable(Loss::UnconfirmedRejection);
         }
-        let digest = parts.headers.contains_key(&self.dialect.digest);
-        if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !digest) {
-            return Verdict::Lost(Loss::Spoiled);
+        let has_digest = parts.headers.contains_key(&self.dialect.digest);
+        if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !has_digest) {
+            return ReplyClass::Unusable(Loss::Spoiled);
         }
-        Verdict::Answered
+        ReplyClass::Answered
     }
 
     fn rejection(&self, parts: &Parts, signal: Signal) -> Rejection {
-        let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
+        let text_of = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
         Rejection {
             status: parts.status,
-            at_fault: text(&self.dialect.at_fault).map(str::to_owned),
+            at_fault: text_of(&self.dialect.at_fault).map(str::to_owned),
             retry_after: signal.rest,
         }
     }
 
-    async fn collect(&self, target: Incarnation, parts: Parts, incoming: Incoming, connection: Connection) -> Outcome {
-        let mut rest = Rest {
+    async fn collect(
+        &self,
+        target: Incarnation,
+        parts: Parts,
+        incoming: Incoming,
+        connection: Connection,
+    ) -> SendOutcome {
+        let mut remainder = Rest {
             incoming,
             connection: Some(connection),
-            answer: parts.headers.clone(),
+            headers: parts.headers.clone(),
             target,
             pool: Arc::clone(&self.pool),
         };
-        let headers = to_caller(&parts.headers);
+        let headers = caller_headers(&parts.headers);
         let status = parts.status;
         if is_event_stream(&parts.headers) {
-            let collected = Bytes::new();
-            return Outcome::Begun(Begun {
+            let buffered = Bytes::new();
+            return SendOutcome::Partial(Begun {
                 status,
                 headers,
-                collected,
-                rest,
+                collected: buffered,
+                rest: remainder,
             });
         }
-        let mut collected = BytesMut::new();
+        let mut buffered = BytesMut::new();
         loop {
-            match rest.next().await {
-                Ok(Some(bytes)) => collected.extend_from_slice(&bytes),
+            match remainder.next().await {
+                Ok(Some(bytes)) => buffered.extend_from_slice(&bytes),
                 Ok(None) => break,
-                Err(loss) => return Outcome::Lost(loss),
+                Err(error) => return SendOutcome::ReplyLost(error),
             }
-            if collected.len() > COLLECTED_BYTES {
-                let collected = collected.freeze();
-                return Outcome::Begun(Begun {
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                let buffered = buffered.freeze();
+                return SendOutcome::Partial(Begun {
                     status,
                     headers,
-                    collected,
-                    rest,
+                    collected: buffered,
+                    rest: remainder,
                 });
             }
         }
-        let body = collected.freeze();
-        Outcome::Complete(Reply { status, headers, body })
+        let body = buffered.freeze();
+        SendOutcome::Complete(Reply { status, headers, body })
     }
 
     /// Reads the short body of a rejection, so that its connection can be reused.
-    async fn give_back(&self, target: Incarnation, connection: Connection, incoming: Incoming, answer: &HeaderMap) {
+    async fn return_connection(
+        &self,
+        target: Incarnation,
+        connection: Connection,
+        incoming: Incoming,
+        headers: &HeaderMap,
+    ) {
         if incoming
             .size_hint()
             .upper()
-            .is_some_and(|length| length <= COLLECTED_BYTES as u64)
+            .is_some_and(|length| length <= MAX_BUFFERED_BYTES as u64)
             && incoming.collect().await.is_ok()
         {
-            self.pool.put(target, connection, answer);
+            self.pool.put(target, connection, headers);
         }
     }
 }
 
-enum Verdict {
+enum ReplyClass {
     Answered,
-    Refused,
-    Lost(Loss),
+    Rejected,
+    Unusable(Loss),
 }
 
 impl Rest {
@@ -353,7 +369,7 @@
         loop {
             let Some(frame) = self.incoming.frame().await else {
                 if let Some(connection) = self.connection.take() {
-                    self.pool.put(self.target, connection, &self.answer);
+                    self.pool.put(self.target, connection, &self.headers);
                 }
                 return Ok(None);
             };
@@ -371,8 +387,8 @@
 }
 
 /// Headers to forward to the caller, without those for message framing, which the entry sets itself.
-fn to_caller(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = without_hop_by_hop(headers);
-    kept.remove(header::CONTENT_LENGTH);
-    kept
+fn caller_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = without_hop_by_hop(headers);
+    forwarded.remove(header::CONTENT_LENGTH);
+    forwarded
 }
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -2,9 +2,9 @@
 //!
 //! Retries are paid for from a budget that all entries share, so that failing targets don't cause a flood of retries.
 
+mod abandon;
 mod choice;
-mod leave;
-mod throttled;
+mod throttling;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 
 use crate::answer::{Answer, CALLER_LEFT, Stream};
-use crate::attempt::{Begun, Caller, Loss, Outbound, Outcome, Rejection, Reply};
+use crate::attempt::{Begun, Caller, Loss, Outbound, Rejection, Reply, SendOutcome};
 use crate::figures::Figures;
 use crate::gate::Gates;
 use crate::loads::{Loads, Running};
@@ -37,18 +37,18 @@
 use crate::relay::Run;
 use crate::silences::Silences;
 use crate::split::Splits;
-use crate::tried::Tried;
+use crate::tried::AttemptedTargets;
 use crate::tries::Tries;
 use crate::waiting::{Arrival, Permit, Queues};
 
 /// Maximum number of groups of a service that one request considers, sampled anew for each. Of a hundred groups, the
 /// best of a few is nearly as good as the best of all, and checking all of them would cost an entry more than the
 /// request itself.
-const MAX_LOOKED_AT: usize = 8;
+const MAX_SAMPLED_GROUPS: usize = 8;
 /// `Retry-After` of a rejection after targets could not be reached or rejected the request.
-const TURNED_AWAY_RETRY: Duration = Duration::from_millis(200);
+const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// `Retry-After` of a rejection because no target is available or the group stays closed.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
+const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// State shared by all requests of an entry.
 #[derive(Debug)]
@@ -78,41 +78,41 @@
 }
 
 /// Outcome of an attempt.
-enum Attempt {
+enum AttemptOutcome {
     /// There is an answer for the caller.
     Answered(Answer),
     /// The target could not be reached; nothing was sent.
     NotSent,
     /// The target reported that it did not run the request.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// The target answered with an error, and the request may run again.
     Failed(Reply),
     /// The request may have run, but there is no complete reply.
-    Lost(Loss),
+    ReplyLost(Loss),
     /// The target was abandoned in favor of another one.
-    Left,
+    Abandoned,
 }
 
 /// Why a request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
+enum RetryReason {
     /// The target rejected it, failed, or sent no complete reply.
-    Unserved,
+    NotServed,
     /// Another incarnation had the target's address.
-    Gone,
+    Replaced,
     /// The target was a straggler.
-    LeftSlow,
+    Straggler,
     /// The target was unresponsive.
-    LeftSilent,
+    Unresponsive,
 }
 
-impl Cause {
+impl RetryReason {
     fn name(self) -> &'static str {
         match self {
-            Self::Unserved => "unserved",
-            Self::Gone => "gone",
-            Self::LeftSlow => "left_slow",
-            Self::LeftSilent => "left_silent",
+            Self::NotServed => "unserved",
+            Self::Replaced => "gone",
+            Self::Straggler => "left_slow",
+            Self::Unresponsive => "left_silent",
         }
     }
 }
@@ -132,7 +132,7 @@
     }
 
     /// What the target is expected to send first.
-    fn awaited(&self) -> Awaited {
+    fn first_awaited(&self) -> Awaited {
         if is_stream(self) {
             Awaited::First
         } else {
@@ -141,10 +141,10 @@
     }
 
     /// The wait for the first response of a target.
-    fn first_wait<'a>(&self, seat: &'a Seat) -> Wait<'a> {
+    fn first_wait<'a>(&self, instance: &'a Seat) -> Wait<'a> {
         Wait {
-            seat,
-            awaited: self.awaited(),
+            seat: instance,
+            awaited: self.first_awaited(),
             allowed: self.route().objective,
             given_up_after: self.given_up_after(),
         }
@@ -162,53 +162,56 @@
 impl Gateway {
     /// Chooses a group for a streaming request and waits until it is admitted there. None if no group serves the
     /// request.
-    pub(crate) async fn permit(&self, job: &Job, tries: &mut Tries) -> Result<Option<Permit>, Refusal> {
-        let Some(belief) = self.board.targets() else {
+    pub(crate) async fn permit(&self, job: &Job, history: &mut Tries) -> Result<Option<Permit>, Refusal> {
+        let Some(observation) = self.board.targets() else {
             return Ok(None);
         };
-        tries.service = self.service(job, &belief.value);
-        if let Some(service) = tries.service.as_deref()
-            && let Some(refusal) = self.throttled(job, service, &belief.value)
+        history.service = self.choose_service(job, &observation.value);
+        if let Some(service) = history.service.as_deref()
+            && let Some(refusal) = self.throttle_refusal(job, service, &observation.value)
         {
             return Err(refusal);
         }
         let Kind::Stream { longest_pause, .. } = job.route().kind else {
             return Ok(None);
         };
-        let Some(service) = tries.service.as_deref() else {
+        let Some(service) = history.service.as_deref() else {
             return Ok(None);
         };
         let engine = job.catalog.find_service(service);
         let engine = engine.and_then(|key| job.catalog.service(key).engine.as_ref());
-        let (Some(engine), Some(pause)) = (engine, longest_pause) else {
+        let (Some(engine), Some(longest_pause)) = (engine, longest_pause) else {
             return Ok(None);
         };
-        let spent = self.spent(job);
-        let groups = belief.value.groups_of(service);
-        let looked_at = groups.choose_multiple(&mut rand::rng(), MAX_LOOKED_AT).into_iter();
-        let arrivals = looked_at.map(|group| Arrival {
-            request: job.outbound.head.id_text(),
+        let time_in_earlier_attempts = self.time_in_earlier_attempts(job);
+        let groups = observation.value.groups_of(service);
+        let sampled = groups.choose_multiple(&mut rand::rng(), MAX_SAMPLED_GROUPS).into_iter();
+        let arrivals = sampled.map(|group| Arrival {
+            request_id: job.outbound.head.id_text(),
             group: group.name,
             engine,
-            pause,
+            longest_pause,
             objective: job.route().objective,
             tier: job.outbound.urgency.unwrap_or_default(),
-            ranks: group.size,
-            open_part: self.open_part(&belief.value, group),
-            began: job.began,
-            spent,
-            left: job.outbound.head.deadline,
+            rank_count: group.size,
+            open_fraction: self.open_part(&observation.value, group),
+            received_at: job.began,
+            time_in_earlier_attempts,
+            time_left: job.outbound.head.deadline,
         });
         let arrivals: Vec<Arrival<'_>> = arrivals.collect();
-        let Some(arrival) = self.queues.choose(&arrivals, |group| !self.gates.is_closed(group)) else {
+        let Some(arrival) = self
+            .queues
+            .choose_group(&arrivals, |group| !self.gates.is_closed(group))
+        else {
             return Ok(None);
         };
-        tries.group = Some(arrival.group.to_owned());
-        self.queues.enter(arrival).await.map(Some)
+        history.group = Some(arrival.group.to_owned());
+        self.queues.acquire(arrival).await.map(Some)
     }
 
     /// Time that the caller spent on attempts before this one.
-    fn spent(&self, job: &Job) -> Duration {
+    fn time_in_earlier_attempts(&self, job: &Job) -> Duration {
         let Some(deadline) = job.outbound.head.deadline else {
             return Duration::ZERO;
         };
@@ -217,195 +220,215 @@
     }
 
     /// Sends attempts until there is an answer or no further attempt is allowed.
-    pub(crate) async fn answer(&self, job: &Job, tries: &mut Tries) -> Result<Answer, Refusal> {
+    pub(crate) async fn answer(&self, job: &Job, history: &mut Tries) -> Result<Answer, Refusal> {
         loop {
-            if self.board.now() >= job.outbound.due {
-                return tries.give_up(Refusal::at_once(Reason::TooLate));
+            if self.board.now() >= job.outbound.deadline_timestamp {
+                return history.final_result(Refusal::at_once(Reason::TooLate));
             }
-            self.leave_closed_group(job, tries);
-            if self.closed(job, tries).await {
-                return tries.give_up(Refusal::retry(Reason::GroupClosed, NO_TARGET_RETRY));
+            self.switch_from_closed_group(job, history);
+            if self.stays_closed(job, history).await {
+                return history.final_result(Refusal::with_retry_after(Reason::GroupClosed, NO_TARGET_RETRY_DELAY));
             }
             // Checked before each attempt: since the request arrived, targets may have terminated while running it, here
             // or at other entries.
-            if let Some(refusal) = self.held(job.outbound.fingerprint) {
-                return tries.give_up(refusal);
+            if let Some(refusal) = self.quarantine_refusal(job.outbound.fingerprint) {
+                return history.final_result(refusal);
             }
-            let Some(seat) = self.next_target(job, tries) else {
-                let throttled = self.throttled_now(job, tries);
-                tries.refusal = throttled.or(tries.refusal);
-                return tries.give_up(Refusal::retry(Reason::NoTarget, NO_TARGET_RETRY));
+            let Some(instance) = self.next_target(job, history) else {
+                let throttle_refusal = self.current_throttle_refusal(job, history);
+                history.not_run_refusal = throttle_refusal.or(history.not_run_refusal);
+                return history.final_result(Refusal::with_retry_after(Reason::NoTarget, NO_TARGET_RETRY_DELAY));
             };
-            let attempt = self.attempt(job, &seat, tries).await;
-            if let Some(answer) = self.settle(job, seat, attempt, tries).await? {
+            let outcome = self.attempt(job, &instance, history).await;
+            if let Some(answer) = self.handle_outcome(job, instance, outcome, history).await? {
                 return Ok(answer);
             }
         }
     }
 
     /// The refusal to return if no target of the service accepts requests from this entry now.
-    fn throttled_now(&self, job: &Job, tries: &Tries) -> Option<Refusal> {
+    fn current_throttle_refusal(&self, job: &Job, history: &Tries) -> Option<Refusal> {
         let targets = self.board.targets()?;
-        self.throttled(job, tries.service.as_deref()?, &targets.value)
+        self.throttle_refusal(job, history.service.as_deref()?, &targets.value)
     }
 
     /// Handles the outcome of an attempt: returns an answer, none for another attempt, or a refusal.
-    async fn settle(
+    async fn handle_outcome(
         &self,
         job: &Job,
-        seat: Seat,
-        attempt: Attempt,
-        tries: &mut Tries,
+        instance: Seat,
+        outcome: AttemptOutcome,
+        history: &mut Tries,
     ) -> Result<Option<Answer>, Refusal> {
-        match attempt {
-            Attempt::Answered(answer) => {
-                self.loads.note_good(seat.key);
-                if let Some(place) = &seat.target.membership {
-                    self.gates.answered(&place.group);
+        match outcome {
+            AttemptOutcome::Answered(answer) => {
+                self.loads.record_success(instance.key);
+                if let Some(membership) = &instance.target.membership {
+                    self.gates.record_answer(&membership.group);
                 }
                 if matches!(answer, Answer::Complete(_)) {
                     self.board.quarantine.note_answer(&job.outbound.fingerprint);
                 }
-                tries.tried.push(seat);
+                history.tried.push(instance);
                 return Ok(Some(answer));
             }
             // The next attempt was charged to the budget when the target was abandoned.
-            Attempt::Left => {
-                tries.lost = Some(Refusal::new(Reason::NoAnswer));
-                tries.tried.push(seat);
+            AttemptOutcome::Abandoned => {
+                history.unknown_outcome_refusal = Some(Refusal::new(Reason::NoAnswer));
+                history.tried.push(instance);
                 return Ok(None);
             }
-            Attempt::NotSent => {
-                self.loads.note_failure(seat.key);
-                return tries.pass_over(Refusal::retry(Reason::Unreachable, TURNED_AWAY_RETRY), |_| true);
+            AttemptOutcome::NotSent => {
+                self.loads.record_failure(instance.key);
+                return history.skip_unavailable(
+                    Refusal::with_retry_after(Reason::Unreachable, REJECTED_RETRY_DELAY),
+                    |_| true,
+                );
             }
-            Attempt::Refused(rejection) if rejection.is_gone(&seat.target) => {
-                self.loads.note_gone(seat.key);
-                let paid = |tries: &Tries| self.spend(job, tries, Cause::Gone);
-                return tries.pass_over(Refusal::retry(Reason::TurnedAway, TURNED_AWAY_RETRY), paid);
+            AttemptOutcome::Rejected(rejection) if rejection.is_replaced(&instance.target) => {
+                self.loads.record_replaced(instance.key);
+                let may_retry = |history: &Tries| self.charge_retry_budget(job, history, RetryReason::Replaced);
+                return history.skip_unavailable(
+                    Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY),
+                    may_retry,
+                );
             }
-            Attempt::Refused(rejection) => {
-                self.note_rejection(job, &seat, &rejection);
-                self.leave_group(job, tries);
-                tries.refusal = Some(Refusal::retry(Reason::TurnedAway, TURNED_AWAY_RETRY));
+            AttemptOutcome::Rejected(rejection) => {
+                self.record_rejection(job, &instance, &rejection);
+                self.switch_group(job, history);
+                history.not_run_refusal = Some(Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY));
             }
-            Attempt::Failed(whole) => tries.failure = Some(whole),
-            Attempt::Lost(loss) => self.lost(job, &seat, loss, tries).await?,
+            AttemptOutcome::Failed(reply) => history.error_reply = Some(reply),
+            AttemptOutcome::ReplyLost(error) => self.record_lost_reply(job, &instance, error, history).await?,
         }
-        tries.tried.push(seat);
-        if self.may_send_again(job, tries) {
+        history.tried.push(instance);
+        if self.may_send_again(job, history) {
             return Ok(None);
         }
-        if tries.refusal.is_some() {
-            tries.refusal = self.throttled_now(job, tries).or(tries.refusal);
+        if history.not_run_refusal.is_some() {
+            history.not_run_refusal = self.current_throttle_refusal(job, history).or(history.not_run_refusal);
         }
-        tries.give_up(Refusal::new(Reason::NoAnswer)).map(Some)
+        history.final_result(Refusal::new(Reason::NoAnswer)).map(Some)
     }
 
     /// Runs one attempt, up to a complete reply or the first event. A target that turns out to be a straggler, or that
     /// is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each pass
     /// of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
-    async fn attempt(&self, job: &Job, seat: &Seat, tries: &Tries) -> Attempt {
-        let mut sending = std::pin::pin!(self.send(job, seat));
-        if let Some(place) = &seat.target.membership {
+    async fn attempt(&self, job: &Job, instance: &Seat, history: &Tries) -> AttemptOutcome {
+        let mut sending = std::pin::pin!(self.send(job, instance));
+        if let Some(membership) = &instance.target.membership {
             match tokio::time::timeout(gate::TAKEN_AFTER, &mut sending).await {
-                Ok(attempt) => return attempt,
-                Err(_elapsed) => self.gates.taken(&place.group),
+                Ok(outcome) => return outcome,
+                Err(_elapsed) => self.gates.record_accepted(&membership.group),
             }
         }
-        let sends = tries.tried.len() + 1;
-        let left = tokio::select! {
-            attempt = &mut sending => return attempt,
-            () = self.loads.slow.becomes(seat.key) => self.may_leave(job, &seat.target.id, sends, tries),
-            verdict = self.silences.outlasted(job.first_wait(seat)) => {
-                self.may_leave_silent(job, seat, verdict, sends, tries)
+        let attempts_made = history.tried.len() + 1;
+        let abandoned = tokio::select! {
+            outcome = &mut sending => return outcome,
+            () = self.loads.slow.becomes(instance.key) => self.may_leave(job, &instance.target.id, attempts_made, history),
+            verdict = self.silences.outlasted(job.first_wait(instance)) => {
+                self.may_leave_silent(job, instance, verdict, attempts_made, history)
             }
         };
-        if left { Attempt::Left } else { sending.await }
+        if abandoned {
+            AttemptOutcome::Abandoned
+        } else {
+            sending.await
+        }
     }
 
-    async fn send(&self, job: &Job, seat: &Seat) -> Attempt {
-        let running = self.loads.enter(seat);
+    async fn send(&self, job: &Job, instance: &Seat) -> AttemptOutcome {
+        let in_flight = self.loads.begin_request(instance);
         let since = Instant::now();
-        let outcome = self.caller.send(seat, &job.outbound).await;
-        if matches!(outcome, Outcome::Complete(_)) {
-            self.silences.note(seat, Awaited::Complete, since);
+        let outcome = self.caller.send(instance, &job.outbound).await;
+        if matches!(outcome, SendOutcome::Complete(_)) {
+            self.silences.note(instance, Awaited::Complete, since);
         }
         match outcome {
-            Outcome::Begun(begun) => match self.begin(job, begun, running).await {
+            SendOutcome::Partial(partial) => match self.begin_reply(job, partial, in_flight).await {
                 Ok(answer) => {
-                    self.silences.note(seat, job.awaited(), since);
-                    Attempt::Answered(answer)
+                    self.silences.note(instance, job.first_awaited(), since);
+                    AttemptOutcome::Answered(answer)
                 }
-                Err(loss) => Attempt::Lost(loss),
+                Err(error) => AttemptOutcome::ReplyLost(error),
             },
-            Outcome::Complete(whole) if is_failure(whole.status) && job.outbound.may_repeat => Attempt::Failed(whole),
-            Outcome::Complete(whole) => Attempt::Answered(Answer::Complete(whole)),
-            Outcome::NotSent => Attempt::NotSent,
-            Outcome::Refused(rejection) => Attempt::Refused(rejection),
-            Outcome::Lost(loss) => Attempt::Lost(loss),
+            SendOutcome::Complete(reply) if is_failure(reply.status) && job.outbound.may_repeat => {
+                AttemptOutcome::Failed(reply)
+            }
+            SendOutcome::Complete(reply) => AttemptOutcome::Answered(Answer::Complete(reply)),
+            SendOutcome::NotSent => AttemptOutcome::NotSent,
+            SendOutcome::Rejected(rejection) => AttemptOutcome::Rejected(rejection),
+            SendOutcome::ReplyLost(error) => AttemptOutcome::ReplyLost(error),
         }
     }
 
     /// Handles an attempt without a complete reply, which is final unless the request may run again.
-    async fn lost(&self, job: &Job, seat: &Seat, loss: Loss, tries: &mut Tries) -> Result<(), Refusal> {
-        self.loads.note_failure(seat.key);
-        self.look_after(job, seat, loss).await;
-        let reason = if loss == Loss::Timeout {
+    async fn record_lost_reply(
+        &self,
+        job: &Job,
+        instance: &Seat,
+        error: Loss,
+        history: &mut Tries,
+    ) -> Result<(), Refusal> {
+        self.loads.record_failure(instance.key);
+        self.look_after(job, instance, error).await;
+        let reason = if error == Loss::Timeout {
             Reason::NoAnswer
         } else {
             Reason::BrokenAnswer
         };
-        tries.lost = Some(Refusal::new(reason));
+        history.unknown_outcome_refusal = Some(Refusal::new(reason));
         if job.outbound.may_repeat {
             return Ok(());
         }
-        tries.tried.push(seat.clone());
+        history.tried.push(instance.clone());
         Err(Refusal::new(reason))
     }
 
     /// The refusal of a request that is quarantined because targets terminated while running it.
-    pub(crate) fn held(&self, request: Fingerprint) -> Option<Refusal> {
-        let hold = self.board.quarantine.held(&request)?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
-        Some(Refusal::retry(Reason::Quarantined, hold.left))
+    pub(crate) fn quarantine_refusal(&self, request: Fingerprint) -> Option<Refusal> {
+        let quarantine = self.board.quarantine.held(&request)?;
+        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = quarantine.ends, left_ms = quarantine.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
+        Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.left))
     }
 
     /// Checks whether the target that did not complete its reply has terminated or only the connection was lost. A
     /// termination is recorded against the request, which may have caused it.
-    pub(crate) async fn look_after(&self, job: &Job, seat: &Seat, loss: Loss) {
-        let ended = loss == Loss::Broken && self.caller.pool.has_ended(seat).await;
-        if ended {
+    pub(crate) async fn look_after(&self, job: &Job, instance: &Seat, error: Loss) {
+        let terminated = error == Loss::Broken && self.caller.pool.has_ended(instance).await;
+        if terminated {
             self.board
                 .quarantine
-                .note_end(job.outbound.fingerprint, End::from(seat.start));
+                .note_end(job.outbound.fingerprint, End::from(instance.start));
         }
         log::info!(
             target: DECISION,
             decision = "lost_answer",
             request = job.outbound.head.id_text(),
             content = job.outbound.fingerprint.short().as_str(),
-            at = seat.target.id.as_str(),
-            loss = loss.name(),
-            ended;
+            at = instance.target.id.as_str(),
+            loss = error.name(),
+            ended = terminated;
             "no complete reply from the target"
         );
     }
 
-    pub(crate) fn may_send_again(&self, job: &Job, tries: &Tries) -> bool {
-        if tries.tried.len() >= job.route().attempts as usize {
+    /// Whether the route and the retry budget allow another attempt, which is then charged to the budget.
+    pub(crate) fn may_send_again(&self, job: &Job, history: &Tries) -> bool {
+        if history.tried.len() >= job.route().attempts as usize {
             return false;
         }
-        let paid = self.spend(job, tries, Cause::Unserved);
-        let counter = if paid {
+        let allowed = self.charge_retry_budget(job, history, RetryReason::NotServed);
+        let counter = if allowed {
             &self.figures.repeats
         } else {
             &self.figures.unpaid_repeats
         };
         counter.add_one();
-        paid
+        allowed
     }
 
+    /// Credits one request to the retry budgets of the services of its route.
     pub(crate) fn earn(&self, job: &Job) {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.board.now();
@@ -418,8 +441,8 @@
     }
 
     /// Charges one more attempt to the budget of the service; returns whether the budget allows it.
-    fn spend(&self, job: &Job, tries: &Tries, cause: Cause) -> bool {
-        let Some(service) = tries.service.as_deref() else {
+    fn charge_retry_budget(&self, job: &Job, history: &Tries, reason: RetryReason) -> bool {
+        let Some(service) = history.service.as_deref() else {
             return false;
         };
         let sharers = self.sharers.load(Ordering::Relaxed);
@@ -430,47 +453,47 @@
             budgets.get_mut(service).map(|budget| budget.spend(share, now))
         };
         let Some(verdict) = verdict else { return false };
-        let life_ms = now.since(self.started).as_millis() as u64;
+        let uptime_ms = now.since(self.started).as_millis() as u64;
         log::info!(
             target: DECISION,
             decision = "repeat",
             request = job.outbound.head.id_text(),
             service,
-            cause = cause.name(),
+            cause = reason.name(),
             paid = verdict.source.map_or("no", Source::name),
             requests = verdict.requests,
             credit = verdict.credit,
             slack_used = verdict.slack_used,
             share,
             sharers,
-            life_ms;
+            life_ms = uptime_ms;
             "retry requested from the budget"
         );
         verdict.source.is_some()
     }
 
     /// Waits for the first event of a stream. Other long replies are returned as they are.
-    async fn begin(&self, job: &Job, begun: Begun, running: Running) -> Result<Answer, Loss> {
-        if !is_stream(job) || !begun.status.is_success() {
-            return Ok(Answer::Long(Box::new(begun), running));
+    async fn begin_reply(&self, job: &Job, partial: Begun, in_flight: Running) -> Result<Answer, Loss> {
+        if !is_stream(job) || !partial.status.is_success() {
+            return Ok(Answer::Long(Box::new(partial), in_flight));
         }
-        let last = job.outbound.last_event.or(job.outbound.head.last_event);
-        let mut run = Run::new(begun.rest, last);
+        let last_event = job.outbound.last_event.or(job.outbound.head.last_event);
+        let mut run = Run::new(partial.rest, last_event);
         let first = run.next(job.outbound.until).await?;
         Ok(Answer::Stream(Box::new(Stream {
-            status: begun.status,
-            headers: begun.headers,
+            status: partial.status,
+            headers: partial.headers,
             first,
             run,
-            running,
+            running: in_flight,
         })))
     }
 
     /// Records the end of a request. Failures are logged as warnings, which the log never drops.
-    pub(crate) fn end(&self, job: &Job, outcome: &str, tried: &Tried, status: u16) {
+    pub(crate) fn end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
         self.figures.end(job.route().kind, outcome, job.began.elapsed());
-        let sound = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
-        let level = if sound { log::Level::Info } else { log::Level::Warn };
+        let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
+        let level = if is_success { log::Level::Info } else { log::Level::Warn };
         log::log!(
             target: DECISION,
             level,
@@ -481,7 +504,7 @@
             version = job.catalog.version(),
             outcome,
             status,
-            targets:? = tried.ids(),
+            targets:? = attempted.ids(),
             prompt_tokens = job.outbound.head.size.prompt,
             took_ms = job.began.elapsed().as_millis() as u64;
             "request finished"
@@ -490,7 +513,7 @@
 }
 
 /// The workspace as a header value, or none if it is not a valid one; names are validated when they are read.
-pub(crate) fn header_of(name: &str) -> Option<HeaderValue> {
+pub(crate) fn workspace_header(name: &str) -> Option<HeaderValue> {
     HeaderValue::from_str(name).ok()
 }
 
--- a/crates/sparscale_gateway/src/exchange/throttled.rs
+++ b/crates/sparscale_gateway/src/exchange/throttling.rs
@@ -14,30 +14,30 @@
 impl Gateway {
     /// The refusal of a request if no target of `service` accepts any from this entry now, with the time until the
     /// first one does.
-    pub(super) fn throttled(&self, job: &Job, service: &str, targets: &Directory) -> Option<Refusal> {
+    pub(super) fn throttle_refusal(&self, job: &Job, service: &str, targets: &Directory) -> Option<Refusal> {
         let throttle = &self.board.throttle;
         if throttle.is_idle() {
             return None;
         }
-        let is_ready = |seat: &&Seat| seat.target.standing == Standing::Ready;
+        let is_ready = |instance: &&Seat| instance.target.standing == Standing::Ready;
         let ready: Vec<&Seat> = targets.of_service(service).filter(is_ready).collect();
         let mut opens_at = None;
-        for seat in &ready {
-            match throttle.opening(seat) {
+        for instance in &ready {
+            match throttle.opening(instance) {
                 Opening::Now => return None,
-                Opening::At(at) => opens_at = Some(opens_at.map_or(at, |known: Moment| known.min(at))),
+                Opening::At(at) => opens_at = Some(opens_at.map_or(at, |earliest: Moment| earliest.min(at))),
                 Opening::Never => {}
             }
         }
         let opens_at = opens_at?;
         // Callers may retry at any entry, and each entry assigns retry times independently.
         let entries = self.mesh.line().borrow().entries;
-        let rate: f64 = ready.iter().filter_map(|seat| throttle.rate(seat)).sum();
+        let rate: f64 = ready.iter().filter_map(|instance| throttle.rate(instance)).sum();
         let gap = Duration::try_from_secs_f64(entries as f64 / rate).unwrap_or_default();
-        let retry = {
-            let mut returns = self.returns.lock().unwrap_or_else(PoisonError::into_inner);
-            let returns = returns.entry(service.to_owned()).or_default();
-            returns.promise(opens_at, gap, self.board.now())
+        let retry_after = {
+            let mut schedules = self.returns.lock().unwrap_or_else(PoisonError::into_inner);
+            let schedule = schedules.entry(service.to_owned()).or_default();
+            schedule.promise(opens_at, gap, self.board.now())
         };
         log::info!(
             target: DECISION,
@@ -45,10 +45,10 @@
             request = job.outbound.head.id_text(),
             service,
             rate,
-            retry_ms = retry.as_millis() as u64;
+            retry_ms = retry_after.as_millis() as u64;
             "all targets of the service limit their request rate or requested a backoff"
         );
-        Some(Refusal::retry(Reason::Throttled, retry))
+        Some(Refusal::with_retry_after(Reason::Throttled, retry_after))
     }
 
     /// Fraction of the ranks of `group` that accept requests from this entry now, 0 to 1.
@@ -56,12 +56,12 @@
         if self.board.throttle.is_idle() {
             return 1.0;
         }
-        let in_group = |seat: &&Seat| {
-            let place = seat.target.membership.as_ref();
-            place.is_some_and(|place| place.group == group.name)
+        let in_group = |instance: &&Seat| {
+            let membership = instance.target.membership.as_ref();
+            membership.is_some_and(|membership| membership.group == group.name)
         };
         let ranks = targets.seats().iter().filter(in_group);
-        let closed = ranks.filter(|seat| !self.board.throttle.is_open(seat)).count();
+        let closed = ranks.filter(|instance| !self.board.throttle.is_open(instance)).count();
         1.0 - closed.min(group.size) as f64 / group.size.max(1) as f64
     }
 }
--- a/crates/sparscale_gateway/src/gate.rs
+++ b/crates/sparscale_gateway/src/gate.rs
@@ -13,9 +13,9 @@
 
 /// Whether a request may be sent to its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Pass {
+pub(crate) enum GateDecision {
     /// The request may be sent.
-    Go,
+    Send,
     /// The group stays closed for longer than the request can wait.
     Closed,
 }
@@ -23,79 +23,81 @@
 /// The gates of all groups, by group name.
 #[derive(Debug, Default)]
 pub(crate) struct Gates {
-    by_group: Mutex<HashMap<String, Held>>,
+    by_group: Mutex<HashMap<String, GroupGate>>,
 }
 
 /// The gate of one group, and the channel that wakes the requests waiting at it.
 #[derive(Debug, Default)]
-struct Held {
+struct GroupGate {
     gate: Gate,
     /// Number of times that the gate has opened.
     openings: watch::Sender<u64>,
 }
 
-impl Held {
-    fn opened(&self, group: &str, closed: Duration) {
+impl GroupGate {
+    fn record_open(&self, group: &str, closed_for: Duration) {
         self.openings.send_modify(|openings| *openings += 1);
-        log::info!(target: DECISION, decision = "gate_open", group, closed_ms = closed.as_millis() as u64; "group is serving again");
+        log::info!(target: DECISION, decision = "gate_open", group, closed_ms = closed_for.as_millis() as u64; "group is serving again");
     }
 }
 
 impl Gates {
     /// Waits until a request may be sent to `group`, but no longer than `until`.
-    pub(crate) async fn pass(&self, group: &str, until: Instant) -> Pass {
+    pub(crate) async fn wait_until_open(&self, group: &str, until: Instant) -> GateDecision {
         loop {
-            let (next_try, mut openings) = {
+            let (next_probe, mut openings) = {
                 let mut gates = self.lock();
-                let Some(held) = gates.get_mut(group) else {
-                    return Pass::Go;
+                let Some(group_gate) = gates.get_mut(group) else {
+                    return GateDecision::Send;
                 };
-                match held.gate.pass(until.into_std(), now()) {
-                    gate::Pass::Go => return Pass::Go,
-                    gate::Pass::Closed => return Pass::Closed,
-                    gate::Pass::Wait(next_try) => (Instant::from_std(next_try), held.openings.subscribe()),
+                match group_gate.gate.pass(until.into_std(), now()) {
+                    gate::Pass::Go => return GateDecision::Send,
+                    gate::Pass::Closed => return GateDecision::Closed,
+                    gate::Pass::Wait(next_probe) => (Instant::from_std(next_probe), group_gate.openings.subscribe()),
                 }
             };
             tokio::select! {
                 _changed = openings.changed() => {}
-                () = tokio::time::sleep_until(next_try) => {}
+                () = tokio::time::sleep_until(next_probe) => {}
             }
         }
     }
 
     /// Whether `group` is known not to serve and no probe is due yet.
     pub(crate) fn is_closed(&self, group: &str) -> bool {
-        self.lock().get(group).is_some_and(|held| held.gate.is_closed(now()))
+        self.lock()
+            .get(group)
+            .is_some_and(|group_gate| group_gate.gate.is_closed(now()))
     }
 
     /// Records that a target of `group` rejected a request.
-    pub(crate) fn turned_away(&self, group: &str) {
+    pub(crate) fn record_rejection(&self, group: &str) {
         let mut gates = self.lock();
-        let held = gates.entry(group.to_owned()).or_default();
-        if let Some(turned_away) = held.gate.turned_away(now()) {
-            log::info!(target: DECISION, decision = "gate_closed", group, turned_away; "group rejects all requests");
+        let group_gate = gates.entry(group.to_owned()).or_default();
+        if let Some(rejections) = group_gate.gate.turned_away(now()) {
+            log::info!(target: DECISION, decision = "gate_closed", group, turned_away = rejections; "group rejects all requests");
         }
     }
 
     /// Records that a request sent to `group` was not rejected within [`gate::TAKEN_AFTER`].
-    pub(crate) fn taken(&self, group: &str) {
+    pub(crate) fn record_accepted(&self, group: &str) {
         let mut gates = self.lock();
-        let Some(held) = gates.get_mut(group) else { return };
-        if let Some(closed) = held.gate.taken(now()) {
-            held.opened(group, closed);
+        let Some(group_gate) = gates.get_mut(group) else { return };
+        if let Some(closed_for) = group_gate.gate.taken(now()) {
+            group_gate.record_open(group, closed_for);
         }
     }
 
     /// Records that a target of `group` has started to answer a request.
-    pub(crate) fn answered(&self, group: &str) {
+    pub(crate) fn record_answer(&self, group: &str) {
         let mut gates = self.lock();
-        let Some(held) = gates.get_mut(group) else { return };
-        if let Some(closed) = held.gate.answered(now()) {
-            held.opened(group, closed);
+        let Some(group_gate) = gates.get_mut(group) else { return };
+        if let Some(closed_for) = group_gate.gate.answered(now()) {
+            group_gate.record_open(group, closed_for);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Held>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, GroupGate>> {
         self.by_group.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sparscale_gateway/src/loads.rs
+++ b/crates/sparscale_gateway/src/loads.rs
@@ -13,68 +13,71 @@
 use sparscale_wire::RankLoad;
 use tokio::time::Instant;
 
-use crate::slow::Slow;
-use crate::tried::Tried;
+use crate::slow::Stragglers;
+use crate::tried::AttemptedTargets;
 
 /// How long a target is avoided after its first failure; doubled with each consecutive failure.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(250);
+const INITIAL_AVOIDANCE: Duration = Duration::from_millis(250);
 /// Maximum number of doublings.
-const MAX_DOUBLINGS: u32 = 4;
+const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
 /// How long a target is avoided whose address now belongs to another incarnation; the roster removes it within this
 /// time. Otherwise a request whose route allows two targets could be sent to two such targets right after a restart,
 /// and be rejected.
-const GONE_AVOIDANCE: Duration = Duration::from_secs(10);
+const REPLACED_AVOIDANCE: Duration = Duration::from_secs(10);
 /// Mean age of a rank's load at the time of use: it is read and reported every 100 ms, and forwarded once.
-const STALE: Duration = Duration::from_millis(150);
+const MEAN_REPORT_AGE: Duration = Duration::from_millis(150);
 /// Window over which the sends of this entry are counted, to estimate the send rate of all entries.
-const RATE_SPAN: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Penalty for a target in another hall, as a number of additional requests.
-const OTHER_HALL: f64 = 0.5;
+const OTHER_HALL_PENALTY_REQUESTS: f64 = 0.5;
 
 /// State of one target, as observed by this entry.
 #[derive(Debug, Default)]
-struct State {
+struct TargetState {
     /// Requests of this entry that have not finished.
-    running: u32,
+    in_flight: u32,
     /// Consecutive failures.
-    failures: u32,
+    consecutive_failures: u32,
     avoid_until: Option<Instant>,
     /// Whether another incarnation answered at its address.
-    gone: bool,
+    replaced: bool,
     /// Recent sends that the latest load report may not include yet.
-    unreported: VecDeque<Instant>,
+    recent_sends: VecDeque<Instant>,
 }
 
-impl State {
-    fn avoided(&self, now: Instant) -> bool {
+impl TargetState {
+    fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_until.is_some_and(|until| now < until)
     }
 
-    fn unreported(&self, now: Instant) -> usize {
-        self.unreported.iter().filter(|sent| **sent + STALE > now).count()
+    fn unreported_sends(&self, now: Instant) -> usize {
+        self.recent_sends
+            .iter()
+            .filter(|sent| **sent + MEAN_REPORT_AGE > now)
+            .count()
     }
 }
 
 /// The load and recent failures of all targets.
 #[derive(Debug)]
 pub(crate) struct Loads {
-    targets: Mutex<HashMap<Incarnation, State>>,
+    targets: Mutex<HashMap<Incarnation, TargetState>>,
     /// Number of entries that send to the same targets, including this one.
-    entries: Arc<AtomicUsize>,
-    /// Sends of this entry to targets in groups within the last [`RATE_SPAN`].
-    sends: Mutex<VecDeque<Instant>>,
+    entry_count: Arc<AtomicUsize>,
+    /// Sends of this entry to targets in groups within the last [`RATE_WINDOW`].
+    group_sends: Mutex<VecDeque<Instant>>,
     /// Targets that slow their groups down.
-    pub(crate) slow: Slow,
+    pub(crate) slow: Stragglers,
 }
 
 /// Selects the targets that a request may be sent to.
 #[derive(Debug)]
-pub(crate) struct Search<'a> {
+pub(crate) struct TargetFilter<'a> {
     pub(crate) service: &'a str,
     /// The only group that the request may go to, if it is bound to one.
     pub(crate) group: Option<&'a str>,
     /// Targets to exclude.
-    pub(crate) tried: &'a Tried,
+    pub(crate) excluded: &'a AttemptedTargets,
     /// Hall of this entry, preferred over others.
     pub(crate) hall: &'a str,
 }
@@ -88,17 +91,17 @@
 }
 
 impl Loads {
-    /// Starts without any observations; `entries` counts the entries that send to the same targets.
-    pub(crate) fn new(entries: Arc<AtomicUsize>) -> Self {
+    /// Starts without any observations; `entry_count` is the number of entries that send to the same targets.
+    pub(crate) fn new(entry_count: Arc<AtomicUsize>) -> Self {
         Self {
             targets: Mutex::default(),
-            entries,
-            sends: Mutex::default(),
-            slow: Slow::default(),
+            entry_count,
+            group_sends: Mutex::default(),
+            slow: Stragglers::default(),
         }
     }
 
-    /// Chooses a target for `search` among those that `may_take` accepts.
+    /// Chooses a target for `filter` among those that `may_take` accepts.
     ///
     /// Targets with a reported load are drawn at random so that all entries together fill them evenly (see
     /// [`sparscale_policy::spread`]). Without any reported load it is the target with the fewest requests of this
@@ -106,171 +109,185 @@
     pub(crate) fn choose(
         &self,
         targets: &Directory,
-        search: &Search<'_>,
+        filter: &TargetFilter<'_>,
         may_take: impl Fn(&Seat) -> bool,
         reported: impl Fn(&Seat) -> Option<RankLoad>,
     ) -> Option<Seat> {
-        let ready = |seat: &&Seat| {
-            let is_ready = seat.target.standing == Standing::Ready;
-            is_ready && !search.tried.contains(seat.key) && may_take(seat)
+        let is_available = |instance: &&Seat| {
+            let is_ready = instance.target.standing == Standing::Ready;
+            is_ready && !filter.excluded.contains(instance.key) && may_take(instance)
         };
-        let of_group = |seat: &&Seat| {
-            search.group.is_none_or(|group| {
-                let place = seat.target.membership.as_ref();
-                place.is_some_and(|place| place.group == group)
+        let in_group = |instance: &&Seat| {
+            filter.group.is_none_or(|group| {
+                let membership = instance.target.membership.as_ref();
+                membership.is_some_and(|membership| membership.group == group)
             })
         };
-        let all = targets.of_service(search.service).filter(ready);
-        let all: Vec<&Seat> = all.filter(|seat| !self.is_superseded(targets, seat)).collect();
-        let open: Vec<&Seat> = all.iter().copied().filter(of_group).collect();
-        let part = open.len() as f64 / all.len().max(1) as f64;
-        let mut told: Vec<(&Seat, RankLoad)> = open
+        let available = targets.of_service(filter.service).filter(is_available);
+        let available: Vec<&Seat> = available
+            .filter(|instance| !self.is_superseded(targets, instance))
+            .collect();
+        let eligible: Vec<&Seat> = available.iter().copied().filter(in_group).collect();
+        let fraction = eligible.len() as f64 / available.len().max(1) as f64;
+        let mut with_load: Vec<(&Seat, RankLoad)> = eligible
             .iter()
-            .filter_map(|seat| reported(seat).map(|load| (*seat, load)))
+            .filter_map(|instance| reported(instance).map(|load| (*instance, load)))
             .collect();
-        if told.iter().any(|(seat, _)| !self.slow.contains(seat.key)) {
-            told.retain(|(seat, _)| !self.slow.contains(seat.key));
+        if with_load.iter().any(|(instance, _)| !self.slow.contains(instance.key)) {
+            with_load.retain(|(instance, _)| !self.slow.contains(instance.key));
         }
-        if told.is_empty() {
-            return self.least(open.into_iter(), search.hall).cloned();
+        if with_load.is_empty() {
+            return self.least_loaded(eligible.into_iter(), filter.hall).cloned();
         }
-        self.spread(&told, part, search.hall).cloned()
+        self.draw_by_load(&with_load, fraction, filter.hall).cloned()
     }
 
-    /// Whether a newer roster entry has the address of `seat`, unless that newer target was itself found to be
+    /// Whether a newer roster entry has the address of `instance`, unless that newer target was itself found to be
     /// replaced.
-    fn is_superseded(&self, targets: &Directory, seat: &Seat) -> bool {
-        if !seat.target.superseded {
+    fn is_superseded(&self, targets: &Directory, instance: &Seat) -> bool {
+        if !instance.target.superseded {
             return false;
         }
-        let Some(later) = targets.successor(&seat.target) else {
+        let Some(newer) = targets.successor(&instance.target) else {
             return false;
         };
         let now = Instant::now();
         let states = self.lock();
         !states
-            .get(&later.key)
-            .is_some_and(|state| state.gone && state.avoided(now))
+            .get(&newer.key)
+            .is_some_and(|state| state.replaced && state.is_avoided(now))
     }
 
     /// The target with the fewest requests of this entry per slot. Ties go to the entry's own hall, then to a random
     /// one.
-    fn least<'t>(&self, ready: impl Iterator<Item = &'t Seat>, hall: &str) -> Option<&'t Seat> {
+    fn least_loaded<'t>(&self, ready: impl Iterator<Item = &'t Seat>, hall: &str) -> Option<&'t Seat> {
         let now = Instant::now();
         let targets = self.lock();
-        let cost = |seat: &Seat| {
-            let target = &seat.target;
-            let state = targets.get(&seat.key);
-            let own = state.map_or(0, |state| state.running);
+        let cost = |instance: &Seat| {
+            let target = &instance.target;
+            let state = targets.get(&instance.key);
+            let own_requests = state.map_or(0, |state| state.in_flight);
             Cost {
-                avoided: state.is_some_and(|state| state.avoided(now)),
-                load: f64::from(own + 1) / f64::from(target.slots.max(1)),
+                avoided: state.is_some_and(|state| state.is_avoided(now)),
+                load: f64::from(own_requests + 1) / f64::from(target.slots.max(1)),
                 other_hall: target.hall != hall,
-                lot: rand::random(),
+                random_tie_breaker: rand::random(),
             }
         };
-        let costs = ready.map(|seat| (cost(seat), seat));
+        let costs = ready.map(|instance| (cost(instance), instance));
         let best = costs.min_by(|(left, _), (right, _)| left.total_cmp(right));
-        best.map(|(_, seat)| seat)
+        best.map(|(_, instance)| instance)
     }
 
-    /// Draws one of the targets with a reported load, so that all entries together fill them evenly. `part` is the
+    /// Draws one of the targets with a reported load, so that all entries together fill them evenly. `fraction` is the
     /// fraction of this entry's requests that may go to these targets.
-    fn spread<'t>(&self, told: &[(&'t Seat, RankLoad)], part: f64, hall: &str) -> Option<&'t Seat> {
+    fn draw_by_load<'t>(&self, with_load: &[(&'t Seat, RankLoad)], fraction: f64, hall: &str) -> Option<&'t Seat> {
         let now = Instant::now();
-        let expected = self.expected(now) * part;
+        let expected_arrivals = self.expected_arrivals(now) * fraction;
         let targets = self.lock();
-        let avoided = |seat: &Seat| targets.get(&seat.key).is_some_and(|state| state.avoided(now));
-        let mut open: Vec<&(&Seat, RankLoad)> = told.iter().filter(|(seat, _)| !avoided(seat)).collect();
-        if open.is_empty() {
-            open = told.iter().collect();
+        let is_avoided = |instance: &Seat| targets.get(&instance.key).is_some_and(|state| state.is_avoided(now));
+        let mut candidates: Vec<&(&Seat, RankLoad)> =
+            with_load.iter().filter(|(instance, _)| !is_avoided(instance)).collect();
+        if candidates.is_empty() {
+            candidates = with_load.iter().collect();
         }
-        let candidate = |seat: &Seat, load: RankLoad| {
-            let target = &seat.target;
-            let state = targets.get(&seat.key);
-            let own = state.map_or(0, |state| state.running);
-            let unreported = state.map_or(0, |state| state.unreported(now));
+        let candidate = |instance: &Seat, load: RankLoad| {
+            let target = &instance.target;
+            let state = targets.get(&instance.key);
+            let own_requests = state.map_or(0, |state| state.in_flight);
+            let unreported = state.map_or(0, |state| state.unreported_sends(now));
             // The report includes the requests of this entry as of the time it was made.
-            let running = f64::from(own).max(f64::from(load.running + load.queued) + unreported as f64);
-            let distance = if target.hall == hall { 0.0 } else { OTHER_HALL };
+            let requests = f64::from(own_requests).max(f64::from(load.running + load.queued) + unreported as f64);
+            let hall_penalty = if target.hall == hall {
+                0.0
+            } else {
+                OTHER_HALL_PENALTY_REQUESTS
+            };
             let capacity = f64::from(target.slots.max(1)) / load.pace();
             // The request itself takes longer on a slower rank.
-            let slowness = (load.pace() - 1.0).max(0.0) / f64::from(target.slots.max(1));
+            let slowdown_cost = (load.pace() - 1.0).max(0.0) / f64::from(target.slots.max(1));
             Candidate {
-                load: (running + distance) / capacity + slowness,
+                load: (requests + hall_penalty) / capacity + slowdown_cost,
                 capacity,
             }
         };
-        let candidates: Vec<Candidate> = open.iter().map(|(seat, load)| candidate(seat, *load)).collect();
-        let chosen = draw(&shares(&candidates, expected), rand::random())?;
-        open.get(chosen).map(|(seat, _)| *seat)
+        let costs: Vec<Candidate> = candidates
+            .iter()
+            .map(|(instance, load)| candidate(instance, *load))
+            .collect();
+        let chosen = draw(&shares(&costs, expected_arrivals), rand::random())?;
+        candidates.get(chosen).map(|(instance, _)| *instance)
     }
 
     /// Requests that the other entries send before the next report, if each sends at the rate of this one.
-    fn expected(&self, now: Instant) -> f64 {
-        let mut sends = self.sends.lock().unwrap_or_else(PoisonError::into_inner);
-        while sends.front().is_some_and(|sent| *sent + RATE_SPAN < now) {
+    fn expected_arrivals(&self, now: Instant) -> f64 {
+        let mut sends = self.group_sends.lock().unwrap_or_else(PoisonError::into_inner);
+        while sends.front().is_some_and(|sent| *sent + RATE_WINDOW < now) {
             sends.pop_front();
         }
-        let others = self.entries.load(Ordering::Relaxed).saturating_sub(1);
-        let rate = sends.len() as f64 / RATE_SPAN.as_secs_f64();
-        rate * others as f64 * STALE.as_secs_f64()
+        let others = self.entry_count.load(Ordering::Relaxed).saturating_sub(1);
+        let rate = sends.len() as f64 / RATE_WINDOW.as_secs_f64();
+        rate * others as f64 * MEAN_REPORT_AGE.as_secs_f64()
     }
 
-    /// Counts a request as in flight at the target of `seat`.
-    pub(crate) fn enter(self: &Arc<Self>, seat: &Seat) -> Running {
+    /// Counts a request as in flight at the target of `instance`.
+    pub(crate) fn begin_request(self: &Arc<Self>, instance: &Seat) -> Running {
         let now = Instant::now();
-        if seat.target.membership.is_some() {
-            let mut sends = self.sends.lock().unwrap_or_else(PoisonError::into_inner);
+        if instance.target.membership.is_some() {
+            let mut sends = self.group_sends.lock().unwrap_or_else(PoisonError::into_inner);
             sends.push_back(now);
         }
         let mut targets = self.lock();
-        let state = targets.entry(seat.key).or_default();
-        state.running += 1;
-        while state.unreported.front().is_some_and(|sent| *sent + STALE < now) {
-            state.unreported.pop_front();
+        let state = targets.entry(instance.key).or_default();
+        state.in_flight += 1;
+        while state
+            .recent_sends
+            .front()
+            .is_some_and(|sent| *sent + MEAN_REPORT_AGE < now)
+        {
+            state.recent_sends.pop_front();
         }
-        state.unreported.push_back(now);
+        state.recent_sends.push_back(now);
         drop(targets);
         Running {
             loads: Arc::clone(self),
-            target: seat.key,
+            target: instance.key,
         }
     }
 
     /// Records a successful answer of a target.
-    pub(crate) fn note_good(&self, target: Incarnation) {
+    pub(crate) fn record_success(&self, target: Incarnation) {
         if let Some(state) = self.lock().get_mut(&target) {
-            state.failures = 0;
+            state.consecutive_failures = 0;
             state.avoid_until = None;
-            state.gone = false;
+            state.replaced = false;
         }
     }
 
     /// Records a failure of a target, which is then avoided for a while.
-    pub(crate) fn note_failure(&self, target: Incarnation) {
+    pub(crate) fn record_failure(&self, target: Incarnation) {
         let mut targets = self.lock();
         let state = targets.entry(target).or_default();
-        let doublings = state.failures.min(MAX_DOUBLINGS);
-        state.failures += 1;
-        state.avoid_until = Some(Instant::now() + FIRST_AVOIDANCE * 2_u32.pow(doublings));
+        let doublings = state.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
+        state.consecutive_failures += 1;
+        state.avoid_until = Some(Instant::now() + INITIAL_AVOIDANCE * 2_u32.pow(doublings));
     }
 
     /// Records that another incarnation has the address of a target, which is then avoided until the roster removes it.
-    pub(crate) fn note_gone(&self, target: Incarnation) {
+    pub(crate) fn record_replaced(&self, target: Incarnation) {
         let mut targets = self.lock();
         let state = targets.entry(target).or_default();
-        state.avoid_until = Some(Instant::now() + GONE_AVOIDANCE);
-        state.gone = true;
+        state.avoid_until = Some(Instant::now() + REPLACED_AVOIDANCE);
+        state.replaced = true;
     }
 
     /// Drops the state of targets that left the roster and have no requests in flight.
     pub(crate) fn retain(&self, targets: &Directory) {
         self.lock()
-            .retain(|target, state| state.running > 0 || targets.find(*target).is_some());
+            .retain(|target, state| state.in_flight > 0 || targets.find(*target).is_some());
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, State>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, TargetState>> {
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -278,7 +295,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if let Some(state) = self.loads.lock().get_mut(&self.target) {
-            state.running = state.running.saturating_sub(1);
+            state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 }
@@ -288,7 +305,7 @@
     avoided: bool,
     load: f64,
     other_hall: bool,
-    lot: u32,
+    random_tie_breaker: u32,
 }
 
 impl Cost {
@@ -297,6 +314,6 @@
             .cmp(&other.avoided)
             .then(self.load.total_cmp(&other.load))
             .then(self.other_hall.cmp(&other.other_hall))
-            .then(self.lot.cmp(&other.lot))
+            .then(self.random_tie_breaker.cmp(&other.random_tie_breaker))
     }
 }
--- a/crates/sparscale_gateway/src/refusal.rs
+++ b/crates/sparscale_gateway/src/refusal.rs
@@ -19,7 +19,7 @@
     /// No route matches host and path.
     NoRoute,
     /// The key is unknown.
-    NoKey,
+    UnknownKey,
     /// The head is longer than allowed.
     HeadTooLong,
     /// The body is longer than allowed.
@@ -37,7 +37,7 @@
     /// All targets of the service limit their request rate or have requested a backoff.
     Throttled,
     /// Targets rejected the request without running it.
-    TurnedAway,
+    Rejected,
     /// No target could be reached.
     Unreachable,
     /// Targets terminated while running the request, so it is quarantined to protect the others.
@@ -59,7 +59,7 @@
             Self::NoCatalog => "no_catalog",
             Self::StaleCatalog => "stale_catalog",
             Self::NoRoute => "no_route",
-            Self::NoKey => "no_key",
+            Self::UnknownKey => "no_key",
             Self::HeadTooLong => "head_too_long",
             Self::BodyTooLong => "body_too_long",
             Self::BodyLate => "body_late",
@@ -68,7 +68,7 @@
             Self::Busy => "busy",
             Self::GroupClosed => "group_closed",
             Self::Throttled => "throttled",
-            Self::TurnedAway => "turned_away",
+            Self::Rejected => "turned_away",
             Self::Unreachable => "unreachable",
             Self::Quarantined => "quarantined",
             Self::Starting => "starting",
@@ -82,7 +82,7 @@
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoKey => StatusCode::UNAUTHORIZED,
+            Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
@@ -93,7 +93,7 @@
             | Self::NoTarget
             | Self::GroupClosed
             | Self::Throttled
-            | Self::TurnedAway
+            | Self::Rejected
             | Self::Unreachable
             | Self::Quarantined
             | Self::Starting
@@ -124,11 +124,11 @@
 
     /// A refusal of a request whose time ran out; a new request may be sent at once.
     pub fn at_once(reason: Reason) -> Self {
-        Self::retry(reason, Duration::ZERO)
+        Self::with_retry_after(reason, Duration::ZERO)
     }
 
     /// A refusal of a request that may be retried after `wait`.
-    pub fn retry(reason: Reason, wait: Duration) -> Self {
+    pub fn with_retry_after(reason: Reason, wait: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(wait),
--- a/crates/sparscale_gateway/src/silences.rs
+++ b/crates/sparscale_gateway/src/silences.rs
@@ -13,32 +13,32 @@
 use tokio::time::Instant;
 
 /// Interval between the checks of a target that has not responded yet.
-const LOOK_PAUSE: Duration = Duration::from_millis(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Time without a response before the first check.
-const FIRST_LOOK: Duration = Duration::from_millis(120);
-/// Delay of a check from which on this process itself is assumed to have been suspended: it then could not have
-/// received any response, and the wait starts again.
-const STOOD_STILL: Duration = Duration::from_millis(150);
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(120);
+/// A check that is delayed by more shows that this process itself was suspended: it could not have received any
+/// response, and the wait starts again.
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(150);
 
 /// A target found unresponsive, and the evidence for it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Verdict {
     pub(crate) evidence: Evidence,
-    pub(crate) silence: Duration,
+    pub(crate) unresponsive_for: Duration,
 }
 
 /// Response times and load reports of all targets that serve requests of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Silences {
-    heard: Mutex<Register>,
+    tracker: Mutex<Register>,
 }
 
 impl Silences {
     /// Records that a target has sent the awaited response; the wait began at `since`.
-    pub(crate) fn note(&self, seat: &Seat, awaited: Awaited, since: Instant) {
+    pub(crate) fn note(&self, instance: &Seat, awaited: Awaited, since: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(since);
-        self.lock().note(seat, awaited, took, now.into_std());
+        self.lock().note(instance, awaited, took, now.into_std());
     }
 
     /// Records a load report from the leader of a group.
@@ -53,48 +53,51 @@
 
     /// Returns once the target of `wait` has been unresponsive for too long, counted from the call.
     pub(crate) async fn outlasted(&self, wait: Wait<'_>) -> Verdict {
-        let _waiting = Waiting::new(self, wait.seat);
+        let _guard = WaitGuard::new(self, wait.seat);
         let mut since = Instant::now();
-        let mut look = since + FIRST_LOOK;
+        let mut next_check = since + FIRST_CHECK_DELAY;
         loop {
-            tokio::time::sleep_until(look).await;
+            tokio::time::sleep_until(next_check).await;
             let now = Instant::now();
-            if now.saturating_duration_since(look) > STOOD_STILL {
+            if now.saturating_duration_since(next_check) > MAX_CHECK_DELAY {
                 since = now;
             }
-            if let Some(verdict) = self.judge(&wait, since, now) {
+            if let Some(verdict) = self.check(&wait, since, now) {
                 return verdict;
             }
-            look = now + LOOK_PAUSE;
+            next_check = now + CHECK_INTERVAL;
         }
     }
 
-    fn judge(&self, wait: &Wait<'_>, since: Instant, now: Instant) -> Option<Verdict> {
-        let silence = now.saturating_duration_since(since);
+    fn check(&self, wait: &Wait<'_>, since: Instant, now: Instant) -> Option<Verdict> {
+        let unresponsive_for = now.saturating_duration_since(since);
         let evidence = self.lock().evidence(wait, now.into_std())?;
-        evidence.leaves(silence).then_some(Verdict { evidence, silence })
+        evidence.leaves(unresponsive_for).then_some(Verdict {
+            evidence,
+            unresponsive_for,
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Register> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Counts a wait for a target until dropped.
-struct Waiting<'a> {
-    silences: &'a Silences,
-    seat: &'a Seat,
+struct WaitGuard<'a> {
+    monitor: &'a Silences,
+    instance: &'a Seat,
 }
 
-impl<'a> Waiting<'a> {
-    fn new(silences: &'a Silences, seat: &'a Seat) -> Self {
-        silences.lock().begin_wait(seat);
-        Self { silences, seat }
+impl<'a> WaitGuard<'a> {
+    fn new(monitor: &'a Silences, instance: &'a Seat) -> Self {
+        monitor.lock().begin_wait(instance);
+        Self { monitor, instance }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.silences.lock().end_wait(self.seat);
+        self.monitor.lock().end_wait(self.instance);
     }
 }
--- a/crates/sparscale_gateway/src/slow.rs
+++ b/crates/sparscale_gateway/src/slow.rs
@@ -11,40 +11,42 @@
 use tokio::sync::watch;
 
 /// The load report of a group, and the ranks that are stragglers according to it.
-type SlowRanks = (Arc<GroupLoad>, Vec<usize>);
+type GroupStragglers = (Arc<GroupLoad>, Vec<usize>);
 
 /// The current stragglers.
 #[derive(Debug, Default)]
-pub(crate) struct Slow {
+pub(crate) struct Stragglers {
     targets: watch::Sender<BTreeSet<Incarnation>>,
 }
 
-impl Slow {
+impl Stragglers {
     /// Recomputes the stragglers from the latest load reports of the groups of `targets`. A report made before the
     /// current start of a target is ignored for that target.
     pub(crate) fn update(&self, mesh: &Mesh, targets: &Directory) {
-        let mut groups: HashMap<&str, Option<SlowRanks>> = HashMap::new();
-        let mut found = BTreeSet::new();
+        let mut groups: HashMap<&str, Option<GroupStragglers>> = HashMap::new();
+        let mut stragglers = BTreeSet::new();
         let mut names = Vec::new();
-        for seat in targets.seats() {
-            let Some(place) = &seat.target.membership else { continue };
-            let told = groups.entry(&place.group).or_insert_with(|| {
-                let load = mesh.group(&place.group)?;
-                let ranks = slow::ranks(&load);
-                Some((load, ranks))
+        for instance in targets.seats() {
+            let Some(membership) = &instance.target.membership else {
+                continue;
+            };
+            let report = groups.entry(&membership.group).or_insert_with(|| {
+                let load = mesh.group(&membership.group)?;
+                let slow_ranks = slow::ranks(&load);
+                Some((load, slow_ranks))
             });
-            let Some((load, ranks)) = told else { continue };
-            let of_start = load.rank(place.rank, seat.target.start_mark()).is_some();
-            if of_start && ranks.contains(&place.rank) {
-                found.insert(seat.key);
-                names.push(seat.target.id.as_str());
+            let Some((load, slow_ranks)) = report else { continue };
+            let from_current_start = load.rank(membership.rank, instance.target.start_mark()).is_some();
+            if from_current_start && slow_ranks.contains(&membership.rank) {
+                stragglers.insert(instance.key);
+                names.push(instance.target.id.as_str());
             }
         }
-        self.targets.send_if_modified(|known| {
-            let changed = *known != found;
+        self.targets.send_if_modified(|previous| {
+            let changed = *previous != stragglers;
             if changed {
-                log::info!(target: DECISION, decision = "slow_targets", before = known.len(), now:? = names; "stragglers changed");
-                *known = found;
+                log::info!(target: DECISION, decision = "slow_targets", before = previous.len(), now:? = names; "stragglers changed");
+                *previous = stragglers;
             }
             changed
         });
@@ -57,7 +59,11 @@
     /// Returns once `target` is a straggler.
     pub(crate) async fn becomes(&self, target: Incarnation) {
         let mut targets = self.targets.subscribe();
-        if targets.wait_for(|slow| slow.contains(&target)).await.is_err() {
+        if targets
+            .wait_for(|stragglers| stragglers.contains(&target))
+            .await
+            .is_err()
+        {
             std::future::pending::<()>().await;
         }
     }
--- a/crates/sparscale_gateway/src/split.rs
+++ b/crates/sparscale_gateway/src/split.rs
@@ -12,35 +12,44 @@
 }
 
 impl Splits {
-    /// Chooses the service for the next request; services that are not `there` are skipped while another one is.
+    /// Chooses the service for the next request; services without targets are skipped while another one has some.
     ///
-    /// Each call adds its weight to the credit of each candidate and subtracts the sum of these weights from the chosen
+    /// Each call adds to the credit of each candidate its weight and subtracts the sum of these weights from the chosen
     /// one, so that the requests of any period are split by weight.
-    pub(crate) fn next(&self, route: &str, shares: &[Share], there: impl Fn(&str) -> bool) -> Option<String> {
+    pub(crate) fn next_service(
+        &self,
+        route: &str,
+        shares: &[Share],
+        has_targets: impl Fn(&str) -> bool,
+    ) -> Option<String> {
         if let [only] = shares {
             return Some(only.service.clone());
         }
         let weighted: Vec<&Share> = shares.iter().filter(|share| share.weight > 0).collect();
-        let mut open: Vec<&Share> = weighted.iter().copied().filter(|share| there(&share.service)).collect();
-        if open.is_empty() {
-            open = weighted;
+        let mut candidates: Vec<&Share> = weighted
+            .iter()
+            .copied()
+            .filter(|share| has_targets(&share.service))
+            .collect();
+        if candidates.is_empty() {
+            candidates = weighted;
         }
         let mut credits = self.credits.lock().unwrap_or_else(PoisonError::into_inner);
         let credits = credits.entry(route.to_owned()).or_default();
-        let sum: i64 = open.iter().map(|share| i64::from(share.weight)).sum();
-        for share in &open {
+        let weight_sum: i64 = candidates.iter().map(|share| i64::from(share.weight)).sum();
+        for share in &candidates {
             *credits.entry(share.service.clone()).or_default() += i64::from(share.weight);
         }
-        let chosen = open
+        let chosen = candidates
             .into_iter()
             .max_by_key(|share| credits.get(&share.service).copied())?;
-        *credits.entry(chosen.service.clone()).or_default() -= sum;
+        *credits.entry(chosen.service.clone()).or_default() -= weight_sum;
         Some(chosen.service.clone())
     }
 
     /// Drops the credits of routes that no longer exist.
-    pub(crate) fn retain(&self, known: impl Fn(&str) -> bool) {
+    pub(crate) fn retain(&self, exists: impl Fn(&str) -> bool) {
         let mut credits = self.credits.lock().unwrap_or_else(PoisonError::into_inner);
-        credits.retain(|route, _| known(route));
+        credits.retain(|route, _| exists(route));
     }
 }
--- a/crates/sparscale_gateway/src/tried.rs
+++ b/crates/sparscale_gateway/src/tried.rs
@@ -4,19 +4,19 @@
 
 /// Targets that a request was sent to, in order of the attempts.
 #[derive(Debug, Default)]
-pub(crate) struct Tried {
+pub(crate) struct AttemptedTargets {
     targets: Vec<Seat>,
 }
 
-impl Tried {
+impl AttemptedTargets {
     /// Adds a target.
-    pub(crate) fn push(&mut self, seat: Seat) {
-        self.targets.push(seat);
+    pub(crate) fn push(&mut self, instance: Seat) {
+        self.targets.push(instance);
     }
 
     /// Whether the request was sent to `target`.
     pub(crate) fn contains(&self, target: Incarnation) -> bool {
-        self.targets.iter().any(|seat| seat.key == target)
+        self.targets.iter().any(|instance| instance.key == target)
     }
 
     /// The target of the latest attempt.
@@ -31,6 +31,9 @@
 
     /// Ids of the targets, for the log.
     pub(crate) fn ids(&self) -> Vec<&str> {
-        self.targets.iter().map(|seat| seat.target.id.as_str()).collect()
+        self.targets
+            .iter()
+            .map(|instance| instance.target.id.as_str())
+            .collect()
     }
 }
--- a/crates/sparscale_gateway/src/waiting.rs
+++ b/crates/sparscale_gateway/src/waiting.rs
@@ -22,26 +22,26 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival<'a> {
     /// Request id, for the log.
-    pub(crate) request: &'a str,
+    pub(crate) request_id: &'a str,
     /// Name of the group.
     pub(crate) group: &'a str,
     pub(crate) engine: &'a Engine,
     /// Longest pause between events that the route allows.
-    pub(crate) pause: Duration,
+    pub(crate) longest_pause: Duration,
     /// Time within which the first event is due.
     pub(crate) objective: Duration,
     /// Priority; 0 is the most urgent.
     pub(crate) tier: u8,
     /// Number of ranks in the group.
-    pub(crate) ranks: usize,
+    pub(crate) rank_count: usize,
     /// Fraction of the ranks that accept requests from this entry, 0 to 1.
-    pub(crate) open_part: f64,
+    pub(crate) open_fraction: f64,
     /// When the request arrived.
-    pub(crate) began: Instant,
+    pub(crate) received_at: Instant,
     /// Time that the caller spent on earlier attempts; the value of a request is counted from its first attempt.
-    pub(crate) spent: Duration,
+    pub(crate) time_in_earlier_attempts: Duration,
     /// How much longer the caller waits, if it sent a deadline.
-    pub(crate) left: Option<Duration>,
+    pub(crate) time_left: Option<Duration>,
 }
 
 /// Reference count of the admitted requests: each of them holds a clone, and so does the queue.
@@ -52,14 +52,14 @@
 pub(crate) struct Queues {
     mesh: Arc<Mesh>,
     /// Number of entries that share the headroom, including this one.
-    entries: Arc<AtomicUsize>,
-    by_group: Mutex<HashMap<String, Held>>,
-    tickets: AtomicUsize,
+    entry_count: Arc<AtomicUsize>,
+    by_group: Mutex<HashMap<String, GroupQueue>>,
+    next_ticket: AtomicUsize,
 }
 
 /// The queue of one group, and the count of its admitted requests.
 #[derive(Debug)]
-struct Held {
+struct GroupQueue {
     queue: Queue<oneshot::Sender<Token>>,
     token: Token,
 }
@@ -70,35 +70,39 @@
     _token: Token,
     queues: Arc<Queues>,
     group: String,
-    entered: Instant,
+    admitted_at: Instant,
 }
 
 impl Queues {
-    pub(crate) fn new(mesh: Arc<Mesh>, entries: Arc<AtomicUsize>) -> Arc<Self> {
+    pub(crate) fn new(mesh: Arc<Mesh>, entry_count: Arc<AtomicUsize>) -> Arc<Self> {
         Arc::new(Self {
             mesh,
-            entries,
+            entry_count,
             by_group: Mutex::default(),
-            tickets: AtomicUsize::new(0),
+            next_ticket: AtomicUsize::new(0),
         })
     }
 
-    /// Chooses the group to wait for; `open` reports whether a group is serving.
-    pub(crate) fn choose<'a>(&self, arrivals: &[Arrival<'a>], open: impl Fn(&str) -> bool) -> Option<Arrival<'a>> {
+    /// Chooses the group to wait for; `is_open` reports whether a group is serving.
+    pub(crate) fn choose_group<'a>(
+        &self,
+        arrivals: &[Arrival<'a>],
+        is_open: impl Fn(&str) -> bool,
+    ) -> Option<Arrival<'a>> {
         if let [arrival] = arrivals {
             return Some(*arrival);
         }
         // While any group has a leader, groups without one are excluded: their targets may belong to another writer.
-        let led = |arrival: &Arrival<'_>| self.mesh.group(arrival.group).is_some();
-        let any_led = arrivals.iter().any(led);
+        let has_leader = |arrival: &Arrival<'_>| self.mesh.group(arrival.group).is_some();
+        let any_has_leader = arrivals.iter().any(has_leader);
         let mut queues = self.lock();
         let candidate = |arrival: &Arrival<'a>| {
-            let held = self.refreshed(&mut queues, *arrival);
+            let group_queue = self.refreshed_queue(&mut queues, *arrival);
             group::Candidate {
-                open: open(arrival.group) && (led(arrival) || !any_led),
-                room: held.queue.room().timely - held.queue.waiting() as f64,
-                wait: held.queue.expected_wait(held.inside()).as_secs_f64(),
-                ranks: arrival.ranks,
+                open: is_open(arrival.group) && (has_leader(arrival) || !any_has_leader),
+                room: group_queue.queue.room().timely - group_queue.queue.waiting() as f64,
+                wait: group_queue.queue.expected_wait(group_queue.in_flight()).as_secs_f64(),
+                ranks: arrival.rank_count,
             }
         };
         let candidates: Vec<group::Candidate> = arrivals.iter().map(candidate).collect();
@@ -106,67 +110,70 @@
     }
 
     /// Admits a request, at once or when headroom becomes free, or rejects it with a time to retry after.
-    pub(crate) async fn enter(self: &Arc<Self>, arrival: Arrival<'_>) -> Result<Permit, Refusal> {
-        let ticket = (arrival.tier, self.tickets.fetch_add(1, Ordering::Relaxed));
-        let (waiting, limit) = {
+    pub(crate) async fn acquire(self: &Arc<Self>, arrival: Arrival<'_>) -> Result<Permit, Refusal> {
+        let ticket = (arrival.tier, self.next_ticket.fetch_add(1, Ordering::Relaxed));
+        let (admission, deadline) = {
             let mut queues = self.lock();
-            let held = self.refreshed(&mut queues, arrival);
-            let decision = held
+            let group_queue = self.refreshed_queue(&mut queues, arrival);
+            let decision = group_queue
                 .queue
-                .decide(&arrival.request(), held.inside(), rand::random(), now());
+                .decide(&arrival.request(), group_queue.in_flight(), rand::random(), now());
             match decision {
-                Decision::Enter => return Ok(self.permit(arrival.group, held.admit())),
+                Decision::Enter => return Ok(self.permit(arrival.group, group_queue.admit())),
                 Decision::Refuse { expected, retry } => {
-                    held.log_refusal(&arrival, expected, retry);
-                    return Err(Refusal::retry(Reason::Busy, retry));
+                    group_queue.log_refusal(&arrival, expected, retry);
+                    return Err(Refusal::with_retry_after(Reason::Busy, retry));
                 }
-                Decision::Wait { timely_until, limit } => {
+                Decision::Wait {
+                    timely_until,
+                    limit: deadline,
+                } => {
                     let (sender, receiver) = oneshot::channel();
-                    held.queue.join(ticket, timely_until, sender);
-                    (receiver, limit)
+                    group_queue.queue.join(ticket, timely_until, sender);
+                    (receiver, deadline)
                 }
             }
         };
-        let guard = Waiting {
+        let guard = BacklogGuard {
             queues: self,
             group: arrival.group,
             ticket,
         };
-        let let_in = tokio::time::timeout_at(Instant::from_std(limit), waiting).await;
+        let admitted = tokio::time::timeout_at(Instant::from_std(deadline), admission).await;
         drop(guard);
-        if let Ok(Ok(token)) = let_in {
+        if let Ok(Ok(token)) = admitted {
             return Ok(self.permit(arrival.group, token));
         }
-        // The remaining time is short and a rejection would come too late: admit it, which is late at worst.
+        // The remaining time is short and a rejection would come too late: admit the request, which is late at worst.
         let mut queues = self.lock();
-        let token = self.refreshed(&mut queues, arrival).admit();
+        let token = self.refreshed_queue(&mut queues, arrival).admit();
         Ok(self.permit(arrival.group, token))
     }
 
     /// Admits waiting requests after the load report of a group has changed.
-    pub(crate) fn refresh(&self, group: Group<'_>, open_part: f64, engine: &Engine, pause: Duration) {
+    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &Engine, longest_pause: Duration) {
         let mut queues = self.lock();
         let arrival = Arrival {
-            request: "",
+            request_id: "",
             group: group.name,
             engine,
-            pause,
+            longest_pause,
             objective: Duration::ZERO,
             tier: 0,
-            ranks: group.size,
-            open_part,
-            began: Instant::now(),
-            spent: Duration::ZERO,
-            left: None,
+            rank_count: group.size,
+            open_fraction,
+            received_at: Instant::now(),
+            time_in_earlier_attempts: Duration::ZERO,
+            time_left: None,
         };
-        self.refreshed(&mut queues, arrival);
+        self.refreshed_queue(&mut queues, arrival);
     }
 
     /// Groups with requests in their backlog.
     pub(crate) fn crowded(&self) -> Vec<String> {
         let queues = self.lock();
-        let crowded = queues.iter().filter(|(_, held)| held.queue.waiting() > 0);
-        crowded.map(|(group, _)| group.clone()).collect()
+        let with_backlog = queues.iter().filter(|(_, group_queue)| group_queue.queue.waiting() > 0);
+        with_backlog.map(|(group, _)| group.clone()).collect()
     }
 
     fn permit(self: &Arc<Self>, group: &str, token: Token) -> Permit {
@@ -174,27 +181,33 @@
             _token: token,
             queues: Arc::clone(self),
             group: group.to_owned(),
-            entered: Instant::now(),
+            admitted_at: Instant::now(),
         }
     }
 
     /// The queue of the group, with its headroom recomputed if there is a new load report.
-    fn refreshed<'d>(&self, queues: &'d mut HashMap<String, Held>, arrival: Arrival<'_>) -> &'d mut Held {
-        let held = queues.entry(arrival.group.to_owned()).or_insert_with(Held::new);
+    fn refreshed_queue<'d>(
+        &self,
+        queues: &'d mut HashMap<String, GroupQueue>,
+        arrival: Arrival<'_>,
+    ) -> &'d mut GroupQueue {
+        let group_queue = queues.entry(arrival.group.to_owned()).or_insert_with(GroupQueue::new);
         let group = queue::Group {
             engine: arrival.engine,
-            pause: arrival.pause,
-            ranks: arrival.ranks,
-            open_part: arrival.open_part,
-            entries: self.entries.load(Ordering::Relaxed),
+            pause: arrival.longest_pause,
+            ranks: arrival.rank_count,
+            open_part: arrival.open_fraction,
+            entries: self.entry_count.load(Ordering::Relaxed),
         };
         let load = self.mesh.group(arrival.group);
-        held.queue.refresh(load.as_deref(), &group, held.inside(), now());
-        held.let_in();
-        held
+        group_queue
+            .queue
+            .refresh(load.as_deref(), &group, group_queue.in_flight(), now());
+        group_queue.admit_waiting();
+        group_queue
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Held>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, GroupQueue>> {
         self.by_group.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -202,26 +215,26 @@
 impl Arrival<'_> {
     fn request(&self) -> Request {
         Request {
-            began: self.began.into_std(),
+            began: self.received_at.into_std(),
             objective: self.objective,
-            pause: self.pause,
-            spent: self.spent,
-            left: self.left,
+            pause: self.longest_pause,
+            spent: self.time_in_earlier_attempts,
+            left: self.time_left,
         }
     }
 }
 
 /// Removes a request from the backlog when it stops waiting for any reason, including cancellation.
-struct Waiting<'a> {
+struct BacklogGuard<'a> {
     queues: &'a Queues,
     group: &'a str,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for BacklogGuard<'_> {
     fn drop(&mut self) {
-        if let Some(held) = self.queues.lock().get_mut(self.group) {
-            held.queue.give_up(self.ticket);
+        if let Some(group_queue) = self.queues.lock().get_mut(self.group) {
+            group_queue.queue.give_up(self.ticket);
         }
     }
 }
@@ -229,22 +242,22 @@
 impl Permit {
     /// Records that the stream admitted by this permit has received its first event.
     pub(crate) fn first_event(&self) {
-        if let Some(held) = self.queues.lock().get_mut(&self.group) {
-            held.queue.first_event(self.entered.elapsed());
+        if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
+            group_queue.queue.first_event(self.admitted_at.elapsed());
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(held) = self.queues.lock().get_mut(&self.group) {
-            held.queue.leave(self.entered.elapsed());
-            held.let_in();
+        if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
+            group_queue.queue.leave(self.admitted_at.elapsed());
+            group_queue.admit_waiting();
         }
     }
 }
 
-impl Held {
+impl GroupQueue {
     fn new() -> Self {
         Self {
             queue: Queue::new(now()),
@@ -253,7 +266,7 @@
     }
 
     /// Number of admitted requests of this entry that have not finished.
-    fn inside(&self) -> usize {
+    fn in_flight(&self) -> usize {
         Arc::strong_count(&self.token) - 1
     }
 
@@ -262,7 +275,7 @@
         Arc::clone(&self.token)
     }
 
-    fn let_in(&mut self) {
+    fn admit_waiting(&mut self) {
         while let Some(sender) = self.queue.next(now()) {
             // A request that has stopped waiting in the meantime takes no headroom.
             if sender.send(Arc::clone(&self.token)).is_ok() {
@@ -273,8 +286,8 @@
 
     fn log_refusal(&self, arrival: &Arrival<'_>, expected: Duration, retry: Duration) {
         let queue = &self.queue;
-        let room = queue.room();
-        log::info!(target: DECISION, decision = "turn_back", request = arrival.request, group = arrival.group, load:? = queue.order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = room.timely, late_room = room.late, waiting = queue.waiting(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
+        let headroom = queue.room();
+        log::info!(target: DECISION, decision = "turn_back", request = arrival.request_id, group = arrival.group, load:? = queue.order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = headroom.timely, late_room = headroom.late, waiting = queue.waiting(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
     }
 }
 
