--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -38,7 +38,7 @@
     pub denial: Duration,
 }
 
-/// Checks requests and passes the admitted ones on to the [`Gateway`].
+/// Checks requests and forwards the admitted ones to the [`Gateway`].
 #[derive(Debug)]
 pub(crate) struct Admission {
     pub(crate) gateway: Arc<Gateway>,
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -71,7 +71,7 @@
     pub(crate) queues: Arc<Queues>,
     /// Whether groups are serving.
     pub(crate) gates: Gates,
-    /// Latest deadlines by route, from which the time spent on earlier attempts is derived.
+    /// Longest recent deadline of each route, from which the time that callers spent on earlier attempts is derived.
     pub(crate) deadlines: Mutex<Deadlines>,
     /// Retry times assigned to callers, by service.
     pub(crate) returns: Mutex<HashMap<String, Returns>>,
