--- a/crates/sparscale_gateway/src/silences.rs
+++ b/crates/sparscale_gateway/src/silences.rs
@@ -1,4 +1,7 @@
-//! Watches every wait for a target; see [`silence`](sparscale_policy::silence).
+//! Detects targets that stop responding while requests wait for them.
+//!
+//! A suspended box leaves requests unanswered until their callers give up. The limits come from
+//! [`silence`](sparscale_policy::silence); this module observes the responses and checks each wait.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,89 +12,92 @@
 use sparscale_wire::GroupLoad;
 use tokio::time::Instant;
 
-/// Time between two looks at a target whose silence is longer than usual.
-const LOOK_PAUSE: Duration = Duration::from_millis(40);
-/// Shortest silence at which it is looked at all.
-const FIRST_LOOK: Duration = Duration::from_millis(120);
-/// What a look may come late before this process counts as having stood still itself: then nothing was heard because nobody
-/// listened.
-const STOOD_STILL: Duration = Duration::from_millis(150);
+/// Interval between the checks of a target that has not responded yet.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// Time without a response before the first check.
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(120);
+/// A check that is delayed by more shows that this process itself was suspended: it could not have received any
+/// response, and the wait starts again.
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(150);
 
-/// A silence that is not borne any longer, and what speaks for it.
+/// A target found unresponsive, and the evidence for it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Verdict {
     pub(crate) evidence: Evidence,
-    pub(crate) silence: Duration,
+    pub(crate) unresponsive_for: Duration,
 }
 
-/// What is known of all targets that answer requests of this entry.
+/// Response times and load reports of all targets that serve requests of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Silences {
-    heard: Mutex<Register>,
+    tracker: Mutex<Register>,
 }
 
 impl Silences {
-    /// Notes that a target has given what it owed since `since`.
-    pub(crate) fn note(&self, seat: &Seat, awaited: Awaited, since: Instant) {
+    /// Records that a target has sent the awaited response; the wait began at `since`.
+    pub(crate) fn note(&self, instance: &Seat, awaited: Awaited, since: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(since);
-        self.lock().note(seat, awaited, took, now.into_std());
+        self.lock().note(instance, awaited, took, now.into_std());
     }
 
-    /// Takes in what a conductor tells of its group.
+    /// Records a load report from the leader of a group.
     pub(crate) fn note_told(&self, load: &GroupLoad) {
         self.lock().note_told(load, Instant::now().into_std());
     }
 
-    /// Forgets what is gone.
+    /// Drops the state of groups and services that `targets` no longer contains.
     pub(crate) fn retain(&self, targets: &Directory) {
         self.lock().retain(targets);
     }
 
-    /// Returns once the target of `wait` has been silent for too long, counted from now.
+    /// Returns once the target of `wait` has been unresponsive for too long, counted from the call.
     pub(crate) async fn outlasted(&self, wait: Wait<'_>) -> Verdict {
-        let _waiting = Waiting::new(self, wait.seat);
+        let _guard = WaitGuard::new(self, wait.seat);
         let mut since = Instant::now();
-        let mut look = since + FIRST_LOOK;
+        let mut next_check = since + FIRST_CHECK_DELAY;
         loop {
-            tokio::time::sleep_until(look).await;
+            tokio::time::sleep_until(next_check).await;
             let now = Instant::now();
-            if now.saturating_duration_since(look) > STOOD_STILL {
+            if now.saturating_duration_since(next_check) > MAX_CHECK_DELAY {
                 since = now;
             }
-            if let Some(verdict) = self.judge(&wait, since, now) {
+            if let Some(verdict) = self.check(&wait, since, now) {
                 return verdict;
             }
-            look = now + LOOK_PAUSE;
+            next_check = now + CHECK_INTERVAL;
         }
     }
 
-    fn judge(&self, wait: &Wait<'_>, since: Instant, now: Instant) -> Option<Verdict> {
-        let silence = now.saturating_duration_since(since);
+    fn check(&self, wait: &Wait<'_>, since: Instant, now: Instant) -> Option<Verdict> {
+        let unresponsive_for = now.saturating_duration_since(since);
         let evidence = self.lock().evidence(wait, now.into_std())?;
-        evidence.leaves(silence).then_some(Verdict { evidence, silence })
+        evidence.leaves(unresponsive_for).then_some(Verdict {
+            evidence,
+            unresponsive_for,
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Register> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A wait for a target, until this is dropped.
-struct Waiting<'a> {
-    silences: &'a Silences,
-    seat: &'a Seat,
+/// Counts a wait for a target until dropped.
+struct WaitGuard<'a> {
+    monitor: &'a Silences,
+    instance: &'a Seat,
 }
 
-impl<'a> Waiting<'a> {
-    fn new(silences: &'a Silences, seat: &'a Seat) -> Self {
-        silences.lock().begin_wait(seat);
-        Self { silences, seat }
+impl<'a> WaitGuard<'a> {
+    fn new(monitor: &'a Silences, instance: &'a Seat) -> Self {
+        monitor.lock().begin_wait(instance);
+        Self { monitor, instance }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.silences.lock().end_wait(self.seat);
+        self.monitor.lock().end_wait(self.instance);
     }
 }
--- a/crates/sparscale_gateway/src/tried.rs
+++ b/crates/sparscale_gateway/src/tried.rs
@@ -1,36 +1,39 @@
-//! The targets that a request was sent to.
+//! The list of targets that a request was sent to.
 
 use sparscale_catalog::{Incarnation, Seat};
 
-/// Targets that a request was sent to, in order.
+/// Targets that a request was sent to, in order of the attempts.
 #[derive(Debug, Default)]
-pub(crate) struct Tried {
+pub(crate) struct AttemptedTargets {
     targets: Vec<Seat>,
 }
 
-impl Tried {
-    /// Notes one.
-    pub(crate) fn push(&mut self, seat: Seat) {
-        self.targets.push(seat);
+impl AttemptedTargets {
+    /// Adds a target.
+    pub(crate) fn push(&mut self, instance: Seat) {
+        self.targets.push(instance);
     }
 
-    /// Whether the request was sent to this one.
+    /// Whether the request was sent to `target`.
     pub(crate) fn contains(&self, target: Incarnation) -> bool {
-        self.targets.iter().any(|seat| seat.key == target)
+        self.targets.iter().any(|instance| instance.key == target)
     }
 
-    /// The one that it was sent to last.
+    /// The target of the latest attempt.
     pub(crate) fn last(&self) -> Option<&Seat> {
         self.targets.last()
     }
 
-    /// How many there were.
+    /// Number of attempts.
     pub(crate) fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Their ids, for the log.
+    /// Ids of the targets, for the log.
     pub(crate) fn ids(&self) -> Vec<&str> {
-        self.targets.iter().map(|seat| seat.target.id.as_str()).collect()
+        self.targets
+            .iter()
+            .map(|instance| instance.target.id.as_str())
+            .collect()
     }
 }
