--- a/crates/sparscale_conduct/src/claims.rs
+++ b/crates/sparscale_conduct/src/claims.rs
@@ -1,50 +1,50 @@
-//! How an agent takes the leadership of its group.
+//! Claims of the leadership of a group, as entries of a list in the platform's store.
 
 use async_trait::async_trait;
 use snafu::Snafu;
 use sparscale_history::Place;
 
-/// Why a claim could not be settled.
+/// Error of a claim whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// No answer: the claim may have been taken, or may be taken later.
+    /// The store did not answer: the claim may have been recorded, or may be recorded later.
     #[snafu(display("no answer to a claim: {message}"))]
     Unavailable {
-        /// What went wrong.
+        /// Cause of the failure.
         message: String,
     },
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claim {
-    /// It stands, behind every claim before it.
+    /// The claim is recorded after every earlier claim.
     Won {
-        /// Place of the claim.
+        /// Position of the claim.
         place: Place,
     },
-    /// Somebody claimed first.
+    /// Another agent claimed first.
     Lost {
-        /// Place at which the next claim has to stand.
+        /// Position that the next claim must take.
         end: Place,
     },
 }
 
-/// Bits of a claim's number that tell its offset: a quarter of a million claims in one era of the list.
+/// Bits of a claim's number that hold its offset: 262,144 claims in one era of the list.
 const OFFSET_BITS: u32 = 18;
-/// Eras that numbers can tell. With the fences of each claim a number then stays within the integers that every reader of
-/// JSON takes exactly.
+/// Highest era that a number can hold. With the fences of each claim, numbers stay within the integers that JSON
+/// readers represent exactly.
 const MAX_ERA: u64 = (1 << 14) - 1;
 
-/// Number of the claim at `place`: later eras have higher numbers, and no two claims have the same, whatever the list
-/// forgets. None if there are more claims or eras than numbers.
+/// Returns the number of the claim at `place`: numbers increase with the era, and no two claims share one, even if a
+/// restore of the list drops claims. `None` if the offset or the era is out of range.
 pub fn number(place: Place) -> Option<u64> {
     let counted = place.era <= MAX_ERA && place.offset < 1 << OFFSET_BITS;
     counted.then_some(place.era << OFFSET_BITS | place.offset)
 }
 
-/// The place of the claim with this number.
+/// Returns the position of the claim with this number.
 pub fn place(number: u64) -> Place {
     Place::new(number >> OFFSET_BITS, number & ((1 << OFFSET_BITS) - 1))
 }
@@ -52,6 +52,6 @@
 /// The platform's list of claims.
 #[async_trait]
 pub trait Claims: Send + 'static {
-    /// Claims the leadership of `group` for `holder`, if nobody has claimed since the list ended at `end`.
+    /// Claims the leadership of `group` for `holder`, unless the list has grown since it ended at `end`.
     async fn claim(&mut self, group: &str, holder: &str, end: Place) -> Result<Claim, Error>;
 }
--- a/crates/sparscale_conduct/src/context.rs
+++ b/crates/sparscale_conduct/src/context.rs
@@ -1,4 +1,4 @@
-//! What leading a group, and standing ready to, work with.
+//! State shared by the leader of a group and by the agents that may succeed it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::figures::Figures;
 use crate::handle::Handle;
 
-/// What a leader works with, and who may become one.
+/// Handles that a leader, or a candidate for leadership, needs.
 #[derive(Clone)]
 pub(crate) struct Context {
     pub(crate) board: Arc<Board>,
@@ -20,16 +20,16 @@
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) engines: Arc<dyn Engines>,
     pub(crate) handle: Handle,
-    /// The engine beside this process.
+    /// Address of the engine beside this process.
     pub(crate) engine: SocketAddr,
-    /// Port at which every agent takes connections.
+    /// Port on which every agent listens.
     pub(crate) port: u16,
-    /// Link of this box.
+    /// Bandwidth of this box's link.
     pub(crate) bandwidth: Bandwidth,
     pub(crate) figures: Figures,
 }
 
-/// One term of leadership: the group that is led, and the claim by which it is.
+/// One term of leadership: the group, and the claim that grants its leadership.
 #[derive(Debug, Clone)]
 pub(crate) struct Term {
     pub(crate) group: String,
--- a/crates/sparscale_conduct/src/decision.rs
+++ b/crates/sparscale_conduct/src/decision.rs
@@ -1,4 +1,7 @@
-//! Which map the group should have next.
+//! Decides which expert map the group should use next.
+//!
+//! Demand is estimated from the expert selection counts of the ranks. A switch must reduce the skew by a minimum,
+//! because loading experts lengthens the passes of the ranks that load.
 
 use std::time::Duration;
 
@@ -7,31 +10,31 @@
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
-/// Time in which a pick's weight halves while demand stands still: long enough to even out the mix of the requests in
+/// Half-life of a selection's weight while demand is steady: long enough to average over the mix of the requests in
 /// progress, short enough to follow slow changes.
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// Time over which picks are gathered before they are looked at.
+/// Time over which selections are accumulated before they are evaluated.
 const SAMPLE: Duration = Duration::from_millis(100);
-/// Time that a change takes besides loading: telling, holding, arming.
+/// Time that a switch takes besides loading: sending orders, holding and arming.
 const CHANGE_MS: f64 = 30.0;
-/// Time over which a change has to pay; after that the next one goes on, or demand has shifted.
+/// Time within which a switch must pay off; after that the next switch follows, or demand has shifted.
 const HORIZON_MS: f64 = 900.0;
-/// Most loads on one rank in one change.
+/// Maximum number of experts that one rank loads in one switch.
 const MAX_DEPTH: usize = 3;
-/// Time between two lines of the log about staying.
+/// Minimum time between two log lines about keeping the current map.
 const STAY_PAUSE: Duration = Duration::from_secs(1);
-/// Fall of the skew for which a change is made while passes take as long as streams allow.
+/// Minimum reduction of the skew for a switch while passes take as long as streams allow.
 const MIN_FALL: f64 = 0.08;
-/// What an idle group adds to it: while passes are short, a little skew costs nobody anything, and loads do.
+/// Addition to that minimum in an idle group: while passes are short a little skew delays no request, but loading does.
 const IDLE_FALL: f64 = 0.3;
-/// Part of the allowed pause up to which a pass counts as short.
+/// Share of the allowed pause between stream events up to which a pass counts as short.
 const SHORT_PART: f64 = 0.6;
-/// Factor between two paces of a rank that is worth a line.
+/// Factor by which the slowdown of a rank must change to be logged.
 const PACE_CHANGE: f64 = 1.3;
-/// Pause between events that is taken to be allowed until the catalog says it.
+/// Pause between stream events that is assumed to be allowed until the catalog is known.
 const USUAL_PAUSE: Duration = Duration::from_millis(150);
 
-/// Follows the demand for experts, and decides.
+/// Tracks the demand for experts and chooses the group's maps.
 #[derive(Debug)]
 pub(crate) struct Decider {
     shape: Shape,
@@ -40,13 +43,13 @@
     gathered: Vec<f64>,
     since: Instant,
     paces: Vec<f64>,
-    /// Time of the latest passes, over the pause that streams allow.
+    /// Time of the latest passes divided by the pause that streams allow.
     pressure: f64,
     told_stay: Option<Instant>,
 }
 
 impl Decider {
-    /// Nothing is known yet of a group of `ranks` ranks.
+    /// Creates a decider without any demand data for a group of `ranks` ranks.
     pub(crate) fn new(experts: Experts, ranks: usize) -> Self {
         let shape = Shape {
             ranks,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Notes how many times as long as usual each rank's work takes.
+    /// Sets how many times longer than usual the work of each rank takes.
     pub(crate) fn pace(&mut self, paces: Vec<f64>) {
         for (rank, (before, now)) in self.paces.iter().zip(&paces).enumerate() {
             if *now > before * PACE_CHANGE || *before > now * PACE_CHANGE {
@@ -76,18 +79,18 @@
         self.paces = paces;
     }
 
-    /// Notes how long passes take, and how long they may.
+    /// Sets how long passes take, and how long the pause between stream events may be.
     pub(crate) fn press(&mut self, pass: Duration, pause: Option<Duration>) {
         let pause = pause.unwrap_or(USUAL_PAUSE);
         self.pressure = pass.as_secs_f64() / pause.as_secs_f64().max(f64::MIN_POSITIVE);
     }
 
-    /// Dimensions of the group.
+    /// Dimensions of the group's expert maps.
     pub(crate) fn shape(&self) -> Shape {
         self.shape
     }
 
-    /// Takes in the picks of one rank; picks of another shape come from another configuration and are left out.
+    /// Adds the selection counts of one rank; counts of another shape come from another configuration and are ignored.
     pub(crate) fn count(&mut self, picks: &[u32]) {
         if picks.len() != self.gathered.len() {
             return;
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Looks at what was gathered, if enough time has passed.
+    /// Evaluates the accumulated selections if the sample window is over.
     pub(crate) fn sample(&mut self, now: Instant) -> Option<Trend> {
         let span = now.saturating_duration_since(self.since);
         if span < SAMPLE {
@@ -111,17 +114,18 @@
         Some(trend)
     }
 
-    /// Mean over the sets of the largest rank load over the mean, under `map`.
+    /// Mean over the sets of the ratio of the largest rank load to the mean rank load, under `map`.
     pub(crate) fn skew(&self, map: &Map) -> f64 {
         skew_now(&self.popularity, map, self.shape, &self.paces)
     }
 
-    /// Whether the demand is known.
+    /// Whether any demand has been observed.
     pub(crate) fn knows(&self) -> bool {
         self.popularity.samples() > 0
     }
 
-    /// The next map, if one pays: as many loads on a rank as leave the least skew over the horizon, loading included.
+    /// Returns the next map if a switch pays off: of the candidates with different numbers of loads per rank, the one
+    /// with the least skew over the horizon, loading included.
     pub(crate) fn next(&mut self, map: &Map) -> Option<Refined> {
         if !self.knows() {
             return None;
@@ -157,7 +161,7 @@
         pays.then_some(best)
     }
 
-    /// Most decisions are to stay; one line a second tells of them.
+    /// Logs that the current map is kept, at most once per second, since most decisions are of this kind.
     fn log_stay(&mut self, best: &Refined) {
         let now = Instant::now();
         if self.told_stay.is_some_and(|told| now < told + STAY_PAUSE) {
@@ -175,7 +179,7 @@
         );
     }
 
-    /// Skew times milliseconds over the horizon, if `refined` is put in force.
+    /// Skew times milliseconds over the horizon if the group switches to `refined`.
     fn cost(&self, refined: &Refined) -> f64 {
         let wait = (f64::from(refined.deepest) * self.experts.load_ms() + CHANGE_MS).min(HORIZON_MS);
         wait * refined.before + (HORIZON_MS - wait) * refined.after
--- a/crates/sparscale_conduct/src/delegation.rs
+++ b/crates/sparscale_conduct/src/delegation.rs
@@ -1,4 +1,4 @@
-//! Holds that another rank's agent places for the conductor.
+//! Delegation of a hold: the agent of another rank places it at the leader's own rank.
 
 use std::time::Duration;
 
@@ -10,19 +10,20 @@
 use crate::leader::Leader;
 use crate::member::{Delegation, Proof};
 
-/// Time that a helper may take to place a hold: two hops between halls and a call, four times over.
+/// Time limit for a helper to place a hold: four times two network hops between halls and a call of the engine.
 const DELEGATION_LIMIT: Duration = Duration::from_millis(50);
-/// Time after a hold at which the helper has to show that it goes on.
+/// Time after a hold at which the helper must show that it is still running.
 const PROOF_PAUSE: Duration = Duration::from_millis(6);
-/// Time for which an agent that failed as a helper is passed over.
+/// Time for which an agent that failed as a helper is not chosen again.
 const HELPER_PAUSE: Duration = Duration::from_secs(5);
 
 impl Leader {
-    /// Lets another agent place the hold at this conductor's own rank; false if the order is no hold or nobody can.
+    /// Delegates the hold at the leader's own rank to another agent; returns false if the order is no such hold or no
+    /// helper is available.
     ///
-    /// A box that stands still right after it has placed a hold leaves the group standing until it wakes: if it is the
-    /// conductor's, nobody knows what it has ordered besides. If it is another one, the conductor sees the hold at its
-    /// own rank, knows that no rank was told to arm, and lets the group go.
+    /// A box that freezes right after it has placed a hold stalls the group until it resumes. If the leader places its
+    /// own hold and its box freezes, no other process knows what it has ordered besides. If the helper's box freezes,
+    /// the leader sees the hold at its own rank, knows that no rank was ordered to arm, and releases the group.
     pub(crate) fn send_delegation(&mut self, rank: usize, order: Order) -> bool {
         let hold = matches!(order.act, Act::Hold { .. }) && self.conductor.progress() == Progress::Holding;
         if !hold || rank != self.term.own {
@@ -45,7 +46,7 @@
         sent.is_ok()
     }
 
-    /// The next rank after the conductor's own whose agent was heard a moment ago.
+    /// The next rank after the leader's own whose agent has reported recently.
     fn helper(&self) -> Option<usize> {
         let size = self.members.len();
         let mut others = (1..size).map(|step| (self.term.own + step) % size);
@@ -56,8 +57,8 @@
         })
     }
 
-    /// The other agent's word on the hold, then its word that it has gone on since. A box may stand still right after
-    /// it has placed a hold; no rank is armed before it is known that this one does not.
+    /// Handles the helper's answer to the hold, then its answer to the later liveness query. A box may freeze right
+    /// after it has placed a hold, so no rank is armed before the helper has shown that it is still running.
     pub(crate) fn delegation_answered(&mut self, serial: u64, answer: Answer) {
         let Some(delegation) = self
             .delegation
@@ -78,7 +79,7 @@
             (Some(_), Proof::Asked) => delegation.proof = Proof::Given,
             _ => return,
         }
-        // The state of the own rank is read now to go with the answer.
+        // Reads the state of the own rank now, to report it with the answer.
         let look = Order {
             act: Act::Look,
             ..delegation.order
@@ -86,7 +87,7 @@
         self.send_own(self.term.own, look);
     }
 
-    /// Asks the helper for the proof when it is due.
+    /// Sends the helper the liveness query when it is due.
     pub(crate) fn ask_for_proof(&mut self) {
         let Some(delegation) = &mut self.delegation else { return };
         let Proof::Due(at) = delegation.proof else { return };
@@ -99,14 +100,14 @@
             ..delegation.order
         };
         let engine = self.context.engine;
-        // A full queue shows as a helper that does not answer.
+        // If the queue is full the helper counts as unresponsive.
         let _full = self.members[delegation.helper]
             .orders
             .try_send(RankOrder::Delegation { order, engine });
     }
 
-    /// A helper that does not answer may stand still, and its rank cannot be armed. Nothing was armed yet: the change
-    /// is dropped, and the hold goes as soon as the own rank shows it.
+    /// Drops the map switch if the helper is unresponsive: its box may be frozen, and then its rank cannot be armed.
+    /// Nothing is armed yet; the hold is released as soon as the state of the own rank shows it.
     pub(crate) fn check_delegation(&mut self) {
         let silent = |delegation: &mut Delegation| {
             let waits = delegation.answer.is_none() || delegation.proof != Proof::Given;
--- a/crates/sparscale_conduct/src/distant.rs
+++ b/crates/sparscale_conduct/src/distant.rs
@@ -1,4 +1,4 @@
-//! An engine on another box, ordered directly because its agent is not reached.
+//! An engine on another box, ordered directly because its agent is unreachable.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 use crate::engine::Engine;
 
-/// Factor by which the lag of a report is waited out.
+/// Multiple of the report lag that is waited after an order.
 const LAG_MARGIN: f64 = 1.5;
-/// What is waited besides.
+/// Time that is waited in addition.
 const LAG_SLACK: Duration = Duration::from_millis(50);
 
-/// An engine that tells other boxes its state as it was some time ago.
+/// An engine whose reports to other boxes lag behind its state.
 pub struct Distant {
     engine: Box<dyn Engine>,
     lag: Duration,
@@ -28,20 +28,20 @@
 }
 
 impl Distant {
-    /// The engine, and the age of what it tells other boxes.
+    /// Wraps an engine whose reports to other boxes are `lag` old.
     pub fn new(engine: Box<dyn Engine>, lag: Duration) -> Self {
         Self { engine, lag }
     }
 
-    /// Whether the engine says that it is rank `rank` of the group called `group`. A list of targets may be of before a
-    /// change of ranks, or have entries of another writer, and an order to another rank than the one that is meant would be
-    /// read back from there as that one's.
+    /// Whether the engine reports that it is rank `rank` of the group called `group`. The list of targets may be older
+    /// than a change of ranks or contain entries of another writer; an order that went to another rank would be read
+    /// back from there as the state of the intended one.
     pub async fn is_rank(&mut self, group: &str, rank: usize) -> bool {
         self.engine.state().await.is_ok_and(|state| state.is_rank(group, rank))
     }
 
-    /// Carries `order` out. The state that is told was read late enough to show the order's effect, and that of
-    /// everything before it: a state from before would hide, say, that the rank had just been armed.
+    /// Carries out `order` and reads the state late enough to show the effect of the order and of everything before it.
+    /// An earlier state would hide, for example, that the rank had just been armed.
     pub async fn order(&mut self, order: &Order, map: Option<&Map>) -> (Report, Option<RankLoad>) {
         let answer = match order.act {
             Act::Look => Answer::Done,
--- a/crates/sparscale_conduct/src/engine.rs
+++ b/crates/sparscale_conduct/src/engine.rs
@@ -1,4 +1,4 @@
-//! What an agent needs of the engine beside it.
+//! Interface to the engine beside an agent.
 
 use std::net::SocketAddr;
 
@@ -8,28 +8,29 @@
 use sparscale_place::barrier::{Answer, Order, View};
 use sparscale_wire::RankLoad;
 
-/// Why an engine told nothing.
+/// An engine did not answer a query.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub), display("the engine told nothing: {message}"))]
 pub struct EngineError {
-    /// What went wrong.
+    /// Cause of the failure.
     pub message: String,
 }
 
-/// State of the engine.
+/// State of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineState {
-    /// When its present start began, in milliseconds since 1970; none if it does not tell. It knows nothing of before.
+    /// Start time of the current process in milliseconds of Unix time (since 1970); `None` if the engine does not report it.
+    /// An engine keeps no state across restarts.
     pub born_ms: Option<u64>,
-    /// Group that it is a rank of; none for an engine without one.
+    /// Group to which it belongs; `None` for an engine outside of any group.
     pub group: Option<String>,
-    /// Its rank.
+    /// Its rank in the group.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// What a conductor needs.
+    /// State that the leader uses for map switches.
     pub view: View,
-    /// What routing needs.
+    /// Load that routing uses.
     pub load: RankLoad,
 }
 
@@ -51,35 +52,35 @@
     }
 }
 
-/// Counts of an engine.
+/// Expert selection counts of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counts {
-    /// When the start that counted began, as in [`EngineState::born_ms`].
+    /// Start time of the process that counted, as in [`EngineState::born_ms`].
     pub born_ms: Option<u64>,
-    /// Epoch in which they were read.
+    /// Epoch in which the counts were read.
     pub epoch: u64,
-    /// Picks of each expert since the engine started, set by set.
+    /// Selections of each expert since the engine started, set by set.
     pub picks: Vec<u64>,
 }
 
-/// One engine.
+/// Connection to one engine.
 #[async_trait]
 pub trait Engine: Send + 'static {
-    /// Its state now.
+    /// Reads its current state.
     async fn state(&mut self) -> Result<EngineState, EngineError>;
 
-    /// How often its requests have chosen each expert.
+    /// Reads how often its requests have selected each expert.
     async fn counts(&mut self) -> Result<Counts, EngineError>;
 
-    /// The experts that it holds.
+    /// Reads which experts it holds.
     async fn held(&mut self) -> Result<Held, EngineError>;
 
-    /// Carries an order out; `map` is the whole map where the order is to stage one.
+    /// Sends an order; `map` is the whole map if the order is to stage one.
     async fn order(&mut self, order: &Order, map: Option<&Map>) -> Answer;
 }
 
-/// Reaches engines.
+/// Creates connections to engines.
 pub trait Engines: Send + Sync + 'static {
-    /// The engine at `address`.
+    /// Returns a connection to the engine at `address`.
     fn at(&self, address: SocketAddr) -> Box<dyn Engine>;
 }
--- a/crates/sparscale_conduct/src/figures.rs
+++ b/crates/sparscale_conduct/src/figures.rs
@@ -1,11 +1,11 @@
-//! The figures of an agent.
+//! Metrics of an agent.
 
 use std::sync::Arc;
 
 use sparscale_place::barrier::{Act, Answer};
 use sparscale_telemetry::{Counter, Gauge, Histogram, Registry};
 
-/// Figures that leading a group and ordering a rank change.
+/// Metrics about leading a group and ordering a rank.
 #[derive(Debug, Clone)]
 pub(crate) struct Figures {
     registry: Arc<Registry>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// An order to the own rank was answered.
+    /// Counts an order to the own rank by its answer.
     pub(crate) fn ordered(&self, act: &Act, answer: Answer) {
         let act = match act {
             Act::Look => "look",
@@ -67,7 +67,7 @@
         self.registry.counter("sparscale_orders_total", help, &labels).add_one();
     }
 
-    /// A map switch is over.
+    /// Counts a finished map switch by its result.
     pub(crate) fn switched(&self, in_force: bool) {
         let result = if in_force { "in_force" } else { "dropped" };
         let help = "Map switches, by result.";
@@ -77,7 +77,7 @@
             .add_one();
     }
 
-    /// A claim of the leadership was answered, or not.
+    /// Counts a claim of the leadership by its result.
     pub(crate) fn claimed(&self, result: &str) {
         let help = "Claims of the duty to lead, by result.";
         let labels = [("result", result)];
--- a/crates/sparscale_conduct/src/inquiry.rs
+++ b/crates/sparscale_conduct/src/inquiry.rs
@@ -1,8 +1,8 @@
-//! Whether the conductor is gone, or only this agent does not hear it.
+//! Polls other agents to find out whether the leader is gone or only unreachable from here.
 //!
-//! An agent that hears no conductor may itself be the one that is not reached: its box stood still, its process has just
-//! started, or its link is one of a hundred that a new conductor has yet to open. Claiming then takes the leadership from one that
-//! lives, and costs the group seconds without a map. So it asks a few others what they have heard.
+//! An agent that receives nothing from a leader may itself be the unreachable one: its box was suspended, its process
+//! has just started, or a new leader has yet to open its link among a hundred others. A claim would then depose a live
+//! leader and cost the group seconds without a map switch.
 
 use std::time::Duration;
 
@@ -14,35 +14,37 @@
 use crate::handle::Handle;
 use crate::pace::Pace;
 
-/// Agents that are asked, far apart in the group: boxes of one hall are gone together.
+/// Number of agents to poll, far apart in the group because the boxes of one hall fail together.
 const ASKED: usize = 3;
-/// Answers that are waited for.
+/// Number of answers after which the poll ends.
 const ENOUGH: usize = 2;
-/// Time in which they have to come: a handshake with a slow box, once sent again.
+/// Timeout of a poll: a handshake with a slow box, with one retransmission.
 const TIMEOUT: Duration = Duration::from_millis(400);
-/// An agent that started this lately and was never led was started together with the others, the conductor among them.
+/// Uptime below which an agent that was never led is taken to have started together with all others, including the last
+/// leader.
 const STARTED_LATELY: Duration = Duration::from_secs(5);
 
-/// What follows from the others' words.
+/// Conclusion from the answers of a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The conductor is gone.
+    /// The leader is gone.
     Gone,
-    /// It lives: somebody heard it a moment ago.
+    /// The leader is alive: a peer has received a message from it recently.
     Lives {
-        /// Its claim.
+        /// Claim of that leader.
         claim: u64,
     },
-    /// Somebody has claimed whom nobody has heard yet.
+    /// A claimant exists from which no polled peer has received anything yet.
     Coming {
-        /// How long it is waited for.
+        /// Time to wait for the claimant.
         wait: Duration,
     },
-    /// Nobody answers: this agent is the one that is cut off, or all others are gone.
+    /// No peer answered: this agent is cut off, or all others have terminated.
     Alone,
 }
 
-/// Draws what follows from `words`. `end` is how many claims there are, known for `known`.
+/// Judges from the answers of a poll whether the leader is gone. `end` is the number of the next claim, known for
+/// `known`.
 pub fn verdict(words: &[Sighting], end: u64, known: Duration, pace: &Pace) -> Verdict {
     if words.is_empty() {
         return Verdict::Alone;
@@ -65,7 +67,7 @@
     }
 }
 
-/// Asks others of the group of the engine in `state` what they have heard of its conductor.
+/// Polls other agents of the group of the engine in `state` for their observations of the leader.
 pub(crate) async fn ask(context: &Context, group: &str, state: &EngineState) -> Vec<Sighting> {
     let mut asking = JoinSet::new();
     for part in 0..ASKED.min(state.size.saturating_sub(1)) {
@@ -82,7 +84,7 @@
             }
         }
     };
-    // What has come by then has to do.
+    // The answers that arrived before the timeout must suffice.
     let _elapsed = tokio::time::timeout(TIMEOUT, gathered).await;
     words
 }
@@ -102,7 +104,8 @@
     }
 }
 
-/// Says what this agent has heard of the conductor of `group`; nothing if its engine is of another one.
+/// Answers a poll with this agent's observation of the leader of `group`; sends nothing if its engine belongs to
+/// another group.
 pub(crate) async fn answer(handle: &Handle, group: &str, mut channel: Channel) {
     let ours = handle
         .state
@@ -118,7 +121,7 @@
         heard_ms: millis(led.spoke.elapsed()),
         up_ms: millis(handle.started.elapsed()),
     };
-    // Who asked and does not wait has no use for it.
+    // The polling agent may have stopped waiting, so a failure is ignored.
     let _gone = channel.sender.send(&Frame::Leader(word)).await;
     channel.sender.finish();
     channel.sender.stopped().await;
--- a/crates/sparscale_conduct/src/leader.rs
+++ b/crates/sparscale_conduct/src/leader.rs
@@ -1,4 +1,4 @@
-//! Leads one group: gathers counts, decides, and takes the ranks from map to map.
+//! Leads one group: gathers counts, decides about the expert map and switches the ranks from map to map.
 
 mod talk;
 
@@ -20,18 +20,18 @@
 use crate::outbox::Outbox;
 use crate::pace::Pace;
 
-/// Fences of one claim: each change uses two at most.
+/// Fences per claim: each map switch uses two at most, so a higher claim always has higher fences.
 const FENCES_PER_CLAIM: u64 = 1 << 20;
-/// Time between two looks while a change is under way, and while none is.
+/// Intervals between two steps, during a map switch and otherwise.
 const BUSY_TICK: Duration = Duration::from_millis(10);
 const CALM_TICK: Duration = Duration::from_millis(50);
-/// Time between two rounds of looking at ranks that do not make up an open group.
+/// Interval between two surveys of ranks that do not form an open group, and between two polls of unresponsive ranks.
 const SURVEY_PAUSE: Duration = Duration::from_millis(60);
-/// Span over which passes are timed.
+/// Time over which the duration of a pass is averaged.
 const PASS_SPAN: Duration = Duration::from_millis(300);
-/// Time without a decision after which a line tells why.
+/// Time without a decision after which the reason is logged.
 const STALL_PAUSE: Duration = Duration::from_secs(2);
-/// Ranks that such a line tells of.
+/// Maximum number of ranks that such a log line describes.
 const NAMED: usize = 6;
 
 pub(crate) struct Leader {
@@ -41,36 +41,36 @@
     pub(crate) members: Vec<Member>,
     events: mpsc::Receiver<Event>,
     decider: Option<Decider>,
-    /// The map that all ranks use, with epoch and number.
+    /// The map that all ranks use, with its epoch and number.
     map: Option<(u64, u64, Arc<Map>)>,
     change: Option<Change>,
-    /// The last map that was sent and did not come in force, with its number: agents may have it.
+    /// The last map that was sent but never became active, with its number: agents may have it.
     dropped: Option<(u64, Arc<Map>)>,
     pub(crate) delegation: Option<Delegation>,
     pub(crate) pace: Pace,
-    /// Maps that wait for the link.
+    /// Orders with maps that wait for the link.
     outbox: Outbox,
-    /// Times that ranks took to answer the orders of the present phase.
+    /// Times in which ranks answered the orders of the current phase.
     answered: Vec<Duration>,
     changes: u64,
     progress: Progress,
     surveyed: Instant,
-    /// When ranks whose agents are not reached were asked last.
+    /// When ranks whose agents are unreachable were last polled.
     looked: Instant,
     told: Instant,
-    /// Whether the loads are to be told without waiting.
+    /// Whether to send the loads to entries without waiting for the interval.
     tell_now: bool,
     messages: u64,
     pass: Option<(u64, Instant)>,
     pass_micros: f64,
-    /// Ranks that were silent at the last step.
+    /// Number of unresponsive ranks at the last step.
     silent_ranks: usize,
-    /// Number of the latest pass that was seen to begin.
+    /// Number of the latest pass that is known to have begun.
     latest_pass: u64,
     overtaken: bool,
-    /// Whether something is new since the last decision.
+    /// Whether there is new information since the last decision.
     undecided: bool,
-    /// When a decision could be made last, or a line told that none can.
+    /// When a decision was last possible, or the reason why none is was last logged.
     decided: Instant,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Leads until another conductor has taken over.
+    /// Leads until another agent has taken over.
     pub(crate) async fn run(mut self) {
         self.context.figures.leading.set(1.0);
         log::info!(target: DECISION, decision = "lead", group = self.term.group.as_str(), claim = self.term.claim, rank = self.term.own; "leading a group");
@@ -130,7 +130,7 @@
                     if let Some(event) = event {
                         self.take_in(event);
                     }
-                    // What has arrived already is taken in before anything is decided.
+                    // Handles all events that have arrived before anything is decided.
                     while let Ok(event) = self.events.try_recv() {
                         self.take_in(event);
                     }
@@ -189,7 +189,7 @@
                 if let Some(load) = load {
                     self.members[rank].load = Some((load, now));
                 }
-                // An answer to an earlier order, which was given up, says nothing about the one on its way.
+                // An answer to an earlier order, which was given up, must not count for the current one.
                 if report.answer.is_some() && self.members[rank].awaits(report.serial) {
                     let sent = self.members[rank].ordered.take();
                     self.answered
@@ -219,7 +219,8 @@
         }
     }
 
-    /// Passes are timed over a span: between two looks there are none, one or a few.
+    /// Updates the average duration of a pass. It is measured over a span, because zero, one or several passes may
+    /// begin between two reports.
     fn time_passes(&mut self, step: u64, now: Instant) {
         self.latest_pass = step;
         let Some((before, at)) = self.pass else {
@@ -241,22 +242,22 @@
         }
     }
 
-    /// Does everything that can be done now.
+    /// Advances the group as far as currently possible.
     fn step(&mut self) {
         self.prepare_decider();
         if let Some(decider) = &mut self.decider {
             let trend = decider.sample(Instant::now());
             self.undecided |= trend.is_some();
-            // Entries hold back at once what would make the passes of the next half second longer.
+            // Entries should reduce the load at once that would lengthen the passes of the next half second.
             self.tell_now |= trend == Some(Trend::Shifted);
         }
         let silent = self.silent().count();
         self.conductor.set_silent(silent > 0);
-        // Entries send to a rank until they hear that it is silent.
+        // Entries keep sending to an unresponsive rank until they are notified.
         self.tell_now |= silent > self.silent_ranks;
         self.silent_ranks = silent;
         self.note_progress();
-        // While a rank is silent no change can come in force: it would be loaded in vain, again and again.
+        // While a rank is unresponsive no map can become active: experts would be loaded in vain, again and again.
         if self.conductor.progress() == Progress::Idle && self.undecided && silent == 0 {
             self.undecided = false;
             self.decide();
@@ -270,7 +271,7 @@
         self.overtaken |= self.conductor.progress() == Progress::Overtaken;
     }
 
-    /// The shape of the group's experts comes with the catalog.
+    /// Creates the decider once the catalog, which holds the shape of the group's experts, is known.
     fn prepare_decider(&mut self) {
         if self.decider.is_some() {
             return;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Notes which map is in force, now that nothing is under way.
+    /// Records the result of a map switch and the active map, now that nothing is in progress.
     fn settle(&mut self) {
         let failed = self.conductor.take_failure();
         let change = self.change.take();
@@ -351,7 +352,8 @@
         }
     }
 
-    /// The map in force: remembered, the one that every group starts with, or put together from what the ranks hold.
+    /// Returns the active map: the recorded one, the initial one, or one that is assembled from the placements of the
+    /// ranks.
     fn present(&mut self) -> Option<&Map> {
         let epoch = self.conductor.epoch();
         let number = self.conductor.settled_map()?;
@@ -409,7 +411,7 @@
         }
     }
 
-    /// What is waited for of a rank: the order on its way and its age, and what was heard of it last.
+    /// Describes what a rank is awaited for: its pending order and that order's age, and the age of its last report.
     fn describe(&self, rank: usize) -> String {
         let member = &self.members[rank];
         let age = |at: Option<Instant>| at.map_or(-1, |at| at.elapsed().as_millis() as i64);
@@ -422,7 +424,7 @@
         )
     }
 
-    /// Says now and then why nothing can be decided, if nothing can.
+    /// Logs periodically why no decision is possible, if none is.
     fn tell_stall(&mut self) {
         if self.decided.elapsed() < STALL_PAUSE {
             return;
--- a/crates/sparscale_conduct/src/leader/talk.rs
+++ b/crates/sparscale_conduct/src/leader/talk.rs
@@ -1,4 +1,4 @@
-//! What a leader tells others: orders and heartbeats to agents, loads to entries.
+//! Messages that a leader sends: orders and heartbeats to agents, loads to entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use crate::link::{Place, lag_of};
 use crate::member::{Member, is_stage};
 
-/// Bytes of an order to load, with what the transport adds, but for the map.
+/// Bytes of an order to stage a map besides the map itself, with the overhead of the transport.
 const STAGE_BYTES: usize = 110;
-/// Time between two messages about loads to the entries.
+/// Interval between two messages with the loads of the group to the entries.
 const LOADS_PAUSE: Duration = Duration::from_millis(100);
 
 impl Leader {
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Nobody tells of a rank whose agent stands still or is not reached: it is asked while something is awaited of it.
+    /// Polls ranks whose agents are frozen or unreachable while the leader waits for their state, since no process
+    /// reports it.
     pub(super) fn look_at_missing(&mut self) {
         let awaits = matches!(self.conductor.progress(), Progress::Staging | Progress::Settling);
         if !awaits || self.looked.elapsed() < SURVEY_PAUSE {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Ranks that nobody has told of lately.
+    /// Ranks without a recent report.
     pub(super) fn silent(&self) -> impl Iterator<Item = usize> {
         let age = self.pace.helper_age();
         let is_silent = move |member: &Member| member.load.is_none_or(|(_, at)| at.elapsed() >= age);
@@ -66,7 +67,7 @@
             .map(|(rank, _)| rank)
     }
 
-    /// Sends maps as far as the link carries them now.
+    /// Sends queued orders with maps as far as the bandwidth allows now.
     pub(super) fn send_maps(&mut self) {
         while let Some((rank, order)) = self.outbox.next(Instant::now()) {
             let now = Instant::now();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Nobody needs the maps that still wait when a change is over or given up.
+    /// Drops the queued orders with maps when a map switch is over or given up.
     pub(super) fn drop_maps(&mut self) {
         if self.conductor.progress() == Progress::Staging {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Agents take a silent conductor for dead; one that was sent an order has heard enough.
+    /// Sends heartbeats: agents take a leader without messages for terminated, and any order counts as a message.
     pub(super) fn send_heartbeats(&mut self) {
         let now = Instant::now();
         let pause = self.pace.heartbeat();
@@ -115,12 +116,12 @@
                 continue;
             }
             member.spoken = now;
-            // A full queue has orders in it, which say as much.
+            // A full queue holds orders, which show as well that the leader is alive.
             let _full = member.orders.try_send(RankOrder::Heartbeat);
         }
     }
 
-    /// Gives up what takes too long.
+    /// Gives up orders and map switches that exceed their time limits.
     pub(super) fn check_times(&mut self) {
         let on_link = Duration::from_secs_f64(self.outbox.seconds());
         let limit = self.pace.order_limit() + on_link;
@@ -163,7 +164,7 @@
         };
         for (rank, member) in self.members.iter().enumerate() {
             let engines = targets.value.places(&self.term.group, rank);
-            // A rank that is not listed now may only have lapsed; where it was is the best guess.
+            // A rank without an entry may only have lapsed; its last location is the best guess.
             if engines.is_empty() {
                 continue;
             }
@@ -190,7 +191,7 @@
             (Some(decider), Some((_, _, map))) if decider.knows() => decider.skew(map),
             _ => 0.0,
         };
-        // Entries leave ranks that are not told of, so that nothing is sent to a box that stands still.
+        // Entries send nothing to ranks without a load, so the load of a box that may be frozen is left out.
         let age = self.pace.helper_age();
         let fresh = |member: &Member| {
             let load = member.load.filter(|(_, at)| at.elapsed() < age);
@@ -211,7 +212,7 @@
     }
 }
 
-/// Bytes that a map takes on its way: an expert of a whole one takes two at most.
+/// Upper bound of the encoded size of a map update: an expert in a whole map takes two bytes at most.
 fn bytes_of(map: &MapUpdate) -> usize {
     let content = match map {
         MapUpdate::Change { patch, .. } => patch.bytes(),
--- a/crates/sparscale_conduct/src/leadership.rs
+++ b/crates/sparscale_conduct/src/leadership.rs
@@ -1,4 +1,7 @@
-//! When an agent takes the leadership of its group.
+//! Decides when an agent claims the leadership of its group.
+//!
+//! Agents wait for the leader in the order of their ranks, poll other agents before they claim, and so replace a leader
+//! that has terminated without deposing one that is merely unreachable from here.
 
 use std::time::Duration;
 
@@ -14,26 +17,28 @@
 use crate::leader::Leader;
 use crate::pace::Pace;
 
-/// Time without a word from any conductor after which the first in line claims the leadership of a group whose ranks still have
-/// the map that every group starts with: nobody has led it in this epoch, and its passes are several times as long as
-/// they need to be. The first in line claims at once; if others led before, its first claim only tells it so.
+/// Time without a leader after which the first candidate claims the leadership of a group whose ranks still have the
+/// initial map: no leader has led it in this epoch, and its passes take several times as long as they need to. The
+/// first candidate claims without a poll; if others led before, its first claim only returns the end of the list of
+/// claims.
 const FIRST_MAP_PATIENCE: Duration = Duration::from_millis(50);
-/// Time that an agent that was not led yet gives a conductor after its first claim, by which it learnt where the list of
-/// claims ends; it waited for one before that claim. Waiting as long again would leave a group
-/// without a conductor after all processes were killed.
+/// Time that an agent without a leader waits after its first claim, which returned the end of the list of claims. It
+/// already waited for a leader before that claim; waiting as long again would leave a group without a leader after all
+/// processes were killed.
 const SECOND_CLAIM: Duration = Duration::from_millis(250);
-/// Time that all others give it to learn where they are and to reach them.
+/// Shortest time that the other candidates allow the first one to read the locations of the ranks and connect to them.
 const FIRST_LINK: Duration = Duration::from_millis(500);
-/// Time that a claim may take.
+/// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
-/// A look that comes this late means that the box stood still.
+/// Delay of a check beyond which the box is taken to have been suspended.
 const STOOD_STILL: Duration = Duration::from_millis(400);
-/// Inquiries that nobody answers after which the leadership is claimed all the same: all other agents may be gone.
+/// Consecutive polls without any answer after which the leadership is claimed anyway: all other agents may have
+/// terminated.
 const ALONE_TRIES: u32 = 2;
-/// Pause between two looks.
+/// Time between two checks of the leadership.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// Leads the group whenever nobody else does; never ends.
+/// Leads the group whenever no other agent does; never returns.
 pub(crate) async fn run(context: Context, claims: Box<dyn Claims>, service: String) {
     let now = Instant::now();
     let mut candidacy = Candidacy {
@@ -49,25 +54,26 @@
         let slept = Instant::now();
         tokio::time::sleep(LOOK).await;
         if slept.elapsed() > STOOD_STILL {
-            // This box stood still: it is the one that was not heard, and what was sent to it is still to be read.
+            // The box was suspended: messages that the leader sent meanwhile are still to be read, so the wait starts
+            // anew.
             candidacy.waited_since = Instant::now();
         }
         candidacy.look().await;
     }
 }
 
-/// What an agent knows of the leadership.
+/// A possible successor of the leader, and what it knows of the leadership.
 struct Candidacy {
     context: Context,
     claims: Box<dyn Claims>,
     service: String,
-    /// Number of the next claim, once it is known where the list of claims ends.
+    /// Number of the next claim; `None` until the end of the list of claims is known.
     end: Option<u64>,
-    /// When that was learnt.
+    /// When `next_claim` last changed.
     learnt: Instant,
-    /// Since when nobody was heard who leads.
+    /// Start of the wait for a leader; later than now while a known claimant still has time to connect.
     waited_since: Instant,
-    /// Inquiries in a row to which nobody answered.
+    /// Consecutive polls without any answer.
     alone: u32,
 }
 
@@ -86,7 +92,7 @@
         if self.waited_since.elapsed() < patience(&state, &led, self.end.is_some()) {
             return;
         }
-        // A first claim only shows where the list of claims ends, unless nobody has ever claimed.
+        // Until the end of the list is known a claim needs no poll: it only returns that end, unless the list is empty.
         let may_claim = match self.end {
             Some(end) => self.is_gone(&group, &state, end).await,
             None => true,
@@ -103,7 +109,7 @@
         }
     }
 
-    /// Whether the conductor is gone as far as others know; if not, it is waited for.
+    /// Polls other agents and returns whether the leader is gone; if not, restarts the wait for it.
     async fn is_gone(&mut self, group: &str, state: &EngineState, end: u64) -> bool {
         let pace = Pace::new(state.size);
         let words = inquiry::ask(&self.context, group, state).await;
@@ -122,7 +128,7 @@
                 self.waited_since = now;
                 false
             }
-            // The next look comes when it has had its time.
+            // The next check happens once the claimant has had its time to connect.
             Verdict::Coming { wait } => {
                 self.waited_since = now + wait;
                 false
@@ -151,7 +157,7 @@
     }
 
     async fn lead(&mut self, group: String, state: &EngineState, place: Place) {
-        // A claim of a list that has been restored since is none: what stands there now is another one.
+        // A number below the known end comes from a list that was restored since: another claim has taken its place.
         let number = claims::number(place).filter(|number| self.end.is_none_or(|end| *number >= end));
         let Some(claim) = number else {
             self.unanswered(&group, "the claim has no number, or is older than what is known");
@@ -180,8 +186,8 @@
     Some((group, state))
 }
 
-/// Time without a word from any conductor after which an agent in this state claims the leadership. One that does not know yet
-/// where the list of claims ends, and so has not been led, loses its first claim to whoever led before, and learns it.
+/// Time without a leader after which an agent in this state claims the leadership. An agent that does not know the end
+/// of the list of claims has not been led yet: it loses its first claim to any earlier leader, and so obtains the end.
 fn patience(state: &EngineState, led: &Led, knows_end: bool) -> Duration {
     let pace = Pace::new(state.size);
     let behind = pace.place(state.rank);
@@ -192,7 +198,8 @@
         (0, _) if state.rank == 0 => FIRST_MAP_PATIENCE,
         (0, false) => pace.reach().max(FIRST_LINK) + behind,
         (_, true) => SECOND_CLAIM + behind,
-        // Somebody leads, and notices only after a while that this agent's predecessor is gone, and dials anew.
+        // There may be a leader: it notices only after its agent timeout that this agent's predecessor is gone, and
+        // then reconnects.
         (_, false) => pace.silence() + behind,
     }
 }
--- a/crates/sparscale_conduct/src/lib.rs
+++ b/crates/sparscale_conduct/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent beside a rank, and the conductor of its group.
+//! Agents of a group of ranks, and the group leader that one of them becomes.
 //!
-//! Each agent reads the state and the expert counts of its own rank, and is the only sender of its orders. One agent of
-//! a group leads it: it became the leader by a conditional append to the platform's store, gathers the counts of all ranks,
-//! decides about the expert map and leads the ranks from map to map (see [`sparscale_place::barrier`]).
+//! Each agent reads the state and the expert counts of its own rank and is the only sender of that rank's orders. The
+//! leader is elected by a conditional append to the platform's store; it gathers the counts of all ranks, chooses the
+//! expert map and switches the ranks from map to map (see [`sparscale_place::barrier`]).
 
 mod bandwidth;
 mod claims;
--- a/crates/sparscale_conduct/src/link.rs
+++ b/crates/sparscale_conduct/src/link.rs
@@ -1,4 +1,7 @@
-//! Between a conductor and the agents of its ranks.
+//! Streams between the leader of a group and the agents of its ranks.
+//!
+//! If an agent is unreachable for too long the leader orders the rank's engine directly, because the whole group may be
+//! stalled by one order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,35 +19,36 @@
 use crate::inquiry;
 use crate::pace::Pace;
 
-/// Time that reaching an agent may take: a lost first packet is sent again after 150 ms, and after 300 ms more.
+/// Time limit for opening a stream to an agent: a lost first packet is retransmitted after 150 ms, and again after 300
+/// ms.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
-/// Links that one conductor opens at once. A handshake takes a small box some 10 ms of processor time; dozens at once
-/// would all outlast [`OPEN_TIMEOUT`], and begin anew for ever.
+/// Links that one leader opens concurrently. A handshake takes some 10 ms of processor time on a small box; dozens at
+/// once would all exceed [`OPEN_TIMEOUT`] and start over without end.
 pub(crate) const DIALS: usize = 8;
-/// Pause before an agent that was not reached is tried again.
+/// Delay before the next attempt to connect to an agent.
 const REDIAL: Duration = Duration::from_millis(100);
-/// Age of what an engine tells other boxes, until the catalog says it.
+/// Report lag of engines that is assumed until the catalog is known.
 const UNKNOWN_LAG: Duration = Duration::from_millis(300);
 
-/// What a conductor hears of a rank.
+/// An event on the link between a leader and a rank.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// The rank's agent told something.
+    /// The rank's agent sent an update.
     News { rank: usize, news: RankNews },
-    /// The rank's engine told something itself: its agent is not reached.
+    /// The rank's engine answered a direct order because its agent is unreachable.
     Direct { rank: usize, news: RankNews },
-    /// The orders on their way to the rank will not be answered.
+    /// Pending orders to the rank will not be answered.
     Lost { rank: usize },
 }
 
-/// Where the engine and the agent of a rank are.
+/// Addresses of the engine and of the agent of a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Place {
     pub(crate) engine: SocketAddr,
     pub(crate) agent: SocketAddr,
 }
 
-/// Serves a conductor's stream at the rank's agent, until either side is gone.
+/// Serves a leader's stream at the rank's agent until either side has closed it.
 pub(crate) async fn serve(handle: Handle, lead: Lead, channel: Channel) {
     let Channel {
         mut sender,
@@ -68,7 +72,7 @@
     }
 }
 
-/// Accepts conductors until the endpoint closes.
+/// Accepts connections of leaders and polls until the endpoint closes.
 pub(crate) async fn accept(endpoint: Arc<Endpoint>, handle: Handle) {
     while let Ok(incoming) = endpoint.accept().await {
         let handle = handle.clone();
@@ -98,7 +102,7 @@
     }
 }
 
-/// The conductor's side of its own rank: no network between them.
+/// Leader's link to its own rank, without a network connection.
 pub(crate) async fn lead_own(lead: Lead, handle: Handle, mut link: Link) {
     let rank = lead.rank;
     let mut news = handle.subscribe(lead.clone()).await;
@@ -118,21 +122,21 @@
     }
 }
 
-/// What the conductor's side of a link works with.
+/// Channels between a leader and the task of a link.
 pub(crate) struct Link {
     pub(crate) orders: mpsc::Receiver<RankOrder>,
     pub(crate) events: mpsc::Sender<Event>,
 }
 
-/// The conductor's side of a link to another box.
+/// Leader's link to a rank on another box.
 pub(crate) struct Remote {
     pub(crate) lead: Lead,
-    /// Where the rank may be, the likeliest first.
+    /// Candidate locations of the rank, the most likely first.
     pub(crate) places: watch::Receiver<Vec<Place>>,
-    /// Place that is tried now.
+    /// Number of failed attempts in a row, which selects the location to dial.
     pub(crate) turn: usize,
     pub(crate) endpoint: Arc<Endpoint>,
-    /// One permit for each link that may be opened now.
+    /// Permits for opening links concurrently.
     pub(crate) dials: Arc<Semaphore>,
     pub(crate) engines: Arc<dyn Engines>,
     pub(crate) board: Arc<Board>,
@@ -141,9 +145,9 @@
 }
 
 impl Remote {
-    /// Keeps the link up until the conductor is gone.
+    /// Keeps the link connected until the leader terminates.
     pub(crate) async fn lead(mut self, mut link: Link) {
-        // Until the roster tells where the rank is, nobody can be reached.
+        // The rank cannot be reached until the roster contains its location.
         if self.places.wait_for(|places| !places.is_empty()).await.is_err() {
             return;
         }
@@ -164,7 +168,7 @@
                     let direct_after = self.pace.direct_again_after();
                     missing = Missing { since, direct_after };
                 }
-                // Another entry may name the same rank.
+                // Another entry of the roster may name the same rank.
                 None => self.turn = self.turn.wrapping_add(1),
             }
             let rank = self.lead.rank;
@@ -175,8 +179,9 @@
         }
     }
 
-    /// Opens a link; an order that comes meanwhile goes with it, or to the engine directly if the agent has been missing for too
-    /// long: a group may be standing still for it. None once the conductor is gone.
+    /// Opens a stream. An order that arrives meanwhile is returned with it, or is sent directly to the engine if the
+    /// agent has been missing for too long, since the group may be stalled by it. Returns `None` once the leader has
+    /// terminated.
     async fn open(&mut self, link: &mut Link, missing: Missing) -> Option<(Option<Channel>, Option<RankOrder>)> {
         if self.places.has_changed().unwrap_or(false) {
             self.turn = 0;
@@ -192,7 +197,7 @@
             tokio::select! {
                 channel = &mut opening => return Some((channel, held)),
                 order = link.orders.recv() => match order? {
-                    // Who is not reached hears no heartbeat either.
+                    // An agent that is unreachable needs no heartbeat.
                     RankOrder::Heartbeat => {}
                     order => held = Some(order),
                 },
@@ -205,8 +210,8 @@
         }
     }
 
-    /// Passes orders and news on until the link ends, `held` first; tells when the agent last spoke for this rank, if it ever
-    /// did.
+    /// Forwards orders and updates until the stream ends, starting with `held`; returns when the agent last sent an
+    /// update, if it ever did.
     async fn talk(&mut self, channel: Channel, held: Option<RankOrder>, link: &mut Link) -> Option<Instant> {
         let Channel {
             mut sender,
@@ -256,7 +261,7 @@
         };
         let map = match map {
             Some(MapUpdate::Whole(map)) => Some(map),
-            // An engine needs all of it, and this was meant for an agent that has a part.
+            // An engine needs the whole map, and this change was meant for an agent that has its base.
             Some(MapUpdate::Change { .. }) => return Some(Event::Lost { rank }),
             None => None,
         };
@@ -279,7 +284,7 @@
     }
 }
 
-/// Age of what engines of `service` tell other boxes, once the catalog is known that says it.
+/// Age of the reports that engines of `service` send to other boxes; `None` until the catalog is known.
 pub(crate) fn lag_of(board: &Board, service: &str) -> Option<Duration> {
     let catalog = board.catalog()?;
     let service = catalog.value.find_service(service)?;
@@ -287,16 +292,16 @@
     Some(Duration::from_secs_f64(engine.report_lag_ms / 1_000.0))
 }
 
-/// Since when an agent is missing, and after which time its engine is ordered directly.
+/// Start of an agent's absence, and the time after which its engine is ordered directly.
 #[derive(Debug, Clone, Copy)]
 struct Missing {
     since: Instant,
     direct_after: Duration,
 }
 
-/// Opens a stream to an agent on which `lead` leads it.
+/// Opens a stream on which the leader leads the agent as `lead` states.
 async fn open(endpoint: Arc<Endpoint>, dials: Arc<Semaphore>, agent: SocketAddr, lead: Lead) -> Option<Channel> {
-    // Its time begins when it is its turn.
+    // The timeout starts only once a permit is available.
     let _turn = dials.acquire().await.ok()?;
     let opening = async {
         let mut channel = endpoint.open(agent, Role::Agent).await.ok()?;
@@ -311,7 +316,7 @@
     tokio::time::timeout(OPEN_TIMEOUT, opening).await.ok().flatten()
 }
 
-/// The place that is tried on this turn.
+/// Location for this attempt: attempts cycle through the candidates.
 fn place_of(places: &[Place], turn: usize) -> Option<Place> {
     places.get(turn % places.len().max(1)).copied()
 }
--- a/crates/sparscale_conduct/src/maps.rs
+++ b/crates/sparscale_conduct/src/maps.rs
@@ -1,36 +1,38 @@
-//! Maps on their way from a conductor to agents: the whole map once, then only what changes.
+//! Transfer of expert maps from the leader to agents: the whole map once, then only changes.
 //!
-//! A map of a large group takes kilobytes, and each change goes to every rank over slim links while passes are slow. An
-//! agent keeps the last two maps that it was sent; a conductor knows which, as long as the link stands, and a new one is told
-//! whether an agent has the map in force: without that, a successor sent all of its first map to 128 ranks, in 4.7 s.
+//! A map of a large group takes kilobytes, and each switch sends it to every rank over links of low bandwidth while
+//! passes are slow. An agent caches the last two maps that it was sent, and the leader tracks which while the link is
+//! up. A new leader is told whether an agent has the active map; without that, a successor sent its whole first map to
+//! 128 ranks, which took 4.7 s.
 
 use std::sync::Arc;
 
 use sparscale_place::{Map, Patch};
 use sparscale_wire::{Base, MapUpdate};
 
-/// Maps that are kept: the one in force and the one that is to follow it.
+/// Maps that are cached: the active one and the one that is to follow it.
 const KEPT: usize = 2;
 
-/// The maps that an agent has.
+/// The maps that an agent has received.
 #[derive(Debug, Default)]
 pub struct Cache {
     maps: Vec<(u64, Arc<Map>)>,
 }
 
-/// A map that a conductor puts in force, as it goes to agents.
+/// A map that the leader distributes, with its differences from maps that agents may have.
 #[derive(Debug)]
 pub struct Offer {
-    /// Its number.
+    /// Number of the map.
     pub number: u64,
-    /// All of it.
+    /// The whole map.
     pub map: Arc<Map>,
-    /// What differs from maps that agents may have, the likeliest first.
+    /// Differences from maps that agents may have, the most likely base first.
     patches: Vec<(Base, Arc<Patch>)>,
 }
 
 impl Offer {
-    /// `bases` are maps that agents may have; a map that was sent and never came in force is one, too.
+    /// Prepares a map for agents that may have one of `bases`; a map that was sent but never became active is a base,
+    /// too.
     pub fn new(number: u64, map: Map, bases: &[(Base, Arc<Map>)]) -> Self {
         let patch = |(base, old): &(Base, Arc<Map>)| (*base, Arc::new(Patch::between(old, &map)));
         Self {
@@ -40,7 +42,7 @@
         }
     }
 
-    /// The least that an agent with `sent` has to be told.
+    /// The smallest update that gives the map to an agent that has the maps in `sent`.
     pub fn update(&self, sent: &Sent) -> MapUpdate {
         let known = |base: &Base| match base {
             Base::Initial(_) => true,
@@ -56,19 +58,19 @@
     }
 }
 
-/// The numbers of the maps in an agent's cache, as its conductor knows them.
+/// Numbers of the maps in an agent's cache, as far as its leader knows.
 #[derive(Debug, Default)]
 pub struct Sent {
     numbers: Vec<u64>,
 }
 
 impl Cache {
-    /// Whether map `number` is here.
+    /// Whether map `number` is cached.
     pub fn has(&self, number: u64) -> bool {
         self.maps.iter().any(|(known, _)| *known == number)
     }
 
-    /// The map that `update` makes, which is kept under `number`; none if its base is not here.
+    /// Applies `update` and caches the result as map `number`; returns `None` if the base is not cached.
     pub fn take(&mut self, number: u64, update: MapUpdate) -> Option<Arc<Map>> {
         let (base, map) = match update {
             MapUpdate::Whole(map) => (None, map),
@@ -96,15 +98,15 @@
         self.numbers.contains(&number)
     }
 
-    /// Notes the agent's own word that it has all of map `number`: one that was sent to it by an earlier conductor. What was
-    /// sent since the link stands is known better.
+    /// Records the agent's report that it has the whole map `number`, which an earlier leader sent. Ignored once this
+    /// leader has sent maps over the link, since it then knows more than the report.
     pub fn learn(&mut self, number: u64) {
         if self.numbers.is_empty() {
             self.numbers.push(number);
         }
     }
 
-    /// Notes that the agent took map `number`, which was sent as a change of `base` or else whole.
+    /// Records that the agent accepted map `number`, which was sent as a change of `base` or as a whole.
     pub fn note(&mut self, number: u64, base: Option<Base>) {
         self.numbers
             .retain(|known| matches!(base, Some(Base::Sent(base)) if base == *known));
@@ -112,7 +114,7 @@
         debug_assert!(self.numbers.len() <= KEPT);
     }
 
-    /// Nothing is known of the agent any more.
+    /// Discards everything known about the agent's cache.
     pub fn forget(&mut self) {
         self.numbers.clear();
     }
--- a/crates/sparscale_conduct/src/member.rs
+++ b/crates/sparscale_conduct/src/member.rs
@@ -1,4 +1,4 @@
-//! What a conductor keeps of each rank, and of what it has under way.
+//! Leader's record of each rank and of the operations in progress.
 
 use std::sync::Arc;
 
@@ -14,36 +14,36 @@
 use crate::maps::{Offer, Sent};
 use crate::pace::Pace;
 
-/// Orders and events that wait, of each rank.
+/// Capacity of the queue of orders of each rank, and of the event queue of the leader.
 pub(crate) const QUEUE: usize = 256;
 
-/// One rank.
+/// One rank of the group, as its leader sees it.
 pub(crate) struct Member {
     pub(crate) orders: mpsc::Sender<RankOrder>,
-    /// Where it may be, the likeliest first.
+    /// Candidate locations, the most likely first.
     pub(crate) places: watch::Sender<Vec<Place>>,
     pub(crate) load: Option<(RankLoad, Instant)>,
     pub(crate) holds: Option<Placement>,
-    /// Serial of the order on its way, and when it was sent.
+    /// Serial of the order that awaits an answer, and when it was sent.
     pub(crate) ordered: Option<(u64, Instant)>,
-    /// When it was sent an order or a heartbeat last.
+    /// When the latest order or heartbeat was sent to it.
     pub(crate) spoken: Instant,
-    /// Whether its engine is ordered directly, its agent not being reached.
+    /// Whether its engine is ordered directly because its agent is unreachable.
     pub(crate) direct: bool,
     pub(crate) failed_delegation: Option<Instant>,
-    /// Maps that the agent has.
+    /// Maps known to be in the agent's cache.
     pub(crate) sent: Sent,
-    /// The map that it was sent and has not answered for: its number, and the one that it was sent as a change of.
+    /// The map whose staging it has not answered yet: its number, and the base if it was sent as a change.
     pub(crate) sending: Option<(u64, Option<Base>)>,
 }
 
 impl Member {
-    /// Whether the order with this serial is on its way.
+    /// Whether the order with this serial awaits an answer.
     pub(crate) fn awaits(&self, serial: u64) -> bool {
         self.ordered.is_some_and(|(ordered, _)| ordered == serial)
     }
 
-    /// Notes what became of the map that was sent last, if its answer was still due.
+    /// Records the outcome of the map that was sent last, if its answer was still due.
     pub(crate) fn settle_sending(&mut self, answer: Option<Answer>) {
         match (self.sending.take(), answer) {
             (Some((number, base)), Some(Answer::Done)) => self.sent.note(number, base),
@@ -53,7 +53,7 @@
     }
 }
 
-/// An order that another rank's agent carries out.
+/// An order that the agent of another rank carries out.
 pub(crate) struct Delegation {
     pub(crate) order: Order,
     pub(crate) helper: usize,
@@ -62,23 +62,23 @@
     pub(crate) proof: Proof,
 }
 
-/// Whether a helper is known to have gone on after it placed a hold.
+/// Whether the helper is known to have kept running after it placed a hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Proof {
-    /// It is asked at this time.
+    /// The helper is queried at this time.
     Due(Instant),
-    /// It was asked.
+    /// The helper has been queried and has not answered yet.
     Asked,
-    /// It has answered.
+    /// The helper has answered.
     Given,
 }
 
-/// A map that is being put in force.
+/// A switch to another map, in progress.
 pub(crate) struct Change {
     pub(crate) offer: Offer,
     pub(crate) began: Instant,
     pub(crate) deepest: u32,
-    /// Experts that it loads, over all ranks.
+    /// Experts that it loads, summed over all ranks.
     pub(crate) loads: u32,
     pub(crate) held: Option<Instant>,
 }
@@ -133,7 +133,7 @@
     }
 }
 
-/// The map that the ranks say they hold, if all speak of the same one.
+/// Assembles the group's map from the placements that the ranks report, if all report the same epoch and number.
 pub(crate) fn assemble<'a>(
     holds: impl Iterator<Item = Option<&'a Placement>>,
     epoch: u64,
--- a/crates/sparscale_conduct/src/outbox.rs
+++ b/crates/sparscale_conduct/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Maps on their way to agents, no faster than the link carries them.
+//! Queue of orders with maps, paced to the bandwidth of the box's link.
 
 use std::collections::VecDeque;
 
@@ -7,15 +7,15 @@
 
 use crate::bandwidth::Bandwidth;
 
-/// Orders with maps that wait for the link.
+/// Orders with maps that wait to be sent.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     bandwidth: Bandwidth,
     waiting: VecDeque<(usize, Order)>,
-    /// Bytes that may leave now; below zero what has left ahead of its time.
+    /// Bytes that may be sent now; negative after a send beyond the allowed rate.
     credit: f64,
     since: Instant,
-    /// Bytes that have left since the last change began.
+    /// Bytes sent for the current map switch.
     pub(crate) sent: f64,
 }
 
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Lets an order to a rank wait for its turn.
+    /// Queues an order to a rank.
     pub(crate) fn push(&mut self, rank: usize, order: Order) {
         self.waiting.push_back((rank, order));
     }
 
-    /// The next order whose turn it is now.
+    /// Returns the next order that may be sent at `now`.
     pub(crate) fn next(&mut self, now: Instant) -> Option<(usize, Order)> {
         let seconds = now.saturating_duration_since(self.since).as_secs_f64();
         self.since = now;
@@ -46,19 +46,19 @@
         self.waiting.pop_front()
     }
 
-    /// Notes that `bytes` have left.
+    /// Charges `bytes` that were sent.
     pub(crate) fn spend(&mut self, bytes: usize) {
         self.credit -= bytes as f64;
         self.sent += bytes as f64;
     }
 
-    /// Takes out all that wait, for a change that is over.
+    /// Empties the queue after a map switch and returns the ranks whose orders were not sent.
     pub(crate) fn clear(&mut self) -> Vec<usize> {
         self.sent = 0.0;
         self.waiting.drain(..).map(|(rank, _)| rank).collect()
     }
 
-    /// Time that what has left for this change takes on the link.
+    /// Seconds that the link needs for what was sent for the current map switch.
     pub(crate) fn seconds(&self) -> f64 {
         self.bandwidth.seconds_of_maps(self.sent)
     }
--- a/crates/sparscale_conduct/src/pace.rs
+++ b/crates/sparscale_conduct/src/pace.rs
@@ -1,71 +1,75 @@
-//! How often the parts of a group speak, and how long things may take in it.
+//! Message intervals and time limits of a group, as functions of its number of ranks.
 //!
-//! All ranks tell one conductor, which runs on a small box. What it hears and sends without news is bounded by what such a
-//! box bears, whatever the ranks; what has to be done by each rank takes the longer, the more there are. So every pause
-//! and limit here follows from the ranks, and from the time that orders to all of them took lately.
+//! All ranks report to one leader, which runs on a small box. The rate of the messages that it receives and sends while
+//! nothing changes is bounded by what such a box can process, for any number of ranks, whereas work for each rank takes
+//! longer the more ranks there are. Intervals and limits therefore follow from the number of ranks and from the
+//! response times of recent orders to all of them.
 
 use std::time::Duration;
 
-/// States that a conductor takes in a second while nothing is new. A box with 0.15 of a core takes some 1,500 messages a
-/// second; the rest is for what is new, and for its own rank.
+/// States that a leader receives per second while nothing changes. A box with 0.15 of a core processes some 1,500
+/// messages per second; the remainder is for changes and for its own rank.
 const STATES_PER_SECOND: f64 = 640.0;
-/// Heartbeats that it sends a second.
+/// Heartbeats that a leader sends per second, to all ranks together.
 const HEARTBEATS_PER_SECOND: f64 = 400.0;
-/// Shortest pause between two states of a rank on which nothing changes.
+/// Shortest interval between two states of a rank on which nothing changes.
 const MIN_STATE_PAUSE: Duration = Duration::from_millis(100);
-/// Shortest pause between two heartbeats to a rank.
+/// Shortest interval between two heartbeats to a rank.
 const MIN_HEARTBEAT: Duration = Duration::from_millis(200);
-/// Heartbeats, and half of one for its way, after which a conductor that was not heard is gone.
+/// Heartbeat intervals after which a leader counts as gone: three missed heartbeats, and half an interval for transit.
 const MISSED_HEARTBEATS: f64 = 3.5;
-/// States that a rank may miss before it is reached for anew. Shortest such time: six looks of a small group.
+/// States that an agent may miss before the leader reconnects, and the shortest such time: six state intervals of a
+/// small group.
 const MISSED_STATES: u32 = 4;
 const MIN_SILENCE: Duration = Duration::from_millis(600);
-/// Shortest time after which a load is not told any more.
+/// Shortest age beyond which a load is no longer reported.
 const MIN_LOAD_AGE: Duration = Duration::from_millis(700);
-/// Shortest time after which an agent that was not heard is no helper.
+/// Shortest time without a report after which an agent is not chosen as a helper.
 const MIN_HELPER_AGE: Duration = Duration::from_millis(250);
-/// Time that an order to all ranks takes for each of them: sending it, and taking its answer in, on a small box.
+/// Time per rank that an order to all ranks takes on a small box: sending it and handling its answer.
 const ROUND_PER_RANK: Duration = Duration::from_millis(4);
-/// Factor by which measured rounds may lengthen the limits: a box that stands still is no measure of the others.
+/// Limit of the factor by which measured rounds lengthen the limits: a frozen box must not slow down the handling of
+/// all others.
 const MAX_STRETCH: u32 = 4;
-/// Weight of the latest round.
+/// Weight of the latest round in the moving average.
 const ROUND_WEIGHT: f64 = 0.3;
-/// Rounds that an order may take, and what it may take besides: a call of an engine, tried several times.
+/// Limit of an order: rounds, plus a fixed time for a call of an engine with several attempts.
 const ORDER_ROUNDS: u32 = 4;
 const ORDER_BASE: Duration = Duration::from_millis(300);
-/// The same for telling all ranks to load, and for their word that they have, without the loading itself.
+/// Limit of staging on all ranks, up to their reports of completion, without the loading itself.
 const STAGE_ROUNDS: u32 = 4;
 const STAGE_BASE: Duration = Duration::from_millis(500);
-/// The same for a hold, arming and reading back: callers wait for it, so it is given up soonest.
+/// Limit of a hold, arming and the check of the armed state: the shortest limit, because requests wait during a hold.
 const HOLD_ROUNDS: u32 = 2;
 const HOLD_BASE: Duration = Duration::from_millis(120);
-/// Shortest time without an agent after which its engine is ordered directly.
+/// Shortest time without a connection to an agent after which its engine is ordered directly.
 const MIN_DIRECT: Duration = Duration::from_millis(150);
-/// What ordering an engine directly adds to a hold: two calls and a half between halls, and the lags waited out to see the
-/// order's effect in what it tells others.
+/// Extension of the limit of a hold when an engine is ordered directly: two and a half calls between halls, and a wait
+/// for the report lag until the effect of the order shows.
 const DIRECT_HOLD: Duration = Duration::from_millis(150);
 const DIRECT_LAGS: f64 = 1.5;
-/// Time in which a conductor that has just claimed reaches each rank, and the shortest that it is given for all.
+/// Time per rank for a new leader to connect to all ranks, and the shortest such time for all.
 const REACH_PER_RANK: Duration = Duration::from_millis(12);
 const MIN_REACH: Duration = Duration::from_millis(250);
-/// Part of the patience within which a word of a conductor shows that it lives.
+/// Share of the leader timeout within which a message from a leader shows that it is alive.
 const LIVES_PART: f64 = 0.75;
-/// What each place in the line of those who would lead next waits longer: a claim, and reaching the next in line.
+/// Additional wait of each candidate for leadership over the one before it: time for a claim, and for the first
+/// connection of the new leader to the next candidate.
 const STEP: Duration = Duration::from_millis(150);
-/// Places with such a step. Those behind stand closer: they only have to come one after the other.
+/// Candidates with such a step. Later candidates are spaced more closely: they only must not claim at the same time.
 const NEAR_PLACES: usize = 12;
 const FAR_STEP: Duration = Duration::from_millis(40);
 
-/// The pauses and limits of one group.
+/// Message intervals and time limits of one group.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
     ranks: u32,
-    /// Time in which nine tenths of the ranks answer an order to all.
+    /// Moving average of the time within which nine tenths of the ranks answer an order to all.
     round: Duration,
 }
 
 impl Pace {
-    /// Of a group of `ranks` ranks in which nothing was measured yet.
+    /// Creates the timing of a group of `ranks` ranks without measurements.
     pub fn new(ranks: usize) -> Self {
         let ranks = u32::try_from(ranks).unwrap_or(u32::MAX).max(1);
         Self {
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Takes in the times that the ranks took to answer an order to all.
+    /// Records the times in which the ranks answered an order to all of them.
     pub fn note_round(&mut self, mut times: Vec<Duration>) {
         times.sort_unstable();
         let Some(slow) = times.get(times.len() * 9 / 10) else {
@@ -85,85 +89,87 @@
         self.round = mixed.clamp(least, least * MAX_STRETCH);
     }
 
-    /// Pause between two states of a rank on which nothing changes.
+    /// Interval between two states of a rank on which nothing changes.
     pub fn state_pause(&self) -> Duration {
         self.for_all(STATES_PER_SECOND).max(MIN_STATE_PAUSE)
     }
 
-    /// Pause between two heartbeats to a rank.
+    /// Interval between two heartbeats to a rank.
     pub fn heartbeat(&self) -> Duration {
         self.for_all(HEARTBEATS_PER_SECOND).max(MIN_HEARTBEAT)
     }
 
-    /// Time without a word from any conductor after which the first in line claims the leadership.
+    /// Time without a message from a leader after which the first candidate claims the leadership.
     pub fn patience(&self) -> Duration {
         self.heartbeat().mul_f64(MISSED_HEARTBEATS)
     }
 
-    /// Age up to which somebody's word of a conductor shows that it lives.
+    /// Age up to which a peer's last message from a leader shows that the leader is alive.
     pub fn lives(&self) -> Duration {
         self.patience().mul_f64(LIVES_PART)
     }
 
-    /// Time that somebody who has just claimed is given to reach all ranks.
+    /// Time for an agent that has just claimed to connect to all ranks.
     pub fn reach(&self) -> Duration {
         (REACH_PER_RANK * self.ranks).max(MIN_REACH)
     }
 
-    /// What the rank in this place waits longer than the first in line.
+    /// Additional wait of the candidate at `rank` over the first one.
     pub fn place(&self, rank: usize) -> Duration {
         let near = u32::try_from(rank.min(NEAR_PLACES)).unwrap_or_default();
         let far = u32::try_from(rank.saturating_sub(NEAR_PLACES)).unwrap_or_default();
         STEP * near + FAR_STEP * far
     }
 
-    /// Time after which an agent that was not heard is reached for anew.
+    /// Time without a message from an agent after which the leader reconnects to it.
     pub fn silence(&self) -> Duration {
         (self.state_pause() * MISSED_STATES).max(MIN_SILENCE)
     }
 
-    /// Age up to which a load is told on.
+    /// Age up to which the load of a rank is up to date.
     pub fn load_age(&self) -> Duration {
         (self.state_pause() * MISSED_STATES).max(MIN_LOAD_AGE)
     }
 
-    /// Age up to which an agent's last word shows that it goes on.
+    /// Age of an agent's last report up to which the agent counts as running.
     pub fn helper_age(&self) -> Duration {
         self.state_pause().mul_f64(2.5).max(MIN_HELPER_AGE)
     }
 
-    /// Time after which an order without an answer is given up.
+    /// Time after which an unanswered order is given up.
     pub fn order_limit(&self) -> Duration {
         ORDER_BASE + self.round * ORDER_ROUNDS
     }
 
-    /// Time that staging may take beyond the loading itself.
+    /// Time limit of staging beyond the loading itself.
     pub fn stage_slack(&self) -> Duration {
         STAGE_BASE + self.round * STAGE_ROUNDS
     }
 
-    /// Time for which the group may be held before a change is taken back.
+    /// Time for which the group may be held before a map switch is reverted.
     pub fn hold_limit(&self) -> Duration {
         HOLD_BASE + self.round * HOLD_ROUNDS
     }
 
-    /// Time without an agent after which its engine is ordered directly: a conductor that has just begun has to reach all of
-    /// them first.
+    /// Time without a connection to an agent after which its engine is ordered directly, for a new leader, which must
+    /// connect to all agents first.
     pub fn direct_after(&self) -> Duration {
         (REACH_PER_RANK * self.ranks).max(MIN_DIRECT)
     }
 
-    /// The same for an agent that was heard before: it is silent already when it counts as missing.
+    /// The same for an agent that was connected before: it has been unresponsive already by the time it counts as
+    /// missing.
     pub fn direct_again_after(&self) -> Duration {
         MIN_DIRECT
     }
 
-    /// Time for which the group may be held when some engine is ordered directly: `lag` is the age of what it tells others.
+    /// Time for which the group may be held if any engine is ordered directly; `lag` is the age of the engine's reports
+    /// to other boxes.
     pub fn direct_hold_limit(&self, lag: Duration) -> Duration {
         self.hold_limit() + DIRECT_HOLD + lag.mul_f64(DIRECT_LAGS)
     }
 
-    /// Pause between two messages to or from each rank that makes so many a second for all of them.
+    /// Interval between two messages to or from each rank that yields `per_second` messages per second for all ranks.
     fn for_all(&self, per_second: f64) -> Duration {
         Duration::from_secs_f64(f64::from(self.ranks) / per_second)
     }
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -1,4 +1,4 @@
-//! Puts an agent together and runs it until it is told to stop.
+//! Builds an agent from its settings and runs it until it receives a stop signal.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,42 +21,42 @@
 use crate::rank;
 use crate::standby;
 
-/// Longest pause between two readings of the store while they fail. Agents are many, and serve nobody by what they read:
-/// a conductor needs to know where its ranks are, and that changes seldom.
+/// Longest delay between two attempts to read the store while they fail. Agents are many and serve no callers from this
+/// data: a leader needs only the locations of its ranks, which seldom change.
 const MAX_RETRY: Duration = Duration::from_secs(6);
 
-/// Checked settings of an agent.
+/// Validated settings of an agent.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of this process.
     pub name: String,
-    /// Where it takes connections from other processes; every agent uses the same port.
+    /// Address on which it accepts connections from other processes; every agent uses the same port.
     pub address: SocketAddr,
-    /// The engine beside it.
+    /// Address of the engine beside it.
     pub engine: SocketAddr,
     /// Service that the engine belongs to.
     pub service: String,
-    /// Entries that the settings name.
+    /// Addresses of the configured entries.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two messages on a link without news.
+    /// Time between two messages on a link that has no updates.
     pub interval: Duration,
-    /// Link of this box.
+    /// Bandwidth of this box's link.
     pub bandwidth: Bandwidth,
-    /// Age of a belief at which the agent reads the store itself: no entry has told it for so long.
+    /// Age of the observed state after which the agent reads the store itself, because no entry has sent it since.
     pub read_interval: Duration,
 }
 
-/// What an agent is connected to.
+/// External services that an agent uses.
 pub struct Parts {
-    /// Gives the catalog.
+    /// Source of the catalog.
     pub catalog: Box<dyn Source<Catalog>>,
-    /// Gives the roster.
+    /// Source of the roster.
     pub roster: Box<dyn Source<Roster>>,
-    /// Reaches engines.
+    /// Connects to engines.
     pub engines: Arc<dyn Engines>,
-    /// The list of claims.
+    /// The platform's list of leadership claims.
     pub claims: Box<dyn Claims>,
-    /// The process's figures.
+    /// Metrics of the process.
     pub registry: Arc<Registry>,
 }
 
@@ -66,13 +66,13 @@
     }
 }
 
-/// Why an agent cannot run.
+/// Error that keeps an agent from starting.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Its socket cannot be opened.
+    /// The socket cannot be opened.
     #[snafu(display("{source}"))]
     Endpoint {
-        /// What is wrong.
+        /// Cause of the failure.
         source: EndpointError,
     },
 }
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Starts an agent's tasks on the present runtime.
+/// Starts an agent's tasks on the current runtime.
 pub fn start(settings: &Settings, parts: Parts) -> Result<(), Error> {
     let board = Arc::new(Board::default());
     let identity = Identity::Made(Role::Agent);
--- a/crates/sparscale_conduct/src/rank.rs
+++ b/crates/sparscale_conduct/src/rank.rs
@@ -1,4 +1,4 @@
-//! The agent's side: reads its own rank, carries out its orders, and tells its conductor.
+//! The agent of one rank: reads the rank's state and counts, carries out orders and reports to the leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,17 +19,16 @@
 use crate::pace::Pace;
 use crate::reporter::Reporter;
 
-/// Time between two looks at a rank on which something is under way: it loads experts, in a tenth of a second each, or is
-/// about to take another map, and the conductor waits for either. Looks 100 ms apart showed the next map 67 and 84 ms after the
-/// group was let go, in two changes. Looks are at the engine beside the agent; the conductor hears of what has changed.
+/// Interval between two polls of the engine during a map switch, while it loads experts (a tenth of a second each) or
+/// is armed for the next map, because the leader waits for both. With polls 100 ms apart the next map was seen 67 and
+/// 84 ms after the release of the group. Polls stay on this box; the leader only receives changes.
 const CHANGING_PAUSE: Duration = Duration::from_millis(12);
-/// Time between two tellings of counts.
+/// Interval between two reports of expert selection counts.
 const COUNTS_PAUSE: Duration = Duration::from_millis(100);
-/// Tries of one order; an engine that leaves an order unanswered may carry it out later, and every order may be
-/// carried out twice.
+/// Attempts per order. An engine that does not answer may still carry out the order later; every order is idempotent.
 const TRIES: u32 = 4;
 
-/// Reads and orders one rank.
+/// State of the agent of one rank.
 struct Agent {
     engine: Box<dyn Engine>,
     engines: Arc<dyn Engines>,
@@ -37,19 +36,19 @@
     figures: Figures,
     subscriber: Option<Subscriber>,
     state: watch::Sender<Option<EngineState>>,
-    /// Group and rank of the engine, as it last told.
+    /// Group and rank that the engine reported last.
     place: Option<(String, usize)>,
-    /// When the engine's present start began, as far as it told.
+    /// Start time of the engine's current process, if it reported one.
     born_ms: Option<u64>,
     led: watch::Sender<Led>,
     counted: Option<(Counts, Instant)>,
     told_map: Option<(u64, u64)>,
-    /// State that the conductor was told last, and when.
+    /// State that was last reported to the leader, and when.
     told: Option<(Option<View>, Instant)>,
-    /// Serial of the last order that is over.
+    /// Serial of the last completed order.
     serial: u64,
     staging: Option<u64>,
-    /// Answer to the last order, if the conductor was too slow to take it.
+    /// Answer to the last order, if the update that carried it did not fit into the leader's queue.
     owed: Option<Answer>,
     cache: Cache,
 }
@@ -98,8 +97,8 @@
         loop {
             tokio::select! {
                 biased;
-                // Before orders: one that arrives with its stream would be answered to nobody, and its conductor would wait
-                // out the limit of an order, 2.4 s at 129 ranks.
+                // Subscriptions come before orders: the answer to an order that arrives together with its stream would
+                // have no receiver, and the leader would wait for the limit of an order, 2.4 s at 129 ranks.
                 Some(subscriber) = subscribers.recv() => self.subscribe(subscriber).await,
                 command = commands.recv() => match command {
                     Some(command) => self.command(command).await,
@@ -118,14 +117,14 @@
         }
     }
 
-    /// The conductor with the highest claim is heard; it starts with everything that is known.
+    /// Accepts the subscription of the leader with the highest claim, which first receives everything known.
     async fn subscribe(&mut self, subscriber: Subscriber) {
         if !self.is_meant(&subscriber.lead).await {
             return;
         }
         if !self.obey(subscriber.lead.claim) {
             let claim = self.led.borrow().claim.unwrap_or_default();
-            // It is gone if it does not read.
+            // A leader that does not read its updates has terminated.
             let _gone = subscriber.news.try_send(RankNews::Overtaken { claim });
             return;
         }
@@ -136,9 +135,9 @@
         self.look().await;
     }
 
-    /// Whether the engine is the rank that a conductor takes it for. A list of targets may be of before a change of ranks,
-    /// or have entries of another writer: what this rank is told and tells would be taken for another's. An engine that
-    /// tells nothing now is taken for what it was.
+    /// Whether the engine is the rank for which the leader takes it. A list of targets may be older than a change of
+    /// ranks or contain entries of another writer; orders and reports would then be taken for those of another rank. An
+    /// unresponsive engine counts as the rank that it was last.
     async fn is_meant(&mut self, lead: &Lead) -> bool {
         if self.state.borrow().is_none() {
             let state = self.engine.state().await.ok();
@@ -154,7 +153,7 @@
         meant
     }
 
-    /// Whether a conductor with this claim leads the rank.
+    /// Whether the leader with this claim leads the rank; the first message of a higher claim replaces the leader.
     fn obey(&mut self, claim: u64) -> bool {
         let highest = self.led.borrow().claim;
         if highest.is_some_and(|highest| claim < highest) {
@@ -185,7 +184,8 @@
         }
     }
 
-    /// An order to another engine goes beside this rank's own: it must not wait for them, nor they for it.
+    /// Carries out an order to another engine in a task of its own, so that it and the orders of this rank do not delay
+    /// each other.
     fn delegation(&self, order: Order, engine: SocketAddr) {
         let mut engine = self.engines.at(engine);
         let news = self.subscriber.as_ref().map(|subscriber| subscriber.news.clone());
@@ -193,7 +193,7 @@
             let answer = engine.order(&order, None).await;
             log::info!(target: DECISION, decision = "delegation", fence = order.fence, act:? = order.act, answer:? = answer; "ordered another engine");
             if let Some(news) = news {
-                // A conductor that is gone does not wait for it.
+                // A leader that has terminated does not wait for the answer.
                 let _gone = news
                     .send(RankNews::Delegation {
                         serial: order.serial,
@@ -209,7 +209,7 @@
             Act::Look => Answer::Done,
             Act::Stage { number } => match update.and_then(|update| self.cache.take(number, update)) {
                 Some(map) => self.order(&order, Some(&map)).await,
-                // The conductor thinks that this agent has a map which it does not have; it sends all of it next time.
+                // The leader assumes a map that this agent does not have; it sends the whole map next time.
                 None => Answer::Refused,
             },
             _ => self.order(&order, None).await,
@@ -226,7 +226,7 @@
         self.tell_state(state, Some(answer));
     }
 
-    /// Orders are the same when carried out twice, so one that is not answered is sent again.
+    /// Sends an order until it is answered; repeating it is safe because every order is idempotent.
     async fn order(&mut self, order: &Order, map: Option<&Map>) -> Answer {
         let mut answer = Answer::Silent;
         for _ in 0..TRIES {
@@ -238,18 +238,18 @@
         answer
     }
 
-    /// Pauses and limits of its group.
+    /// Message intervals and time limits of the group.
     fn pace(&self) -> Pace {
         Pace::new(self.state.borrow().as_ref().map_or(1, |state| state.size))
     }
 
-    /// Whether it loads experts, or is about to take another map.
+    /// Whether the rank loads experts or is armed for another map.
     fn is_changing(&self) -> bool {
         let is_armed = |state: &EngineState| state.view.armed.is_some();
         self.staging.is_some() || self.state.borrow().as_ref().is_some_and(is_armed)
     }
 
-    /// Looks at the rank, and tells what is new.
+    /// Reads the state of the rank and reports what has changed.
     async fn look(&mut self) {
         let state = match self.engine.state().await {
             Ok(state) => Some(state),
@@ -271,19 +271,19 @@
         if !staging && map.is_some() && map != self.told_map {
             self.tell_held().await;
         }
-        // Counts go on while a change is under way: the next one is decided by what is in demand when it is over.
+        // Counts are reported during a map switch, too: the next decision needs the demand at its end.
         if self.is_counter() && self.counts_due() {
             self.tell_picks().await;
         }
     }
 
-    /// Whether it is time for counts again: looks come more often than that while a change is under way.
+    /// Whether counts are due: the engine is polled more often than that during a map switch.
     fn counts_due(&self) -> bool {
         let told = self.counted.as_ref().map(|(_, at)| *at);
         told.is_none_or(|at| at.elapsed() + CHANGING_PAUSE > COUNTS_PAUSE)
     }
 
-    /// Whether this rank's counts are wanted; the first ones are read to learn how many there are.
+    /// Whether this rank reports counts. The first ones are read in any case, to learn how many values there are.
     fn is_counter(&self) -> bool {
         let state = self.state.borrow();
         let (Some(state), Some((counts, _))) = (state.as_ref(), self.counted.as_ref()) else {
@@ -317,14 +317,14 @@
         }
     }
 
-    /// Whether the conductor has to hear of this state: something but the step has changed, or it was not told for a while.
+    /// Whether to report this state: anything but the step has changed, or the last report is too old.
     fn is_news(&self, view: Option<View>) -> bool {
         let Some((told, at)) = self.told else { return true };
         told != view.map(unstepped) || at.elapsed() + CHANGING_PAUSE > self.pace().state_pause()
     }
 
-    /// A new start of the engine has nothing of what the one before was told, and counts from nothing. One that is another
-    /// rank now is another conductor's link to hear.
+    /// Resets what was known of the engine's previous process, which its successor has lost. If the engine is another
+    /// rank now, the subscription ends, because another link leads that rank.
     fn note_start(&mut self, state: &EngineState) {
         if self.born_ms != state.born_ms {
             log::info!(target: DECISION, decision = "engine_started", before = self.born_ms, born_ms = state.born_ms, rank = state.rank; "the engine has started anew");
@@ -365,7 +365,7 @@
             return;
         };
         let pairs = before.picks.iter().zip(&counts.picks);
-        // An engine that was started anew counts from nothing.
+        // A restarted engine counts from zero.
         let picks: Option<Vec<u32>> = pairs
             .map(|(before, now)| now.checked_sub(*before).and_then(|new| u32::try_from(new).ok()))
             .collect();
@@ -374,7 +374,7 @@
         let Some(picks) = picks.filter(|picks| same && picks.iter().any(|picks| *picks > 0)) else {
             return;
         };
-        // Picks that are not taken are missed: the next ones show the demand as well.
+        // Counts that do not fit into the queue are dropped: the next ones show the demand as well.
         let _missed = self.tell(RankNews::Picks {
             epoch: counts.epoch,
             span_ms: now.saturating_duration_since(at).as_millis() as u64,
@@ -382,7 +382,8 @@
         });
     }
 
-    /// A conductor that does not read loses news; it hears the next state. Tells whether it will hear this.
+    /// Sends an update to the leader. Returns false if its queue is full; the update is dropped, and the next state
+    /// follows.
     fn tell(&mut self, news: RankNews) -> bool {
         let Some(subscriber) = &self.subscriber else {
             return true;
@@ -398,7 +399,7 @@
     }
 }
 
-/// A state but for its step, which goes on all the time.
+/// The state without its step, which advances continuously.
 fn unstepped(view: View) -> View {
     View { step: 0, ..view }
 }
--- a/crates/sparscale_conduct/src/reporter.rs
+++ b/crates/sparscale_conduct/src/reporter.rs
@@ -1,19 +1,20 @@
-//! Which ranks of a group tell their conductor what their requests choose.
+//! Selects the ranks of a group that report their expert selection counts to the leader.
 
-/// A rank that may tell its counts.
+/// A rank that may report its counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reporter {
-    /// Its rank.
+    /// Its rank in the group.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
 }
 
 impl Reporter {
-    /// Whether this rank tells its counts, of `numbers` numbers, where all together may tell `most` in a round.
+    /// Whether this rank reports its counts, of `numbers` values, if all ranks together may report `most` values per
+    /// round.
     ///
-    /// Requests are spread over the ranks whatever they choose, so a part of the ranks shows what all choose. All tell
-    /// where that fits; of larger groups every second, third and so on.
+    /// Requests are routed to ranks regardless of the experts that they select, so a subset of the ranks is a fair
+    /// sample. All ranks report if that fits; in larger groups every second, third and so on does.
     pub fn tells(self, numbers: usize, most: usize) -> bool {
         let part = (self.size * numbers).div_ceil(most.max(1)).max(1);
         self.rank.is_multiple_of(part)
--- a/crates/sparscale_conduct/src/standby.rs
+++ b/crates/sparscale_conduct/src/standby.rs
@@ -1,8 +1,8 @@
-//! Connections that stand before they are needed.
+//! Standby connections to the agents of a large group.
 //!
-//! A conductor that takes over has to reach every rank before it can do anything. Each handshake takes both sides some
-//! milliseconds of a small box, so reaching 128 ranks took 4 s, in which nobody led the group. The agents that are first in
-//! line keep a connection to each of the others instead: a takeover then only opens a stream on it.
+//! A new leader must connect to every rank before it can act. Each handshake costs a small box some milliseconds on
+//! both sides, so connecting to 128 ranks took 4 s, during which the group had no leader. The first candidates for
+//! leadership therefore keep a connection to each of the other agents; a takeover then only opens a stream on it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,18 +13,19 @@
 
 use crate::context::Context;
 
-/// Ranks from the first on that keep connections: when the conductor's box is gone, the first in line may be gone with it.
+/// Number of ranks, from rank 0, that keep connections: the first candidates may fail together with the leader's box.
 const STANDBYS: usize = 3;
-/// Groups up to this size are reached in less time than the agents' patience differs: nobody has to be ready.
+/// Group size up to which no standby connections are kept: connecting to all ranks takes less time there than the
+/// difference between the wait times of two candidates.
 const SMALL_GROUP: usize = 24;
-/// Pause between two connections that are opened or looked at: nothing is waiting for them, and the box has a rank to serve.
+/// Time between two connections that are opened or checked. No task waits for them, and the box has a rank to serve.
 const PAUSE: Duration = Duration::from_millis(60);
-/// Connections that are opened at once: those to boxes that are gone take until they are given up.
+/// Limit of concurrent dials: a dial of an unreachable box lasts until its timeout.
 const AT_ONCE: usize = 4;
-/// Pause while there is nothing to do.
+/// Time between two checks while there are no peers to connect to.
 const IDLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Keeps connections while this agent is one of the first in line; never ends.
+/// Keeps connections open while this agent is one of the first candidates; never returns.
 pub(crate) async fn run(context: Context) {
     let turns = Arc::new(Semaphore::new(AT_ONCE));
     loop {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Agents to keep a connection to; none unless this one is first in line in a large group.
+/// Agents to keep connected; empty unless this agent is one of the first candidates in a large group.
 fn peers(context: &Context) -> Vec<SocketAddr> {
     let state = context.handle.state.borrow().clone();
     let Some((state, targets)) = state.zip(context.board.targets()) else {
--- a/crates/sparscale_conduct/tests/claim_numbers.rs
+++ b/crates/sparscale_conduct/tests/claim_numbers.rs
@@ -1,7 +1,7 @@
-//! Numbers of claims on a list that comes back from older copies: none twice, and later ones higher.
+//! Claim numbers stay unique and increasing when the list of claims is restored from older snapshots.
 //!
-//! A claim's offset alone was its number, and fences follow from it. A restored list gives offsets out again: two conductors
-//! could hold the very same fence, the one of before the restore and one after it.
+//! Fences are derived from claim numbers. A number made of the offset alone repeats after a restore, which reuses
+//! offsets: two leaders, one from before the restore and one from after it, could then use the same fence.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sparscale_conduct::{claim_number, claim_place};
@@ -9,9 +9,9 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// Somebody claims at the end of the list.
+    /// An agent claims at the end of the list.
     Claim,
-    /// The list comes back without its last claims.
+    /// The list is restored from a snapshot without its last claims.
     Restore { lost: u64 },
 }
 
@@ -27,7 +27,7 @@
 }
 
 quickcheck! {
-    /// Each claim that is won has a higher number than all before it, so that engines obey it and no other.
+    /// Each won claim has a higher number than all before it, so engines obey only the latest one.
     fn always_higher(events: Vec<Event>) -> bool {
         let mut end = Place::default();
         let mut highest = None;
@@ -46,7 +46,7 @@
         })
     }
 
-    /// A number tells its place, and the next claim's number is the next one.
+    /// A number converts back to its position, and the next claim's number is one higher.
     fn there_and_back(era: u16, offset: u32) -> bool {
         let place = Place::new(u64::from(era) % (1 << 14), u64::from(offset) % ((1 << 18) - 1));
         let Some(number) = claim_number(place) else { return false };
@@ -54,12 +54,12 @@
     }
 }
 
-/// Beyond what numbers can tell nobody leads: two with one fence would be worse.
+/// No claim gets a number outside of the range: two leaders with the same fence would be worse than none.
 #[test]
 fn none_beyond() {
     assert_eq!(claim_number(Place::new(0, 1 << 18)), None);
     assert_eq!(claim_number(Place::new(1 << 14, 0)), None);
     let last = claim_number(Place::new((1 << 14) - 1, (1 << 18) - 1)).expect("a number");
-    // A claim has 2^20 fences; all stay within what a 64 bit float holds exactly.
+    // Each claim has 2^20 fences; all stay within the integers that a 64-bit float represents exactly.
     assert!((last + 1) << 20 <= 1 << 53);
 }
--- a/crates/sparscale_conduct/tests/count_reporters.rs
+++ b/crates/sparscale_conduct/tests/count_reporters.rs
@@ -1,11 +1,11 @@
-//! The counts of a group fit into its conductor's link, whatever the size of the group.
+//! The count reports of a group fit the link of its leader for any group size.
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use sparscale_conduct::{Bandwidth, Reporter};
 
-/// The slimmest link that a box is known to have, in megabits a second.
+/// Lowest bandwidth of a box's link, in megabits per second.
 const SLIM: f64 = 6.0;
-/// Part of a link that counts may fill.
+/// Share of a link that counts may use.
 const PART: f64 = 0.4;
 
 fn tellers(size: usize, numbers: usize) -> usize {
@@ -27,7 +27,7 @@
             return TestResult::discard();
         }
         let tellers = tellers(size, numbers);
-        // Ten rounds a second, a byte a number.
+        // Ten rounds per second, one byte per value.
         let bits = (tellers.saturating_sub(1) * numbers * 10 * 8) as f64;
         let fits = bits <= SLIM * 1.0e6 * PART;
         TestResult::from_bool(tellers >= 1 && fits)
--- a/crates/sparscale_conduct/tests/duty_inquiry.rs
+++ b/crates/sparscale_conduct/tests/duty_inquiry.rs
@@ -1,4 +1,5 @@
-//! Whether the duty may be taken: what others have heard decides, not what this agent has not.
+//! An agent claims the leadership only if other agents confirm that the leader is gone; its own lack of messages from
+//! the leader is not enough.
 
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// Longer than anybody who claimed is given to reach all.
+/// Longer than the time that a new claimant has to connect to all ranks.
 const LONG: Duration = Duration::from_secs(30);
 
 #[test]
@@ -45,8 +46,8 @@
     }
 }
 
-/// A process that has just started lost its first claim to one whom the asked ones have not heard yet: it is on its way to
-/// them. Taking the duty from it would cost a large group seconds.
+/// A process that has just started loses its first claim to a new leader that has not connected to the polled agents
+/// yet. Claiming again at once would depose that leader and cost a large group seconds.
 #[test]
 fn successor_comes() {
     let pace = Pace::new(129);
@@ -62,7 +63,7 @@
     assert_eq!(verdict(&words, 2, pace.reach(), &pace), Verdict::Gone);
 }
 
-/// An old word of a former conductor is no sign of life of the one who claimed last.
+/// A recent message from a former leader does not show that the latest claimant is alive.
 #[test]
 fn former_conductor() {
     let pace = Pace::new(12);
@@ -72,7 +73,7 @@
     ));
 }
 
-/// All were started together, the last conductor with them: nobody is waited for.
+/// If all agents, including the last leader, were started together, no claimant is waited for.
 #[test]
 fn all_started() {
     let pace = Pace::new(129);
@@ -80,7 +81,7 @@
         verdict(&[silent(900), silent(1_100)], 7, Duration::ZERO, &pace),
         Verdict::Gone
     );
-    // One that has been up for long without a conductor is no sign of that.
+    // An agent with a long uptime and no leader does not show a common start.
     let one_new = [silent(900), silent(LONG_UP)];
     assert!(matches!(
         verdict(&one_new, 7, Duration::ZERO, &pace),
@@ -93,7 +94,7 @@
     assert_eq!(verdict(&[], 3, LONG, &Pace::new(12)), Verdict::Alone);
 }
 
-/// Limits grow with the ranks, and a small group is not slower than it was.
+/// Limits grow with the number of ranks, and those of a small group stay short.
 #[test]
 fn paces_grow() {
     let sizes = [1, 4, 12, 24, 63, 129, 512];
@@ -105,14 +106,14 @@
     let small = Pace::new(12);
     assert_eq!(small.patience(), Duration::from_millis(700));
     assert!(small.hold_limit() <= Duration::from_millis(220));
-    // Whatever the ranks, a conductor hears no more than it bears.
+    // The state messages that a leader receives stay within its capacity for any number of ranks.
     for size in sizes {
         let heard = size as f64 / Pace::new(size).state_pause().as_secs_f64();
         assert!(heard <= 640.1, "{heard} states a second of {size} ranks");
     }
 }
 
-/// One box that stands still does not stretch the limits of all without end.
+/// A single frozen box must not lengthen the limits of the group without bound.
 #[test]
 fn stretch_bounded() {
     let mut pace = Pace::new(12);
--- a/crates/sparscale_conduct/tests/group/engines.rs
+++ b/crates/sparscale_conduct/tests/group/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of one group in memory, and agents beside them, each on a runtime of its own so that it can be killed.
+//! Simulated engines of one group, and agents beside them, each on a runtime of its own so that a test can kill it.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,12 +22,12 @@
 pub const RANKS: usize = 4;
 const AGENT_PORT: u16 = 7_700;
 const PASS: Duration = Duration::from_millis(8);
-/// Time after which a call of an engine on another box that stands still is given up.
+/// Timeout of a call of an engine on another box that is frozen.
 const CALL_TIMEOUT: Duration = Duration::from_millis(40);
 const LOAD: Duration = Duration::from_millis(10);
-/// Longest time for which a box stands still.
+/// Longest time for which a box stays frozen or an agent suspended.
 const ASLEEP_LIMIT: Duration = Duration::from_secs(25);
-/// Time in which a killed agent has to be gone.
+/// Time limit for a killed agent to stop.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Default)]
@@ -40,41 +40,41 @@
     fence: u64,
 }
 
-/// What goes wrong, and what was seen.
+/// The simulated group: its engines, the faults that a test injects, and what was observed.
 #[derive(Debug, Default)]
 pub struct Group {
     step: u64,
-    /// Rises whenever an engine has started again.
+    /// Increases whenever an engine restarts.
     epoch: u64,
-    /// When each engine started.
+    /// Start time of each engine.
     born: Vec<u64>,
     ranks: Vec<Rank>,
     counts: Vec<u64>,
     pub hot: usize,
     pub mixed: bool,
     pub changes: u32,
-    /// Orders to load a map that engines took.
+    /// Number of orders to stage a map that engines accepted.
     pub stages: u32,
     pub claims: Vec<String>,
-    /// How often the list of claims came back from an older copy.
+    /// Number of restores of the list of claims from an older snapshot.
     pub era: u64,
-    /// When claims were lost.
+    /// Times of lost claims.
     pub lost_claims: Vec<Instant>,
-    /// Agents (by rank) that stand still once they have placed a hold.
+    /// Whether the next agent that places a hold freezes with its box.
     pub freeze_after_hold: bool,
     pub frozen: Option<usize>,
-    /// An agent (by rank) that stands still, while the engine beside it runs.
+    /// Rank whose agent is suspended while the engine beside it runs.
     pub asleep: Option<usize>,
-    /// Time that an engine takes to tell its state.
+    /// Time that an engine takes to report its state.
     pub slow: Duration,
-    /// Whether somebody else always claims first.
+    /// Whether another claimant always wins.
     pub others_lead: bool,
-    /// A rank for which an entry of another writer names the place of the next one.
+    /// A rank for which a roster entry of another writer gives the location of the next rank.
     pub misplaced: Option<usize>,
 }
 
 impl Group {
-    /// The list of claims comes back from a copy with so many of them.
+    /// Restores the list of claims from a snapshot that has the first `kept` of them.
     pub fn restore_claims(&mut self, kept: usize) {
         self.claims.truncate(kept);
         self.era += 1;
@@ -88,12 +88,13 @@
 }
 
 impl World {
-    /// A group whose boxes have addresses of their own, by `network`, and whose demand is for one expert of each set.
+    /// Creates a group whose boxes have addresses of their own, selected by `network`, and whose demand is concentrated
+    /// on one expert of each set.
     pub fn new(network: u8) -> Self {
         Self::of(network, RANKS)
     }
 
-    /// The same with as many ranks as wanted.
+    /// The same with the given number of ranks.
     pub fn of(network: u8, ranks: usize) -> Self {
         let group = Group {
             ranks: vec![Rank::default(); ranks],
@@ -108,7 +109,7 @@
         };
         let ticking = world.clone();
         std::thread::spawn(move || {
-            // Ends when the test has let go of everything else.
+            // Ends when the test has dropped all other references.
             while Arc::strong_count(&ticking.group) > 1 {
                 std::thread::sleep(PASS);
                 ticking.lock().pass();
@@ -121,7 +122,7 @@
         self.group.lock().expect("no test thread panicked")
     }
 
-    /// Where the agent beside `rank` is reached.
+    /// Address of the agent beside `rank`.
     pub fn agent_address(&self, rank: usize) -> SocketAddr {
         self.address(rank, AGENT_PORT)
     }
@@ -188,7 +189,7 @@
         Arc::new(Roster::new(targets))
     }
 
-    /// Waits until `seen` holds.
+    /// Waits until the condition `seen` holds.
     pub fn wait(&self, what: &str, seen: impl Fn(&Group) -> bool) {
         let began = Instant::now();
         while !seen(&self.lock()) {
@@ -207,12 +208,12 @@
 }
 
 impl Group {
-    /// Demand moves to another expert.
+    /// Moves the demand to another expert.
     pub fn shift(&mut self) {
         self.hot = (self.hot + 7) % experts().count;
     }
 
-    /// The engine of `rank` starts again: it knows nothing, and the group forms anew.
+    /// Restarts the engine of `rank`: it loses its state, and the group re-forms.
     pub fn restart(&mut self, rank: usize) {
         self.epoch += 1;
         self.born[rank] += 1_000;
@@ -220,12 +221,12 @@
         self.counts.fill(0);
     }
 
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub fn ranks(&self) -> usize {
         self.ranks.len()
     }
 
-    /// Whether some rank holds the group now.
+    /// Whether any rank holds the group now.
     pub fn is_held(&self) -> bool {
         self.ranks.iter().any(|rank| rank.held.is_some())
     }
@@ -384,12 +385,12 @@
 }
 
 impl MemoryEngine {
-    /// Whether the engine is reached now. A box that stands still runs nothing: its one thread waits here. Nobody else
-    /// reaches an engine on it.
+    /// Whether the engine can be reached now. A frozen or suspended box runs nothing, so its only thread blocks here;
+    /// and no other box reaches an engine on a frozen one.
     async fn is_reached(&self) -> bool {
         let stands_still = |group: &Group| [group.frozen, group.asleep].contains(&Some(self.caller));
         let began = Instant::now();
-        // A test that fails meanwhile ends all the same.
+        // Bounds the wait so that a failing test ends.
         while stands_still(&self.world.lock()) && began.elapsed() < ASLEEP_LIMIT {
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -465,7 +466,7 @@
     }
 }
 
-/// Ends one agent; its address is free afterwards.
+/// Stops one agent; its address is free afterwards.
 pub fn kill(agents: &mut BTreeMap<usize, Runtime>, rank: usize) {
     if let Some(runtime) = agents.remove(&rank) {
         runtime.shutdown_timeout(KILL_TIMEOUT);
--- a/crates/sparscale_conduct/tests/group/first_order.rs
+++ b/crates/sparscale_conduct/tests/group/first_order.rs
@@ -1,9 +1,10 @@
-//! What a conductor orders as soon as it reaches an agent is answered.
+//! The first order that a leader sends after it has connected to an agent is answered.
 //!
-//! After a conductor of 129 ranks had died, its successor looked at all of them, and two answers never came: those agents
-//! had been busy with their engines as the successor's stream and its first order arrived, took the order first and had nobody to
-//! answer. The conductor waited 2.4 s for each, and one of the two boxes stood still by then: the next map came 10 s after the
-//! death. Its line said so, with the age of the look beside that of the last word:
+//! After the leader of 129 ranks had died, two agents left the first order of its successor unanswered: they were busy
+//! with their engines when its stream and the order arrived, handled the order before the subscription and so had no
+//! receiver for the answer. The leader waited 2.4 s for each, by when one of the two boxes was frozen, and the next map
+//! became active 10 s after the death. The leader's log line shows the age of each order beside that of the latest
+//! report:
 //!
 //! ```text
 //! 7.93 stalled progress=Surveying awaited=["0: Look for 1154 ms, heard 71 ms ago", "128: Look for 2002 ms, heard 36 ms ago"]
@@ -17,11 +18,11 @@
 
 use crate::engines::World;
 
-/// Conductors, one after the other.
+/// Number of consecutive leaders.
 const CONDUCTORS: u64 = 12;
-/// Time that the engine takes to tell its state: the agent is busy with it when something arrives.
+/// Time that the engine takes to report its state, during which the agent is busy.
 const SLOW: Duration = Duration::from_millis(40);
-/// Time in which an answer is there on a busy machine.
+/// Time limit for an answer on a busy machine.
 const ANSWERED: Duration = Duration::from_secs(2);
 
 #[test]
@@ -46,7 +47,7 @@
     agent.shutdown_background();
 }
 
-/// Leads the agent and looks at its rank at once; tells whether that is answered.
+/// Leads the agent, polls its rank at once and returns whether that order is answered.
 async fn is_answered(endpoint: &Endpoint, agent: SocketAddr, claim: u64) -> bool {
     let mut channel = endpoint.open(agent, Role::Agent).await.expect("an agent");
     let ask = Ask::Conduct {
--- a/crates/sparscale_conduct/tests/group/leading.rs
+++ b/crates/sparscale_conduct/tests/group/leading.rs
@@ -1,4 +1,4 @@
-//! One conductor leads; a dead or frozen one is replaced, and the group goes on.
+//! One agent leads the group; if it is killed or frozen it is replaced, and map switches continue.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,14 +17,14 @@
     }
 }
 
-/// The rank whose agent claimed last.
+/// Rank whose agent made the latest claim.
 pub fn leader(world: &World) -> usize {
     let claim = world.lock().claims.last().cloned().expect("a claim");
     let rank = claim.rsplit('/').next().and_then(|rank| rank.parse().ok());
     rank.expect("a rank")
 }
 
-/// The agent of `rank` is started again, and the group follows demand under the conductor that there is now.
+/// Restarts the agent of `rank` and checks that the group follows demand under the current leader.
 fn goes_on(world: &World, mut agents: BTreeMap<usize, Runtime>, rank: usize) {
     agents.insert(rank, world.agent(rank));
     let changes = world.lock().changes;
@@ -49,14 +49,14 @@
     end(agents);
 }
 
-/// A conductor with nothing to order still speaks, so nobody else claims its duty.
+/// An idle leader still sends heartbeats, so no other agent claims the leadership.
 #[test]
 fn one_leader() {
     let world = World::new(2);
     let agents = agents(&world);
     world.wait("a change of map", |group| group.changes >= 1);
     let settled = world.lock().claims.len();
-    // Four times the patience of the agents.
+    // Four times the leader timeout.
     std::thread::sleep(Duration::from_millis(3_500));
     assert_eq!(world.lock().claims.len(), settled);
     end(agents);
@@ -74,8 +74,8 @@
     goes_on(&world, agents, rank);
 }
 
-/// The list of claims comes back from an older copy without those of conductors that led: when the present one is gone the
-/// next one is found all the same, and the engines obey it.
+/// The list of claims is restored from a snapshot that lacks the claims of former leaders. After the current leader is
+/// killed a successor still wins a claim, and the engines obey it.
 #[test]
 fn claims_forgotten() {
     let world = World::new(21);
@@ -89,7 +89,7 @@
     goes_on(&world, agents, rank);
 }
 
-/// The box that has just placed a hold stands still: the group must not stand still with it.
+/// The box that has just placed a hold freezes; the group must not stall with it.
 #[test]
 fn holder_frozen() {
     let world = World::new(4);
@@ -104,7 +104,7 @@
     world.wait("a group that runs", |group| !group.is_held());
     let held = began.elapsed();
     assert!(held < Duration::from_millis(500), "held for {held:?}");
-    // Longer than anyone waits for a conductor that says nothing.
+    // Longer than any agent waits for an unresponsive leader.
     std::thread::sleep(Duration::from_millis(1_500));
     let changes = world.lock().changes;
     let claims = world.lock().claims.len();
@@ -116,7 +116,7 @@
     end(agents);
 }
 
-/// An agent that was started anew has none of the maps that its conductor sent it.
+/// A restarted agent has lost the maps that the leader sent it.
 #[test]
 fn agent_restarted() {
     let world = World::new(7);
@@ -138,8 +138,8 @@
     end(agents);
 }
 
-/// All agents were started anew. The first claim only tells them that there were others before; they do not wait a
-/// second time.
+/// All agents are restarted. Their first claims only return the end of the list of claims; they do not wait for a
+/// leader a second time.
 #[test]
 fn all_restarted() {
     let world = World::new(8);
@@ -148,14 +148,14 @@
     world.wait("a claim", |group| group.claims.len() > 3);
     let first = world.lock().lost_claims.first().copied().expect("a lost claim");
     let waited = first.elapsed();
-    // A led agent is patient for longer than that.
+    // An agent that has been led waits for longer than that.
     assert!(waited < Duration::from_millis(500), "waited for {waited:?}");
     world.wait("a change of map", |group| group.changes >= 1);
     end(agents);
 }
 
-/// An agent stands still, as one of a hundred always does, and the engine beside it runs: the group follows demand all the
-/// same, and the agent does no harm when it wakes.
+/// One agent is suspended, as is usual among a hundred, while its engine runs: the group still follows demand, and the
+/// agent causes no fault when it resumes.
 #[test]
 fn agent_asleep() {
     let world = World::new(12);
--- a/crates/sparscale_conduct/tests/group/main.rs
+++ b/crates/sparscale_conduct/tests/group/main.rs
@@ -1,4 +1,4 @@
-//! Agents and their conductor over loopback, beside engines that live in this process.
+//! Agents and their leader over loopback, with simulated engines in the test process.
 
 mod engines;
 mod first_order;
--- a/crates/sparscale_conduct/tests/group/old_state.rs
+++ b/crates/sparscale_conduct/tests/group/old_state.rs
@@ -1,4 +1,5 @@
-//! What an engine tells another box is as old as the engine's lag; it must not be taken for the state after an order.
+//! The state that an engine reports to another box is as old as the report lag; it must not count as the state after an
+//! order.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 
 const LAG: Duration = Duration::from_millis(200);
 
-/// An engine that was armed a moment ago, and tells what it was [`LAG`] before.
+/// An engine that has just been armed and reports its state as of [`LAG`] ago.
 struct Lagging {
     history: VecDeque<(Instant, Option<Change>)>,
 }
@@ -53,7 +54,8 @@
     }
 }
 
-/// A rank that was armed just before it was told to disarm another number is still armed, and has to show it.
+/// A rank that was armed just before it is ordered to disarm another number is still armed, and its report must show
+/// that.
 #[tokio::test(start_paused = true)]
 async fn armed_shows() {
     tokio::time::advance(Duration::from_secs(10)).await;
--- a/crates/sparscale_conduct/tests/group/returned.rs
+++ b/crates/sparscale_conduct/tests/group/returned.rs
@@ -1,9 +1,9 @@
-//! Engines that start again, and entries that name the wrong box.
+//! Restarted engines, and roster entries that name the wrong box.
 
 use crate::engines::World;
 use crate::leading::{agents, end};
 
-/// The group forms anew with an engine that knows nothing; the conductor leads it on.
+/// The group re-forms with a restarted engine that has lost its state, and the leader continues to switch maps.
 #[test]
 fn engine_returned() {
     let world = World::new(9);
@@ -20,7 +20,7 @@
     end(agents);
 }
 
-/// What one rank says must not be taken for another's: a change would come in force with a rank that was never armed.
+/// Reports of one rank must not count for another: a map would become active although one rank was never armed.
 #[test]
 fn place_of_another() {
     let world = World::new(10);
--- a/crates/sparscale_conduct/tests/group/sleeping.rs
+++ b/crates/sparscale_conduct/tests/group/sleeping.rs
@@ -1,14 +1,14 @@
-//! While a box stands still no map comes in force, so none is loaded: each load makes passes longer and would be in vain, and the
-//! change that is under way as the box wakes would have to be given up before the next one can begin.
+//! While a box is frozen no map can become active, so none may be staged: loading experts lengthens passes in vain, and
+//! a switch in progress when the box resumes would have to be given up before the next one can begin.
 
 use std::time::Duration;
 
 use crate::engines::{RANKS, World};
 use crate::leading::{agents, end, leader};
 
-/// Time after which a rank that says nothing counts as silent, on a busy machine, and a change that is under way is given up.
+/// Time within which, on a busy machine, a frozen rank counts as unresponsive and a map switch in progress is given up.
 const NOTED: Duration = Duration::from_millis(1_500);
-/// Time for which the box stands still after that: several changes long.
+/// Time for which the box stays frozen after that: the duration of several map switches.
 const ASLEEP: Duration = Duration::from_secs(3);
 
 #[test]
--- a/crates/sparscale_conduct/tests/group/wide_group.rs
+++ b/crates/sparscale_conduct/tests/group/wide_group.rs
@@ -1,4 +1,5 @@
-//! A conductor of many ranks must not drown in them.
+//! The leader of many ranks limits the number of links that it opens concurrently, and its successor has its
+//! connections ready.
 
 use std::io::ErrorKind;
 use std::net::UdpSocket;
@@ -7,14 +8,15 @@
 use crate::engines::World;
 
 const RANKS: usize = 24;
-/// More than are reached quickly enough without connections that stand.
+/// Group size above which agents keep standby connections.
 const LARGE: usize = 26;
-/// Links that a conductor may open at once, twice: on a busy machine the look may fall into the second turn.
+/// Twice the number of links that a leader opens concurrently: on a busy machine the check may fall into the second
+/// batch.
 const MOST: usize = 16;
-/// Shorter than the time that a conductor gives an agent to answer.
+/// Time until the check; shorter than a leader's timeout for opening a stream.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// Boxes whose agents never answer: what arrives there is left to lie.
+/// Boxes whose agents never answer: packets that arrive stay unread.
 fn silent_agents(world: &World) -> Vec<UdpSocket> {
     let silent = |rank| {
         let socket = UdpSocket::bind(world.agent_address(rank)).expect("a free address");
@@ -36,7 +38,7 @@
     }
 }
 
-/// Handshakes take processor time: with all of them at once, none is done in time on a small box.
+/// Handshakes take processor time: if all are started at once, none completes in time on a small box.
 #[test]
 fn dials_few() {
     let world = World::of(6, RANKS);
@@ -52,7 +54,7 @@
     leader.shutdown_background();
 }
 
-/// The agent that is next in line has a connection to every other one before it leads.
+/// The next candidate for leadership is connected to every other agent before it leads.
 #[test]
 fn next_stands_by() {
     let world = World::of(11, LARGE);
--- a/crates/sparscale_conduct/tests/map_updates.rs
+++ b/crates/sparscale_conduct/tests/map_updates.rs
@@ -1,4 +1,4 @@
-//! An agent gets the map that is meant, or refuses; whatever was dropped, lost or restarted before.
+//! An agent obtains the intended map or rejects the update, whatever was dropped, lost or restarted before.
 
 use std::sync::Arc;
 
@@ -9,15 +9,15 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// The map is taken and comes in force.
+    /// The agent accepts the map, and it becomes active.
     InForce,
-    /// The map is taken and dropped before it comes in force.
+    /// The agent accepts the map, and it is dropped before it becomes active.
     Dropped,
-    /// The agent takes the map, and its answer is lost with the link.
+    /// The agent accepts the map, and its answer is lost with the link.
     AnswerLost,
-    /// The agent was started anew, and nobody noticed.
+    /// The agent was restarted without the leader noticing.
     Restarted,
-    /// Another conductor leads, and hears what the agent has.
+    /// Another agent becomes the leader and is told which map the agent has.
     Succeeded,
 }
 
@@ -82,7 +82,7 @@
         };
         self.wholes += u32::from(base.is_none());
         let Some(taken) = self.cache.take(number, update) else {
-            // Twice in a row, and the group would never get on.
+            // The next update is a whole map, so a second rejection in a row would stall the group.
             let first = !self.refused;
             self.refused = true;
             self.sent.forget();
@@ -127,7 +127,7 @@
         .quickcheck(holds as fn(Vec<Event>) -> bool);
 }
 
-/// Tries that are dropped one after the other do not send all of the map each time.
+/// Consecutive map switches that are dropped do not send the whole map each time.
 #[test]
 fn dropped_tries() {
     let mut pair = pair();
@@ -137,7 +137,7 @@
     assert_eq!(pair.wholes, 1);
 }
 
-/// A conductor that has just taken over sends changes as well: all of a map to each of 129 ranks took 4.7 s.
+/// A new leader sends changes as well: the whole map for each of 129 ranks took 4.7 s.
 #[test]
 fn successors_send_changes() {
     let mut pair = pair();
