--- a/crates/sparscale_conduct/src/claims.rs
+++ b/crates/sparscale_conduct/src/claims.rs
@@ -9,7 +9,7 @@
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The store did not answer: the claim may have been recorded, or may be recorded later.
-    #[snafu(display("no answer to a claim: {message}"))]
+    #[snafu(display("the store did not answer the claim: {message}"))]
     Unavailable {
         /// Cause of the failure.
         message: String,
@@ -37,15 +37,15 @@
 /// readers represent exactly.
 const MAX_ERA: u64 = (1 << 14) - 1;
 
-/// Returns the number of the claim at `place`: numbers increase with the era, and no two claims share one, even if a
+/// Returns the number of the claim at `position`: numbers increase with the era, and no two claims share one, even if a
 /// restore of the list drops claims. `None` if the offset or the era is out of range.
-pub fn number(place: Place) -> Option<u64> {
-    let counted = place.era <= MAX_ERA && place.offset < 1 << OFFSET_BITS;
-    counted.then_some(place.era << OFFSET_BITS | place.offset)
+pub fn number(position: Place) -> Option<u64> {
+    let in_range = position.era <= MAX_ERA && position.offset < 1 << OFFSET_BITS;
+    in_range.then_some(position.era << OFFSET_BITS | position.offset)
 }
 
 /// Returns the position of the claim with this number.
-pub fn place(number: u64) -> Place {
+pub fn position(number: u64) -> Place {
     Place::new(number >> OFFSET_BITS, number & ((1 << OFFSET_BITS) - 1))
 }
 
--- a/crates/sparscale_conduct/src/context.rs
+++ b/crates/sparscale_conduct/src/context.rs
@@ -9,8 +9,8 @@
 
 use crate::bandwidth::Bandwidth;
 use crate::engine::Engines;
-use crate::figures::Figures;
 use crate::handle::Handle;
+use crate::metrics::Metrics;
 
 /// Handles that a leader, or a candidate for leadership, needs.
 #[derive(Clone)]
@@ -21,12 +21,12 @@
     pub(crate) engines: Arc<dyn Engines>,
     pub(crate) handle: Handle,
     /// Address of the engine beside this process.
-    pub(crate) engine: SocketAddr,
+    pub(crate) engine_address: SocketAddr,
     /// Port on which every agent listens.
     pub(crate) port: u16,
     /// Bandwidth of this box's link.
     pub(crate) bandwidth: Bandwidth,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
 }
 
 /// One term of leadership: the group, and the claim that grants its leadership.
@@ -34,7 +34,7 @@
 pub(crate) struct Term {
     pub(crate) group: String,
     pub(crate) service: String,
-    pub(crate) own: usize,
+    pub(crate) own_rank: usize,
     pub(crate) size: usize,
     /// Number of the claim.
     pub(crate) claim: u64,
--- a/crates/sparscale_conduct/src/decision.rs
+++ b/crates/sparscale_conduct/src/decision.rs
@@ -12,27 +12,27 @@
 
 /// Half-life of a selection's weight while demand is steady: long enough to average over the mix of the requests in
 /// progress, short enough to follow slow changes.
-const HALF_LIFE: Duration = Duration::from_millis(1_500);
+const DEMAND_HALF_LIFE: Duration = Duration::from_millis(1_500);
 /// Time over which selections are accumulated before they are evaluated.
-const SAMPLE: Duration = Duration::from_millis(100);
+const SAMPLE_WINDOW: Duration = Duration::from_millis(100);
 /// Time that a switch takes besides loading: sending orders, holding and arming.
-const CHANGE_MS: f64 = 30.0;
+const SWITCH_OVERHEAD_MS: f64 = 30.0;
 /// Time within which a switch must pay off; after that the next switch follows, or demand has shifted.
 const HORIZON_MS: f64 = 900.0;
 /// Maximum number of experts that one rank loads in one switch.
-const MAX_DEPTH: usize = 3;
+const MAX_LOADS_PER_RANK: usize = 3;
 /// Minimum time between two log lines about keeping the current map.
-const STAY_PAUSE: Duration = Duration::from_secs(1);
+const STAY_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum reduction of the skew for a switch while passes take as long as streams allow.
-const MIN_FALL: f64 = 0.08;
+const MIN_SKEW_REDUCTION: f64 = 0.08;
 /// Addition to that minimum in an idle group: while passes are short a little skew delays no request, but loading does.
-const IDLE_FALL: f64 = 0.3;
+const IDLE_SKEW_REDUCTION: f64 = 0.3;
 /// Share of the allowed pause between stream events up to which a pass counts as short.
-const SHORT_PART: f64 = 0.6;
+const SHORT_PASS_SHARE: f64 = 0.6;
 /// Factor by which the slowdown of a rank must change to be logged.
-const PACE_CHANGE: f64 = 1.3;
+const SLOWDOWN_LOG_FACTOR: f64 = 1.3;
 /// Pause between stream events that is assumed to be allowed until the catalog is known.
-const USUAL_PAUSE: Duration = Duration::from_millis(150);
+const DEFAULT_STREAM_PAUSE: Duration = Duration::from_millis(150);
 
 /// Tracks the demand for experts and chooses the group's maps.
 #[derive(Debug)]
@@ -40,12 +40,12 @@
     shape: Shape,
     experts: Experts,
     popularity: Popularity,
-    gathered: Vec<f64>,
-    since: Instant,
-    paces: Vec<f64>,
+    accumulated: Vec<f64>,
+    window_start: Instant,
+    slowdowns: Vec<f64>,
     /// Time of the latest passes divided by the pause that streams allow.
     pressure: f64,
-    told_stay: Option<Instant>,
+    stay_logged_at: Option<Instant>,
 }
 
 impl Decider {
@@ -60,28 +60,28 @@
         Self {
             shape,
             experts,
-            popularity: Popularity::new(experts.sets, experts.count, HALF_LIFE),
-            gathered: vec![0.0; experts.sets * experts.count],
-            since: Instant::now(),
-            paces: vec![1.0; ranks],
+            popularity: Popularity::new(experts.sets, experts.count, DEMAND_HALF_LIFE),
+            accumulated: vec![0.0; experts.sets * experts.count],
+            window_start: Instant::now(),
+            slowdowns: vec![1.0; ranks],
             pressure: 1.0,
-            told_stay: None,
+            stay_logged_at: None,
         }
     }
 
     /// Sets how many times longer than usual the work of each rank takes.
-    pub(crate) fn pace(&mut self, paces: Vec<f64>) {
-        for (rank, (before, now)) in self.paces.iter().zip(&paces).enumerate() {
-            if *now > before * PACE_CHANGE || *before > now * PACE_CHANGE {
-                log::info!(target: DECISION, decision = "pace", rank, before, now; "a rank works at another pace");
+    pub(crate) fn set_slowdowns(&mut self, slowdowns: Vec<f64>) {
+        for (rank, (before, now)) in self.slowdowns.iter().zip(&slowdowns).enumerate() {
+            if *now > before * SLOWDOWN_LOG_FACTOR || *before > now * SLOWDOWN_LOG_FACTOR {
+                log::info!(target: DECISION, decision = "pace", rank, before, now; "slowdown of a rank changed");
             }
         }
-        self.paces = paces;
+        self.slowdowns = slowdowns;
     }
 
     /// Sets how long passes take, and how long the pause between stream events may be.
-    pub(crate) fn press(&mut self, pass: Duration, pause: Option<Duration>) {
-        let pause = pause.unwrap_or(USUAL_PAUSE);
+    pub(crate) fn set_pass_time(&mut self, pass: Duration, pause: Option<Duration>) {
+        let pause = pause.unwrap_or(DEFAULT_STREAM_PAUSE);
         self.pressure = pass.as_secs_f64() / pause.as_secs_f64().max(f64::MIN_POSITIVE);
     }
 
@@ -91,57 +91,57 @@
     }
 
     /// Adds the selection counts of one rank; counts of another shape come from another configuration and are ignored.
-    pub(crate) fn count(&mut self, picks: &[u32]) {
-        if picks.len() != self.gathered.len() {
+    pub(crate) fn add_selections(&mut self, selections: &[u32]) {
+        if selections.len() != self.accumulated.len() {
             return;
         }
-        for (sum, new) in self.gathered.iter_mut().zip(picks) {
+        for (sum, new) in self.accumulated.iter_mut().zip(selections) {
             *sum += f64::from(*new);
         }
     }
 
     /// Evaluates the accumulated selections if the sample window is over.
     pub(crate) fn sample(&mut self, now: Instant) -> Option<Trend> {
-        let span = now.saturating_duration_since(self.since);
-        if span < SAMPLE {
+        let span = now.saturating_duration_since(self.window_start);
+        if span < SAMPLE_WINDOW {
             return None;
         }
-        let trend = self.popularity.observe(&self.gathered, span);
+        let trend = self.popularity.observe(&self.accumulated, span);
         if trend != Trend::Small {
-            self.gathered.fill(0.0);
-            self.since = now;
+            self.accumulated.fill(0.0);
+            self.window_start = now;
         }
         Some(trend)
     }
 
     /// Mean over the sets of the ratio of the largest rank load to the mean rank load, under `map`.
     pub(crate) fn skew(&self, map: &Map) -> f64 {
-        skew_now(&self.popularity, map, self.shape, &self.paces)
+        skew_now(&self.popularity, map, self.shape, &self.slowdowns)
     }
 
     /// Whether any demand has been observed.
-    pub(crate) fn knows(&self) -> bool {
+    pub(crate) fn has_demand(&self) -> bool {
         self.popularity.samples() > 0
     }
 
     /// Returns the next map if a switch pays off: of the candidates with different numbers of loads per rank, the one
     /// with the least skew over the horizon, loading included.
-    pub(crate) fn next(&mut self, map: &Map) -> Option<Refined> {
-        if !self.knows() {
+    pub(crate) fn next_map(&mut self, map: &Map) -> Option<Refined> {
+        if !self.has_demand() {
             return None;
         }
-        let depths = 1..=MAX_DEPTH.min(self.experts.spare);
+        let depths = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare);
         let candidates = depths.map(|per_rank| {
             let bounds = Bounds {
                 per_rank,
                 per_set: self.experts.spare,
             };
-            let refined = refine(&self.popularity, map, self.shape, bounds, &self.paces);
+            let refined = refine(&self.popularity, map, self.shape, bounds, &self.slowdowns);
             (self.cost(&refined), refined)
         });
         let (_, best) = candidates.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
-        let slack = ((SHORT_PART - self.pressure) / SHORT_PART).clamp(0.0, 1.0);
-        let pays = best.before - best.after >= MIN_FALL + IDLE_FALL * slack;
+        let slack = ((SHORT_PASS_SHARE - self.pressure) / SHORT_PASS_SHARE).clamp(0.0, 1.0);
+        let pays = best.before - best.after >= MIN_SKEW_REDUCTION + IDLE_SKEW_REDUCTION * slack;
         if !pays {
             self.log_stay(&best);
         }
@@ -155,7 +155,7 @@
                 deepest = best.deepest,
                 pressure = self.pressure,
                 samples = self.popularity.samples();
-                "placement"
+                "switching to another map"
             );
         }
         pays.then_some(best)
@@ -164,10 +164,13 @@
     /// Logs that the current map is kept, at most once per second, since most decisions are of this kind.
     fn log_stay(&mut self, best: &Refined) {
         let now = Instant::now();
-        if self.told_stay.is_some_and(|told| now < told + STAY_PAUSE) {
+        if self
+            .stay_logged_at
+            .is_some_and(|logged| now < logged + STAY_LOG_INTERVAL)
+        {
             return;
         }
-        self.told_stay = Some(now);
+        self.stay_logged_at = Some(now);
         log::info!(
             target: DECISION,
             decision = "stay",
@@ -175,13 +178,13 @@
             skew_next = best.after,
             loads = best.loads,
             samples = self.popularity.samples();
-            "placement"
+            "keeping the current map"
         );
     }
 
     /// Skew times milliseconds over the horizon if the group switches to `refined`.
     fn cost(&self, refined: &Refined) -> f64 {
-        let wait = (f64::from(refined.deepest) * self.experts.load_ms() + CHANGE_MS).min(HORIZON_MS);
-        wait * refined.before + (HORIZON_MS - wait) * refined.after
+        let switch_ms = (f64::from(refined.deepest) * self.experts.load_ms() + SWITCH_OVERHEAD_MS).min(HORIZON_MS);
+        switch_ms * refined.before + (HORIZON_MS - switch_ms) * refined.after
     }
 }
--- a/crates/sparscale_conduct/src/engine.rs
+++ b/crates/sparscale_conduct/src/engine.rs
@@ -10,7 +10,7 @@
 
 /// An engine did not answer a query.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(visibility(pub), display("the engine told nothing: {message}"))]
+#[snafu(visibility(pub), display("the engine did not answer: {message}"))]
 pub struct EngineError {
     /// Cause of the failure.
     pub message: String,
@@ -19,8 +19,8 @@
 /// State of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineState {
-    /// Start time of the current process in milliseconds of Unix time (since 1970); `None` if the engine does not report it.
-    /// An engine keeps no state across restarts.
+    /// Start time of the current process in milliseconds of Unix time (since 1970); `None` if the engine does not
+    /// report it. An engine keeps no state across restarts.
     pub born_ms: Option<u64>,
     /// Group to which it belongs; `None` for an engine outside of any group.
     pub group: Option<String>,
--- a/crates/sparscale_conduct/src/handle.rs
+++ b/crates/sparscale_conduct/src/handle.rs
@@ -7,11 +7,11 @@
 use crate::engine::EngineState;
 
 /// Updates that are queued for a slow leader.
-pub(crate) const QUEUE: usize = 64;
+pub(crate) const UPDATE_QUEUE_LEN: usize = 64;
 
-/// The rank for which a leader takes an agent, and the claim by which it leads.
+/// Rank that a leader assigns to an agent, and the claim by which it leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Lead {
+pub(crate) struct Assignment {
     pub(crate) group: String,
     /// Rank that the leader expects the agent's engine to be.
     pub(crate) rank: usize,
@@ -22,15 +22,15 @@
 /// An order from a leader.
 #[derive(Debug)]
 pub(crate) struct Command {
-    pub(crate) lead: Lead,
+    pub(crate) assignment: Assignment,
     pub(crate) order: RankOrder,
 }
 
 /// A leader that subscribes to updates about the rank.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
-    pub(crate) lead: Lead,
-    pub(crate) news: mpsc::Sender<RankNews>,
+    pub(crate) assignment: Assignment,
+    pub(crate) updates: mpsc::Sender<RankNews>,
 }
 
 /// Handle to the task of a rank's agent.
@@ -41,30 +41,30 @@
     /// Latest state of the rank.
     pub(crate) state: watch::Receiver<Option<EngineState>>,
     /// Highest claim of any leader of this rank, and when that leader was last seen.
-    pub(crate) led: watch::Receiver<Led>,
+    pub(crate) leader: watch::Receiver<LeaderObservation>,
     /// When this agent started.
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
 }
 
 /// What this agent has observed of the rank's leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Led {
+pub(crate) struct LeaderObservation {
     /// The leader's claim; `None` until a leader has been seen.
     pub(crate) claim: Option<u64>,
-    /// Time of its latest order, heartbeat or subscription.
-    pub(crate) spoke: Instant,
+    /// Time of its latest order, heartbeat or subscription; before the first one, the start of this agent.
+    pub(crate) last_seen: Instant,
 }
 
 impl Handle {
     /// Sends an order to the agent; does nothing if the agent is stopping.
-    pub(crate) async fn command(&self, command: Command) {
+    pub(crate) async fn send_command(&self, command: Command) {
         let _stopping = self.commands.send(command).await;
     }
 
     /// Subscribes a leader to updates about the rank.
-    pub(crate) async fn subscribe(&self, lead: Lead) -> mpsc::Receiver<RankNews> {
-        let (news, receiver) = mpsc::channel(QUEUE);
-        let _stopping = self.subscribers.send(Subscriber { lead, news }).await;
+    pub(crate) async fn subscribe(&self, assignment: Assignment) -> mpsc::Receiver<RankNews> {
+        let (updates, receiver) = mpsc::channel(UPDATE_QUEUE_LEN);
+        let _stopping = self.subscribers.send(Subscriber { assignment, updates }).await;
         receiver
     }
 }
--- a/crates/sparscale_conduct/src/inquiry.rs
+++ b/crates/sparscale_conduct/src/leader_poll.rs
@@ -12,21 +12,21 @@
 use crate::context::Context;
 use crate::engine::EngineState;
 use crate::handle::Handle;
-use crate::pace::Pace;
+use crate::timing::GroupTiming;
 
 /// Number of agents to poll, far apart in the group because the boxes of one hall fail together.
-const ASKED: usize = 3;
+const POLLED_PEERS: usize = 3;
 /// Number of answers after which the poll ends.
-const ENOUGH: usize = 2;
+const SUFFICIENT_ANSWERS: usize = 2;
 /// Timeout of a poll: a handshake with a slow box, with one retransmission.
-const TIMEOUT: Duration = Duration::from_millis(400);
+const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Uptime below which an agent that was never led is taken to have started together with all others, including the last
 /// leader.
-const STARTED_LATELY: Duration = Duration::from_secs(5);
+const RECENT_START: Duration = Duration::from_secs(5);
 
 /// Conclusion from the answers of a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LeaderStatus {
     /// The leader is gone.
     Gone,
     /// The leader is alive: a peer has received a message from it recently.
@@ -43,86 +43,91 @@
     Alone,
 }
 
-/// Judges from the answers of a poll whether the leader is gone. `end` is the number of the next claim, known for
-/// `known`.
-pub fn verdict(words: &[Sighting], end: u64, known: Duration, pace: &Pace) -> Verdict {
-    if words.is_empty() {
-        return Verdict::Alone;
+/// Judges from the answers of a poll whether the leader is gone. `next_claim` is the number of the next claim,
+/// known for `known_for`.
+pub fn evaluate_poll(
+    sightings: &[Sighting],
+    next_claim: u64,
+    known_for: Duration,
+    timing: &GroupTiming,
+) -> LeaderStatus {
+    if sightings.is_empty() {
+        return LeaderStatus::Alone;
     }
-    let lately = |word: &&Sighting| Duration::from_millis(word.heard_ms) < pace.lives();
-    let lives = words.iter().filter(lately).filter_map(|word| word.claim);
-    if let Some(claim) = lives.max().filter(|claim| claim + 1 >= end) {
-        return Verdict::Lives { claim };
+    let is_recent = |sighting: &&Sighting| Duration::from_millis(sighting.heard_ms) < timing.leader_live_age();
+    let live_claims = sightings.iter().filter(is_recent).filter_map(|sighting| sighting.claim);
+    if let Some(claim) = live_claims.max().filter(|claim| claim + 1 >= next_claim) {
+        return LeaderStatus::Lives { claim };
     }
-    let heard = words.iter().filter_map(|word| word.claim).max();
-    let all_new = words
+    let highest_claim = sightings.iter().filter_map(|sighting| sighting.claim).max();
+    let all_started_recently = sightings
         .iter()
-        .all(|word| word.claim.is_none() && Duration::from_millis(word.up_ms) < STARTED_LATELY);
-    if all_new || heard.is_some_and(|claim| claim + 1 >= end) {
-        return Verdict::Gone;
+        .all(|sighting| sighting.claim.is_none() && Duration::from_millis(sighting.up_ms) < RECENT_START);
+    if all_started_recently || highest_claim.is_some_and(|claim| claim + 1 >= next_claim) {
+        return LeaderStatus::Gone;
     }
-    match pace.reach().checked_sub(known) {
-        Some(wait) if !wait.is_zero() => Verdict::Coming { wait },
-        _ => Verdict::Gone,
+    match timing.takeover_limit().checked_sub(known_for) {
+        Some(wait) if !wait.is_zero() => LeaderStatus::Coming { wait },
+        _ => LeaderStatus::Gone,
     }
 }
 
 /// Polls other agents of the group of the engine in `state` for their observations of the leader.
-pub(crate) async fn ask(context: &Context, group: &str, state: &EngineState) -> Vec<Sighting> {
-    let mut asking = JoinSet::new();
-    for part in 0..ASKED.min(state.size.saturating_sub(1)) {
-        let rank = (state.rank + 1 + part * state.size / ASKED) % state.size;
+pub(crate) async fn poll_peers(context: &Context, group: &str, state: &EngineState) -> Vec<Sighting> {
+    let mut polls = JoinSet::new();
+    for poll in 0..POLLED_PEERS.min(state.size.saturating_sub(1)) {
+        let rank = (state.rank + 1 + poll * state.size / POLLED_PEERS) % state.size;
         let (context, group) = (context.clone(), group.to_owned());
-        asking.spawn(async move { ask_rank(&context, &group, rank).await });
+        polls.spawn(async move { poll_rank(&context, &group, rank).await });
     }
-    let mut words = Vec::new();
-    let gathered = async {
-        while let Some(answer) = asking.join_next().await {
-            words.extend(answer.ok().flatten());
-            if words.len() >= ENOUGH {
+    let mut sightings = Vec::new();
+    let collected = async {
+        while let Some(answer) = polls.join_next().await {
+            sightings.extend(answer.ok().flatten());
+            if sightings.len() >= SUFFICIENT_ANSWERS {
                 return;
             }
         }
     };
     // The answers that arrived before the timeout must suffice.
-    let _elapsed = tokio::time::timeout(TIMEOUT, gathered).await;
-    words
+    let _elapsed = tokio::time::timeout(POLL_TIMEOUT, collected).await;
+    sightings
 }
 
-async fn ask_rank(context: &Context, group: &str, rank: usize) -> Option<Sighting> {
+async fn poll_rank(context: &Context, group: &str, rank: usize) -> Option<Sighting> {
     let targets = context.board.targets()?.value;
     let engine = *targets.places(group, rank).first()?;
     let agent = std::net::SocketAddr::new(engine.ip(), context.port);
     let mut channel = context.endpoint.open(agent, Role::Agent).await.ok()?;
-    let ask = Ask::Leader {
+    let query = Ask::Leader {
         group: group.to_owned(),
     };
-    channel.sender.send(&Frame::Ask(ask)).await.ok()?;
+    channel.sender.send(&Frame::Ask(query)).await.ok()?;
     match channel.receiver.receive().await.ok()? {
-        Frame::Leader(word) => Some(word),
+        Frame::Leader(sighting) => Some(sighting),
         _ => None,
     }
 }
 
 /// Answers a poll with this agent's observation of the leader of `group`; sends nothing if its engine belongs to
 /// another group.
-pub(crate) async fn answer(handle: &Handle, group: &str, mut channel: Channel) {
-    let ours = handle
+pub(crate) async fn answer_poll(handle: &Handle, group: &str, mut channel: Channel) {
+    let is_same_group = handle
         .state
         .borrow()
         .as_ref()
         .is_some_and(|state| state.group.as_deref() == Some(group));
-    if !ours {
+    if !is_same_group {
         return;
     }
-    let led = *handle.led.borrow();
-    let word = Sighting {
-        claim: led.claim,
-        heard_ms: millis(led.spoke.elapsed()),
-        up_ms: millis(handle.started.elapsed()),
+    let leader = *handle.leader.borrow();
+    let sighting = Sighting {
+        claim: leader.claim,
+        heard_ms: millis(leader.last_seen.elapsed()),
+        up_ms: millis(handle.started_at.elapsed()),
     };
     // The polling agent may have stopped waiting, so a failure is ignored.
-    let _gone = channel.sender.send(&Frame::Leader(word)).await;
+    let _gone = channel.sender.send(&Frame::Leader(sighting)).await;
     channel.sender.finish();
     channel.sender.stopped().await;
 }
--- a/crates/sparscale_conduct/src/leadership.rs
+++ b/crates/sparscale_conduct/src/leadership.rs
@@ -1,7 +1,7 @@
 //! Decides when an agent claims the leadership of its group.
 //!
-//! Agents wait for the leader in the order of their ranks, poll other agents before they claim, and so replace a leader
-//! that has terminated without deposing one that is merely unreachable from here.
+//! An agent waits for the leader for a time that grows with its rank, so that few agents claim at once, and polls other
+//! agents before it claims. A leader that has terminated is replaced; one that is only unreachable from here is not.
 
 use std::time::Duration;
 
@@ -12,89 +12,89 @@
 use crate::claims::{self, Claim, Claims};
 use crate::context::{Context, Term};
 use crate::engine::EngineState;
-use crate::handle::Led;
-use crate::inquiry::{self, Verdict};
+use crate::handle::LeaderObservation;
 use crate::leader::Leader;
-use crate::pace::Pace;
+use crate::leader_poll::{self, LeaderStatus};
+use crate::timing::GroupTiming;
 
 /// Time without a leader after which the first candidate claims the leadership of a group whose ranks still have the
 /// initial map: no leader has led it in this epoch, and its passes take several times as long as they need to. The
 /// first candidate claims without a poll; if others led before, its first claim only returns the end of the list of
 /// claims.
-const FIRST_MAP_PATIENCE: Duration = Duration::from_millis(50);
+const INITIAL_MAP_WAIT: Duration = Duration::from_millis(50);
 /// Time that an agent without a leader waits after its first claim, which returned the end of the list of claims. It
 /// already waited for a leader before that claim; waiting as long again would leave a group without a leader after all
 /// processes were killed.
-const SECOND_CLAIM: Duration = Duration::from_millis(250);
+const SECOND_CLAIM_WAIT: Duration = Duration::from_millis(250);
 /// Shortest time that the other candidates allow the first one to read the locations of the ranks and connect to them.
-const FIRST_LINK: Duration = Duration::from_millis(500);
+const FIRST_LINK_WAIT: Duration = Duration::from_millis(500);
 /// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
 /// Delay of a check beyond which the box is taken to have been suspended.
-const STOOD_STILL: Duration = Duration::from_millis(400);
+const SUSPENDED_THRESHOLD: Duration = Duration::from_millis(400);
 /// Consecutive polls without any answer after which the leadership is claimed anyway: all other agents may have
 /// terminated.
-const ALONE_TRIES: u32 = 2;
+const MAX_UNANSWERED_POLLS: u32 = 2;
 /// Time between two checks of the leadership.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Leads the group whenever no other agent does; never returns.
 pub(crate) async fn run(context: Context, claims: Box<dyn Claims>, service: String) {
     let now = Instant::now();
-    let mut candidacy = Candidacy {
+    let mut candidate = Candidate {
         context,
         claims,
         service,
-        end: None,
-        learnt: now,
-        waited_since: now,
-        alone: 0,
+        next_claim: None,
+        next_claim_known_since: now,
+        waiting_since: now,
+        unanswered_polls: 0,
     };
     loop {
-        let slept = Instant::now();
-        tokio::time::sleep(LOOK).await;
-        if slept.elapsed() > STOOD_STILL {
+        let sleep_began = Instant::now();
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if sleep_began.elapsed() > SUSPENDED_THRESHOLD {
             // The box was suspended: messages that the leader sent meanwhile are still to be read, so the wait starts
             // anew.
-            candidacy.waited_since = Instant::now();
+            candidate.waiting_since = Instant::now();
         }
-        candidacy.look().await;
+        candidate.check().await;
     }
 }
 
 /// A possible successor of the leader, and what it knows of the leadership.
-struct Candidacy {
+struct Candidate {
     context: Context,
     claims: Box<dyn Claims>,
     service: String,
     /// Number of the next claim; `None` until the end of the list of claims is known.
-    end: Option<u64>,
+    next_claim: Option<u64>,
     /// When `next_claim` last changed.
-    learnt: Instant,
+    next_claim_known_since: Instant,
     /// Start of the wait for a leader; later than now while a known claimant still has time to connect.
-    waited_since: Instant,
+    waiting_since: Instant,
     /// Consecutive polls without any answer.
-    alone: u32,
+    unanswered_polls: u32,
 }
 
-impl Candidacy {
-    async fn look(&mut self) {
-        let led = *self.context.handle.led.borrow();
-        if let Some(claim) = led.claim {
-            self.note_end(claim + 1);
+impl Candidate {
+    async fn check(&mut self) {
+        let leader = *self.context.handle.leader.borrow();
+        if let Some(claim) = leader.claim {
+            self.record_next_claim(claim + 1);
         }
-        self.waited_since = self.waited_since.max(led.spoke);
+        self.waiting_since = self.waiting_since.max(leader.last_seen);
         let state = self.context.handle.state.borrow().clone();
-        let Some((group, state)) = state.and_then(member_of) else {
-            self.waited_since = Instant::now();
+        let Some((group, state)) = state.and_then(with_group) else {
+            self.waiting_since = Instant::now();
             return;
         };
-        if self.waited_since.elapsed() < patience(&state, &led, self.end.is_some()) {
+        if self.waiting_since.elapsed() < claim_wait(&state, &leader, self.next_claim.is_some()) {
             return;
         }
         // Until the end of the list is known a claim needs no poll: it only returns that end, unless the list is empty.
-        let may_claim = match self.end {
-            Some(end) => self.is_gone(&group, &state, end).await,
+        let may_claim = match self.next_claim {
+            Some(next_claim) => self.leader_is_gone(&group, &state, next_claim).await,
             None => true,
         };
         if may_claim {
@@ -102,35 +102,39 @@
         }
     }
 
-    fn note_end(&mut self, end: u64) {
-        if self.end < Some(end) {
-            self.end = Some(end);
-            self.learnt = Instant::now();
+    fn record_next_claim(&mut self, next_claim: u64) {
+        if self.next_claim < Some(next_claim) {
+            self.next_claim = Some(next_claim);
+            self.next_claim_known_since = Instant::now();
         }
     }
 
     /// Polls other agents and returns whether the leader is gone; if not, restarts the wait for it.
-    async fn is_gone(&mut self, group: &str, state: &EngineState, end: u64) -> bool {
-        let pace = Pace::new(state.size);
-        let words = inquiry::ask(&self.context, group, state).await;
-        let verdict = inquiry::verdict(&words, end, self.learnt.elapsed(), &pace);
-        log::info!(target: DECISION, decision = "inquiry", group, end, words:? = words, verdict:? = verdict, unheard_ms = self.waited_since.elapsed().as_millis() as u64; "asked others for the conductor");
-        self.alone = if verdict == Verdict::Alone { self.alone + 1 } else { 0 };
+    async fn leader_is_gone(&mut self, group: &str, state: &EngineState, next_claim: u64) -> bool {
+        let timing = GroupTiming::new(state.size);
+        let sightings = leader_poll::poll_peers(&self.context, group, state).await;
+        let status = leader_poll::evaluate_poll(&sightings, next_claim, self.next_claim_known_since.elapsed(), &timing);
+        log::info!(target: DECISION, decision = "inquiry", group, end = next_claim, words:? = sightings, verdict:? = status, unheard_ms = self.waiting_since.elapsed().as_millis() as u64; "polled other agents for the leader");
+        self.unanswered_polls = if status == LeaderStatus::Alone {
+            self.unanswered_polls + 1
+        } else {
+            0
+        };
         let now = Instant::now();
-        match verdict {
-            Verdict::Gone => true,
-            Verdict::Alone => {
-                self.waited_since = now;
-                self.alone > ALONE_TRIES
+        match status {
+            LeaderStatus::Gone => true,
+            LeaderStatus::Alone => {
+                self.waiting_since = now;
+                self.unanswered_polls > MAX_UNANSWERED_POLLS
             }
-            Verdict::Lives { claim } => {
-                self.note_end(claim + 1);
-                self.waited_since = now;
+            LeaderStatus::Lives { claim } => {
+                self.record_next_claim(claim + 1);
+                self.waiting_since = now;
                 false
             }
             // The next check happens once the claimant has had its time to connect.
-            Verdict::Coming { wait } => {
-                self.waited_since = now + wait;
+            LeaderStatus::Coming { wait } => {
+                self.waiting_since = now + wait;
                 false
             }
         }
@@ -138,68 +142,72 @@
 
     async fn claim(&mut self, group: String, state: &EngineState) {
         let holder = format!("{}/{}", self.service, state.rank);
-        let end = self.end.unwrap_or_default();
-        let claiming = self.claims.claim(&group, &holder, claims::place(end));
+        let next_claim = self.next_claim.unwrap_or_default();
+        let claiming = self.claims.claim(&group, &holder, claims::position(next_claim));
         let claimed = tokio::time::timeout(CLAIM_TIMEOUT, claiming).await;
-        self.waited_since = Instant::now();
+        self.waiting_since = Instant::now();
         match claimed {
-            Ok(Ok(Claim::Won { place })) => self.lead(group, state, place).await,
+            Ok(Ok(Claim::Won { place: position })) => self.lead(group, state, position).await,
             Ok(Ok(Claim::Lost { end })) => {
-                self.context.figures.claimed("lost");
+                self.context.metrics.record_claim("lost");
                 match claims::number(end) {
-                    Some(number) => self.note_end(number),
-                    None => self.unanswered(&group, "more claims than numbers"),
+                    Some(number) => self.record_next_claim(number),
+                    None => self.record_failed_claim(&group, "the number of the next claim is out of range"),
                 }
             }
-            Ok(Err(error)) => self.unanswered(&group, &error.to_string()),
-            Err(_elapsed) => self.unanswered(&group, "timeout"),
+            Ok(Err(error)) => self.record_failed_claim(&group, &error.to_string()),
+            Err(_elapsed) => self.record_failed_claim(&group, "timeout"),
         }
     }
 
-    async fn lead(&mut self, group: String, state: &EngineState, place: Place) {
+    async fn lead(&mut self, group: String, state: &EngineState, position: Place) {
         // A number below the known end comes from a list that was restored since: another claim has taken its place.
-        let number = claims::number(place).filter(|number| self.end.is_none_or(|end| *number >= end));
+        let number =
+            claims::number(position).filter(|number| self.next_claim.is_none_or(|next_claim| *number >= next_claim));
         let Some(claim) = number else {
-            self.unanswered(&group, "the claim has no number, or is older than what is known");
+            self.record_failed_claim(
+                &group,
+                "the claim number is out of range, or below the known end of the list",
+            );
             return;
         };
-        self.context.figures.claimed("won");
+        self.context.metrics.record_claim("won");
         let term = Term {
             group,
             service: self.service.clone(),
-            own: state.rank,
+            own_rank: state.rank,
             size: state.size,
             claim,
         };
         Leader::new(self.context.clone(), term).run().await;
-        self.waited_since = Instant::now();
+        self.waiting_since = Instant::now();
     }
 
-    fn unanswered(&self, group: &str, error: &str) {
-        self.context.figures.claimed("unanswered");
-        log::info!(target: DECISION, decision = "claim_failed", group, error; "no answer to a claim");
+    fn record_failed_claim(&self, group: &str, error: &str) {
+        self.context.metrics.record_claim("unanswered");
+        log::info!(target: DECISION, decision = "claim_failed", group, error; "claim of the leadership failed");
     }
 }
 
-fn member_of(state: EngineState) -> Option<(String, EngineState)> {
+fn with_group(state: EngineState) -> Option<(String, EngineState)> {
     let group = state.group.clone()?;
     Some((group, state))
 }
 
 /// Time without a leader after which an agent in this state claims the leadership. An agent that does not know the end
 /// of the list of claims has not been led yet: it loses its first claim to any earlier leader, and so obtains the end.
-fn patience(state: &EngineState, led: &Led, knows_end: bool) -> Duration {
-    let pace = Pace::new(state.size);
-    let behind = pace.place(state.rank);
-    if led.claim.is_some() {
-        return pace.patience() + behind;
+fn claim_wait(state: &EngineState, leader: &LeaderObservation, knows_next_claim: bool) -> Duration {
+    let timing = GroupTiming::new(state.size);
+    let candidate_delay = timing.candidate_delay(state.rank);
+    if leader.claim.is_some() {
+        return timing.leader_timeout() + candidate_delay;
     }
-    match (state.view.map, knows_end) {
-        (0, _) if state.rank == 0 => FIRST_MAP_PATIENCE,
-        (0, false) => pace.reach().max(FIRST_LINK) + behind,
-        (_, true) => SECOND_CLAIM + behind,
+    match (state.view.map, knows_next_claim) {
+        (0, _) if state.rank == 0 => INITIAL_MAP_WAIT,
+        (0, false) => timing.takeover_limit().max(FIRST_LINK_WAIT) + candidate_delay,
+        (_, true) => SECOND_CLAIM_WAIT + candidate_delay,
         // There may be a leader: it notices only after its agent timeout that this agent's predecessor is gone, and
         // then reconnects.
-        (_, false) => pace.silence() + behind,
+        (_, false) => timing.agent_timeout() + candidate_delay,
     }
 }
--- a/crates/sparscale_conduct/src/lib.rs
+++ b/crates/sparscale_conduct/src/lib.rs
@@ -4,34 +4,34 @@
 //! leader is elected by a conditional append to the platform's store; it gathers the counts of all ranks, chooses the
 //! expert map and switches the ranks from map to map (see [`sparscale_place::barrier`]).
 
+mod agent;
 mod bandwidth;
 mod claims;
 mod context;
 mod decision;
 mod delegation;
-mod distant;
 mod engine;
-mod figures;
 mod handle;
-mod inquiry;
 mod leader;
+mod leader_poll;
 mod leadership;
 mod link;
 mod maps;
 mod member;
+mod metrics;
 mod outbox;
-mod pace;
 mod program;
-mod rank;
+mod remote_engine;
 mod reporter;
 mod standby;
+mod timing;
 
 pub use bandwidth::Bandwidth;
-pub use claims::{Claim, Claims, Error as ClaimError, number as claim_number, place as claim_place};
-pub use distant::Distant;
+pub use claims::{Claim, Claims, Error as ClaimError, number as claim_number, position as claim_position};
 pub use engine::{Counts, Engine, EngineError, EngineState, Engines, Held};
-pub use inquiry::{Verdict, verdict};
-pub use maps::{Cache, Offer, Sent};
-pub use pace::Pace;
+pub use leader_poll::{LeaderStatus, evaluate_poll};
+pub use maps::{MapCache, OutgoingMap, SentMaps};
 pub use program::{Error, Parts, Settings, run, start};
-pub use reporter::Reporter;
+pub use remote_engine::RemoteEngine;
+pub use reporter::CountReporter;
+pub use timing::GroupTiming;
--- a/crates/sparscale_conduct/src/maps.rs
+++ b/crates/sparscale_conduct/src/maps.rs
@@ -2,8 +2,8 @@
 //!
 //! A map of a large group takes kilobytes, and each switch sends it to every rank over links of low bandwidth while
 //! passes are slow. An agent caches the last two maps that it was sent, and the leader tracks which while the link is
-//! up. A new leader is told whether an agent has the active map; without that, a successor sent its whole first map to
-//! 128 ranks, which took 4.7 s.
+//! up. Agents report to a new leader whether they have the active map; without that, a successor sent its whole first
+//! map to 128 ranks, which took 4.7 s.
 
 use std::sync::Arc;
 
@@ -11,17 +11,17 @@
 use sparscale_wire::{Base, MapUpdate};
 
 /// Maps that are cached: the active one and the one that is to follow it.
-const KEPT: usize = 2;
+const MAX_CACHED_MAPS: usize = 2;
 
 /// The maps that an agent has received.
 #[derive(Debug, Default)]
-pub struct Cache {
+pub struct MapCache {
     maps: Vec<(u64, Arc<Map>)>,
 }
 
 /// A map that the leader distributes, with its differences from maps that agents may have.
 #[derive(Debug)]
-pub struct Offer {
+pub struct OutgoingMap {
     /// Number of the map.
     pub number: u64,
     /// The whole map.
@@ -30,25 +30,25 @@
     patches: Vec<(Base, Arc<Patch>)>,
 }
 
-impl Offer {
+impl OutgoingMap {
     /// Prepares a map for agents that may have one of `bases`; a map that was sent but never became active is a base,
     /// too.
     pub fn new(number: u64, map: Map, bases: &[(Base, Arc<Map>)]) -> Self {
-        let patch = |(base, old): &(Base, Arc<Map>)| (*base, Arc::new(Patch::between(old, &map)));
+        let patch_from = |(base, old): &(Base, Arc<Map>)| (*base, Arc::new(Patch::between(old, &map)));
         Self {
-            patches: bases.iter().map(patch).collect(),
+            patches: bases.iter().map(patch_from).collect(),
             number,
             map: Arc::new(map),
         }
     }
 
     /// The smallest update that gives the map to an agent that has the maps in `sent`.
-    pub fn update(&self, sent: &Sent) -> MapUpdate {
-        let known = |base: &Base| match base {
+    pub fn update_for(&self, sent: &SentMaps) -> MapUpdate {
+        let is_known = |base: &Base| match base {
             Base::Initial(_) => true,
-            Base::Sent(number) => sent.has(*number),
+            Base::Sent(number) => sent.contains(*number),
         };
-        match self.patches.iter().find(|(base, _)| known(base)) {
+        match self.patches.iter().find(|(base, _)| is_known(base)) {
             Some((base, patch)) => MapUpdate::Change {
                 base: *base,
                 patch: Arc::clone(patch),
@@ -60,18 +60,18 @@
 
 /// Numbers of the maps in an agent's cache, as far as its leader knows.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct SentMaps {
     numbers: Vec<u64>,
 }
 
-impl Cache {
+impl MapCache {
     /// Whether map `number` is cached.
-    pub fn has(&self, number: u64) -> bool {
-        self.maps.iter().any(|(known, _)| *known == number)
+    pub fn contains(&self, number: u64) -> bool {
+        self.maps.iter().any(|(cached, _)| *cached == number)
     }
 
     /// Applies `update` and caches the result as map `number`; returns `None` if the base is not cached.
-    pub fn take(&mut self, number: u64, update: MapUpdate) -> Option<Arc<Map>> {
+    pub fn apply(&mut self, number: u64, update: MapUpdate) -> Option<Arc<Map>> {
         let (base, map) = match update {
             MapUpdate::Whole(map) => (None, map),
             MapUpdate::Change {
@@ -92,30 +92,30 @@
     }
 }
 
-impl Sent {
+impl SentMaps {
     /// Whether the agent has map `number`.
-    pub fn has(&self, number: u64) -> bool {
+    pub fn contains(&self, number: u64) -> bool {
         self.numbers.contains(&number)
     }
 
     /// Records the agent's report that it has the whole map `number`, which an earlier leader sent. Ignored once this
     /// leader has sent maps over the link, since it then knows more than the report.
-    pub fn learn(&mut self, number: u64) {
+    pub fn record_reported(&mut self, number: u64) {
         if self.numbers.is_empty() {
             self.numbers.push(number);
         }
     }
 
     /// Records that the agent accepted map `number`, which was sent as a change of `base` or as a whole.
-    pub fn note(&mut self, number: u64, base: Option<Base>) {
+    pub fn record_sent(&mut self, number: u64, base: Option<Base>) {
         self.numbers
-            .retain(|known| matches!(base, Some(Base::Sent(base)) if base == *known));
+            .retain(|sent| matches!(base, Some(Base::Sent(base)) if base == *sent));
         self.numbers.push(number);
-        debug_assert!(self.numbers.len() <= KEPT);
+        debug_assert!(self.numbers.len() <= MAX_CACHED_MAPS);
     }
 
     /// Discards everything known about the agent's cache.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.numbers.clear();
     }
 }
--- a/crates/sparscale_conduct/src/member.rs
+++ b/crates/sparscale_conduct/src/member.rs
@@ -9,45 +9,45 @@
 use tokio::time::Instant;
 
 use crate::context::{Context, Term};
-use crate::handle::Lead;
-use crate::link::{Event, Link, Place, Remote, lead_own};
-use crate::maps::{Offer, Sent};
-use crate::pace::Pace;
+use crate::handle::Assignment;
+use crate::link::{Event, Link, Location, RemoteLink, run_own_link};
+use crate::maps::{OutgoingMap, SentMaps};
+use crate::timing::GroupTiming;
 
 /// Capacity of the queue of orders of each rank, and of the event queue of the leader.
-pub(crate) const QUEUE: usize = 256;
+pub(crate) const ORDER_QUEUE_LEN: usize = 256;
 
 /// One rank of the group, as its leader sees it.
 pub(crate) struct Member {
     pub(crate) orders: mpsc::Sender<RankOrder>,
     /// Candidate locations, the most likely first.
-    pub(crate) places: watch::Sender<Vec<Place>>,
+    pub(crate) locations: watch::Sender<Vec<Location>>,
     pub(crate) load: Option<(RankLoad, Instant)>,
-    pub(crate) holds: Option<Placement>,
+    pub(crate) placement: Option<Placement>,
     /// Serial of the order that awaits an answer, and when it was sent.
-    pub(crate) ordered: Option<(u64, Instant)>,
+    pub(crate) pending_order: Option<(u64, Instant)>,
     /// When the latest order or heartbeat was sent to it.
-    pub(crate) spoken: Instant,
+    pub(crate) last_sent: Instant,
     /// Whether its engine is ordered directly because its agent is unreachable.
-    pub(crate) direct: bool,
-    pub(crate) failed_delegation: Option<Instant>,
+    pub(crate) agent_bypassed: bool,
+    pub(crate) delegation_failed_at: Option<Instant>,
     /// Maps known to be in the agent's cache.
-    pub(crate) sent: Sent,
+    pub(crate) sent_maps: SentMaps,
     /// The map whose staging it has not answered yet: its number, and the base if it was sent as a change.
-    pub(crate) sending: Option<(u64, Option<Base>)>,
+    pub(crate) pending_map: Option<(u64, Option<Base>)>,
 }
 
 impl Member {
     /// Whether the order with this serial awaits an answer.
-    pub(crate) fn awaits(&self, serial: u64) -> bool {
-        self.ordered.is_some_and(|(ordered, _)| ordered == serial)
+    pub(crate) fn awaits_order(&self, serial: u64) -> bool {
+        self.pending_order.is_some_and(|(pending, _)| pending == serial)
     }
 
     /// Records the outcome of the map that was sent last, if its answer was still due.
-    pub(crate) fn settle_sending(&mut self, answer: Option<Answer>) {
-        match (self.sending.take(), answer) {
-            (Some((number, base)), Some(Answer::Done)) => self.sent.note(number, base),
-            (Some(_), _) | (None, None) => self.sent.forget(),
+    pub(crate) fn settle_pending_map(&mut self, answer: Option<Answer>) {
+        match (self.pending_map.take(), answer) {
+            (Some((number, base)), Some(Answer::Done)) => self.sent_maps.record_sent(number, base),
+            (Some(_), _) | (None, None) => self.sent_maps.clear(),
             (None, Some(_)) => {}
         }
     }
@@ -57,98 +57,101 @@
 pub(crate) struct Delegation {
     pub(crate) order: Order,
     pub(crate) helper: usize,
-    pub(crate) sent: Instant,
+    pub(crate) sent_at: Instant,
     pub(crate) answer: Option<Answer>,
-    pub(crate) proof: Proof,
+    pub(crate) liveness: LivenessCheck,
 }
 
 /// Whether the helper is known to have kept running after it placed a hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Proof {
+pub(crate) enum LivenessCheck {
     /// The helper is queried at this time.
-    Due(Instant),
+    DueAt(Instant),
     /// The helper has been queried and has not answered yet.
-    Asked,
+    Requested,
     /// The helper has answered.
-    Given,
+    Passed,
 }
 
 /// A switch to another map, in progress.
-pub(crate) struct Change {
-    pub(crate) offer: Offer,
-    pub(crate) began: Instant,
-    pub(crate) deepest: u32,
+pub(crate) struct MapSwitch {
+    pub(crate) next_map: OutgoingMap,
+    pub(crate) started_at: Instant,
+    pub(crate) max_rank_loads: u32,
     /// Experts that it loads, summed over all ranks.
     pub(crate) loads: u32,
-    pub(crate) held: Option<Instant>,
+    pub(crate) held_since: Option<Instant>,
 }
 
 pub(crate) fn is_stage(order: &Order) -> bool {
     matches!(order.act, Act::Stage { .. })
 }
 
-pub(crate) fn member(
+pub(crate) fn spawn_member(
     context: &Context,
     term: &Term,
     rank: usize,
     events: mpsc::Sender<Event>,
-    dials: &Arc<Semaphore>,
-    pace: Pace,
+    dial_permits: &Arc<Semaphore>,
+    timing: GroupTiming,
 ) -> Member {
-    let (sender, orders) = mpsc::channel(QUEUE);
-    let places = watch::Sender::new(Vec::new());
+    let (sender, orders) = mpsc::channel(ORDER_QUEUE_LEN);
+    let locations = watch::Sender::new(Vec::new());
     let link = Link { orders, events };
-    let lead = Lead {
+    let assignment = Assignment {
         group: term.group.clone(),
         rank,
         claim: term.claim,
     };
-    if rank == term.own {
-        tokio::spawn(lead_own(lead, context.handle.clone(), link));
+    if rank == term.own_rank {
+        tokio::spawn(run_own_link(assignment, context.handle.clone(), link));
     } else {
-        let remote = Remote {
-            lead,
-            places: places.subscribe(),
-            turn: 0,
+        let remote = RemoteLink {
+            assignment,
+            locations: locations.subscribe(),
+            attempt: 0,
             endpoint: Arc::clone(&context.endpoint),
-            dials: Arc::clone(dials),
+            dial_permits: Arc::clone(dial_permits),
             engines: Arc::clone(&context.engines),
             board: Arc::clone(&context.board),
             service: term.service.clone(),
-            pace,
+            timing,
         };
-        tokio::spawn(remote.lead(link));
+        tokio::spawn(remote.run(link));
     }
     Member {
         orders: sender,
-        places,
+        locations,
         load: None,
-        holds: None,
-        ordered: None,
-        spoken: Instant::now(),
-        direct: false,
-        failed_delegation: None,
-        sent: Sent::default(),
-        sending: None,
+        placement: None,
+        pending_order: None,
+        last_sent: Instant::now(),
+        agent_bypassed: false,
+        delegation_failed_at: None,
+        sent_maps: SentMaps::default(),
+        pending_map: None,
     }
 }
 
 /// Assembles the group's map from the placements that the ranks report, if all report the same epoch and number.
-pub(crate) fn assemble<'a>(
-    holds: impl Iterator<Item = Option<&'a Placement>>,
+pub(crate) fn assemble_map<'a>(
+    placements: impl Iterator<Item = Option<&'a Placement>>,
     epoch: u64,
     number: u64,
     layers: usize,
 ) -> Option<Map> {
-    let holds: Vec<&Placement> = holds.collect::<Option<_>>()?;
-    let same = |placement: &&Placement| {
+    let placements: Vec<&Placement> = placements.collect::<Option<_>>()?;
+    let matches = |placement: &&Placement| {
         (placement.epoch, placement.number) == (epoch, number) && placement.sets.len() == layers
     };
-    if !holds.iter().all(same) {
+    if !placements.iter().all(matches) {
         return None;
     }
     let layer = |index: usize| sparscale_place::Layer {
-        ranks: holds.iter().map(|placement| placement.sets[index].clone()).collect(),
+        ranks: placements
+            .iter()
+            .map(|placement| placement.sets[index].clone())
+            .collect(),
     };
     Some(Map {
         layers: (0..layers).map(layer).collect(),
--- a/crates/sparscale_conduct/src/figures.rs
+++ b/crates/sparscale_conduct/src/metrics.rs
@@ -7,17 +7,17 @@
 
 /// Metrics about leading a group and ordering a rank.
 #[derive(Debug, Clone)]
-pub(crate) struct Figures {
+pub(crate) struct Metrics {
     registry: Arc<Registry>,
     pub(crate) leading: Arc<Gauge>,
     pub(crate) skew: Arc<Gauge>,
     pub(crate) pass_seconds: Arc<Gauge>,
-    pub(crate) switch: Arc<Histogram>,
-    pub(crate) hold: Arc<Histogram>,
-    pub(crate) loads: Arc<Counter>,
+    pub(crate) switch_seconds: Arc<Histogram>,
+    pub(crate) hold_seconds: Arc<Histogram>,
+    pub(crate) expert_loads: Arc<Counter>,
 }
 
-impl Figures {
+impl Metrics {
     pub(crate) fn new(registry: &Arc<Registry>) -> Self {
         let gauge = |name, help| registry.gauge(name, help, &[]);
         Self {
@@ -27,17 +27,17 @@
                 "Mean over the sets of the largest rank load over the mean.",
             ),
             pass_seconds: gauge("sparscale_pass_seconds", "Time of the latest passes of the group."),
-            switch: registry.histogram(
+            switch_seconds: registry.histogram(
                 "sparscale_switch_seconds",
                 "Time from a decision to the new map in force.",
                 &[],
             ),
-            hold: registry.histogram(
+            hold_seconds: registry.histogram(
                 "sparscale_hold_seconds",
                 "Time from the hold of a switch to its end.",
                 &[],
             ),
-            loads: registry.counter(
+            expert_loads: registry.counter(
                 "sparscale_expert_loads_total",
                 "Experts that maps in force loaded.",
                 &[],
@@ -47,7 +47,7 @@
     }
 
     /// Counts an order to the own rank by its answer.
-    pub(crate) fn ordered(&self, act: &Act, answer: Answer) {
+    pub(crate) fn record_order(&self, act: &Act, answer: Answer) {
         let act = match act {
             Act::Look => "look",
             Act::Stage { .. } => "stage",
@@ -68,7 +68,7 @@
     }
 
     /// Counts a finished map switch by its result.
-    pub(crate) fn switched(&self, in_force: bool) {
+    pub(crate) fn record_switch_result(&self, in_force: bool) {
         let result = if in_force { "in_force" } else { "dropped" };
         let help = "Map switches, by result.";
         let labels = [("result", result)];
@@ -78,7 +78,7 @@
     }
 
     /// Counts a claim of the leadership by its result.
-    pub(crate) fn claimed(&self, result: &str) {
+    pub(crate) fn record_claim(&self, result: &str) {
         let help = "Claims of the duty to lead, by result.";
         let labels = [("result", result)];
         self.registry.counter("sparscale_claims_total", help, &labels).add_one();
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -11,19 +11,19 @@
 use sparscale_telemetry::{DECISION, Registry, Signals};
 use sparscale_wire::{Endpoint, EndpointError, FEW_STREAMS, Identity, Role};
 
+use crate::agent;
 use crate::bandwidth::Bandwidth;
 use crate::claims::Claims;
 use crate::context::Context;
 use crate::engine::Engines;
-use crate::figures::Figures;
 use crate::leadership;
 use crate::link;
-use crate::rank;
+use crate::metrics::Metrics;
 use crate::standby;
 
 /// Longest delay between two attempts to read the store while they fail. Agents are many and serve no callers from this
 /// data: a leader needs only the locations of its ranks, which seldom change.
-const MAX_RETRY: Duration = Duration::from_secs(6);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(6);
 
 /// Validated settings of an agent.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
 pub async fn run(settings: Settings, parts: Parts, mut signals: Signals, reload: impl FnMut()) -> Result<(), Error> {
     start(&settings, parts)?;
     signals.wait_for_stop(reload).await;
-    log::info!(target: DECISION, decision = "stopped"; "stopped");
+    log::info!(target: DECISION, decision = "stopped"; "agent stopped");
     Ok(())
 }
 
@@ -104,17 +104,17 @@
     tokio::spawn(Arc::clone(&mesh).follow_one());
     let pace = || {
         let (interval, head_start) = (settings.read_interval, settings.read_interval);
-        Arc::new(Pace::new(interval, Duration::ZERO, head_start).with_max_retry(MAX_RETRY))
+        Arc::new(Pace::new(interval, Duration::ZERO, head_start).with_max_retry(MAX_RETRY_DELAY))
     };
-    let reads = || ReadFigures::new(&parts.registry);
-    tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), reads()));
-    tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), reads()));
-    let figures = Figures::new(&parts.registry);
-    let handle = rank::start(
+    let read_metrics = || ReadFigures::new(&parts.registry);
+    tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), read_metrics()));
+    tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), read_metrics()));
+    let metrics = Metrics::new(&parts.registry);
+    let handle = agent::start(
         Arc::clone(&parts.engines),
         settings.engine,
         settings.bandwidth,
-        figures.clone(),
+        metrics.clone(),
     );
     tokio::spawn(link::accept(Arc::clone(&endpoint), handle.clone()));
     let context = Context {
@@ -123,10 +123,10 @@
         endpoint: Arc::clone(&endpoint),
         engines: parts.engines,
         handle,
-        engine: settings.engine,
+        engine_address: settings.engine,
         port: settings.address.port(),
         bandwidth: settings.bandwidth,
-        figures,
+        metrics,
     };
     tokio::spawn(standby::run(context.clone()));
     tokio::spawn(leadership::run(context, parts.claims, settings.service.clone()));
--- a/crates/sparscale_conduct/src/distant.rs
+++ b/crates/sparscale_conduct/src/remote_engine.rs
@@ -9,28 +9,28 @@
 use crate::engine::Engine;
 
 /// Multiple of the report lag that is waited after an order.
-const LAG_MARGIN: f64 = 1.5;
+const LAG_FACTOR: f64 = 1.5;
 /// Time that is waited in addition.
-const LAG_SLACK: Duration = Duration::from_millis(50);
+const EXTRA_WAIT: Duration = Duration::from_millis(50);
 
 /// An engine whose reports to other boxes lag behind its state.
-pub struct Distant {
+pub struct RemoteEngine {
     engine: Box<dyn Engine>,
-    lag: Duration,
+    report_lag: Duration,
 }
 
-impl std::fmt::Debug for Distant {
+impl std::fmt::Debug for RemoteEngine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Distant")
-            .field("lag", &self.lag)
+            .field("lag", &self.report_lag)
             .finish_non_exhaustive()
     }
 }
 
-impl Distant {
-    /// Wraps an engine whose reports to other boxes are `lag` old.
-    pub fn new(engine: Box<dyn Engine>, lag: Duration) -> Self {
-        Self { engine, lag }
+impl RemoteEngine {
+    /// Wraps an engine whose reports to other boxes are `report_lag` old.
+    pub fn new(engine: Box<dyn Engine>, report_lag: Duration) -> Self {
+        Self { engine, report_lag }
     }
 
     /// Whether the engine reports that it is rank `rank` of the group called `group`. The list of targets may be older
@@ -48,7 +48,7 @@
             _ => self.engine.order(order, map).await,
         };
         if order.act != Act::Look {
-            tokio::time::sleep(self.lag.mul_f64(LAG_MARGIN) + LAG_SLACK).await;
+            tokio::time::sleep(self.report_lag.mul_f64(LAG_FACTOR) + EXTRA_WAIT).await;
         }
         let state = self.engine.state().await.ok();
         let report = Report {
--- a/crates/sparscale_conduct/src/standby.rs
+++ b/crates/sparscale_conduct/src/standby.rs
@@ -14,37 +14,37 @@
 use crate::context::Context;
 
 /// Number of ranks, from rank 0, that keep connections: the first candidates may fail together with the leader's box.
-const STANDBYS: usize = 3;
+const STANDBY_RANKS: usize = 3;
 /// Group size up to which no standby connections are kept: connecting to all ranks takes less time there than the
 /// difference between the wait times of two candidates.
-const SMALL_GROUP: usize = 24;
+const SMALL_GROUP_RANKS: usize = 24;
 /// Time between two connections that are opened or checked. No task waits for them, and the box has a rank to serve.
-const PAUSE: Duration = Duration::from_millis(60);
+const DIAL_INTERVAL: Duration = Duration::from_millis(60);
 /// Limit of concurrent dials: a dial of an unreachable box lasts until its timeout.
-const AT_ONCE: usize = 4;
+const MAX_DIALS: usize = 4;
 /// Time between two checks while there are no peers to connect to.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Keeps connections open while this agent is one of the first candidates; never returns.
 pub(crate) async fn run(context: Context) {
-    let turns = Arc::new(Semaphore::new(AT_ONCE));
+    let permits = Arc::new(Semaphore::new(MAX_DIALS));
     loop {
         let peers = peers(&context);
         if peers.is_empty() {
-            tokio::time::sleep(IDLE_PAUSE).await;
+            tokio::time::sleep(IDLE_INTERVAL).await;
         }
         for agent in peers {
-            let Ok(turn) = Arc::clone(&turns).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
                 return;
             };
             let endpoint = Arc::clone(&context.endpoint);
             tokio::spawn(async move {
                 if let Err(error) = endpoint.keep_ready(agent, Role::Agent).await {
-                    log::debug!(agent = agent.to_string().as_str(), error = error.to_string().as_str(); "no connection for later");
+                    log::debug!(agent = agent.to_string().as_str(), error = error.to_string().as_str(); "failed to open a standby connection");
                 }
-                drop(turn);
+                drop(permit);
             });
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(DIAL_INTERVAL).await;
         }
     }
 }
@@ -58,12 +58,12 @@
     let Some(group) = state
         .group
         .as_deref()
-        .filter(|_| state.rank < STANDBYS && state.size > SMALL_GROUP)
+        .filter(|_| state.rank < STANDBY_RANKS && state.size > SMALL_GROUP_RANKS)
     else {
         return Vec::new();
     };
     let others = (0..state.size).filter(|rank| *rank != state.rank);
-    let engine = |rank| targets.value.places(group, rank).first().copied();
-    let agent = |engine: SocketAddr| SocketAddr::new(engine.ip(), context.port);
-    others.filter_map(engine).map(agent).collect()
+    let engine_of = |rank| targets.value.places(group, rank).first().copied();
+    let agent_of = |engine: SocketAddr| SocketAddr::new(engine.ip(), context.port);
+    others.filter_map(engine_of).map(agent_of).collect()
 }
--- a/crates/sparscale_conduct/tests/claim_numbers.rs
+++ b/crates/sparscale_conduct/tests/claim_numbers.rs
@@ -4,7 +4,7 @@
 //! offsets: two leaders, one from before the restore and one from after it, could then use the same fence.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sparscale_conduct::{claim_number, claim_place};
+use sparscale_conduct::{claim_number, claim_position};
 use sparscale_history::Place;
 
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
 
 quickcheck! {
     /// Each won claim has a higher number than all before it, so engines obey only the latest one.
-    fn always_higher(events: Vec<Event>) -> bool {
+    fn numbers_increase(events: Vec<Event>) -> bool {
         let mut end = Place::default();
         let mut highest = None;
         events.into_iter().all(|event| match event {
@@ -38,25 +38,25 @@
             }
             Event::Claim => {
                 let number = claim_number(end);
-                let higher = number > highest;
+                let is_higher = number > highest;
                 highest = number;
                 end = end.next();
-                higher
+                is_higher
             }
         })
     }
 
     /// A number converts back to its position, and the next claim's number is one higher.
-    fn there_and_back(era: u16, offset: u32) -> bool {
-        let place = Place::new(u64::from(era) % (1 << 14), u64::from(offset) % ((1 << 18) - 1));
-        let Some(number) = claim_number(place) else { return false };
-        claim_place(number) == place && claim_number(place.next()) == Some(number + 1)
+    fn round_trip(era: u16, offset: u32) -> bool {
+        let position = Place::new(u64::from(era) % (1 << 14), u64::from(offset) % ((1 << 18) - 1));
+        let Some(number) = claim_number(position) else { return false };
+        claim_position(number) == position && claim_number(position.next()) == Some(number + 1)
     }
 }
 
 /// No claim gets a number outside of the range: two leaders with the same fence would be worse than none.
 #[test]
-fn none_beyond() {
+fn none_out_of_range() {
     assert_eq!(claim_number(Place::new(0, 1 << 18)), None);
     assert_eq!(claim_number(Place::new(1 << 14, 0)), None);
     let last = claim_number(Place::new((1 << 14) - 1, (1 << 18) - 1)).expect("a number");
--- a/crates/sparscale_conduct/tests/group/engines.rs
+++ b/crates/sparscale_conduct/tests/group/engines.rs
@@ -21,12 +21,12 @@
 
 pub const RANKS: usize = 4;
 const AGENT_PORT: u16 = 7_700;
-const PASS: Duration = Duration::from_millis(8);
+const PASS_TIME: Duration = Duration::from_millis(8);
 /// Timeout of a call of an engine on another box that is frozen.
 const CALL_TIMEOUT: Duration = Duration::from_millis(40);
-const LOAD: Duration = Duration::from_millis(10);
+const LOAD_TIME: Duration = Duration::from_millis(10);
 /// Longest time for which a box stays frozen or an agent suspended.
-const ASLEEP_LIMIT: Duration = Duration::from_secs(25);
+const MAX_SUSPENSION: Duration = Duration::from_secs(25);
 /// Time limit for a killed agent to stop.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -34,9 +34,9 @@
 struct Rank {
     map: (u64, Option<Map>),
     staged: Option<(u64, Map, Instant)>,
-    highest: u64,
+    highest_map: u64,
     armed: Option<Change>,
-    held: Option<u64>,
+    held_step: Option<u64>,
     fence: u64,
 }
 
@@ -47,14 +47,14 @@
     /// Increases whenever an engine restarts.
     epoch: u64,
     /// Start time of each engine.
-    born: Vec<u64>,
+    started_ms: Vec<u64>,
     ranks: Vec<Rank>,
     counts: Vec<u64>,
-    pub hot: usize,
-    pub mixed: bool,
-    pub changes: u32,
+    pub hot_expert: usize,
+    pub maps_differ: bool,
+    pub map_changes: u32,
     /// Number of orders to stage a map that engines accepted.
-    pub stages: u32,
+    pub stage_orders: u32,
     pub claims: Vec<String>,
     /// Number of restores of the list of claims from an older snapshot.
     pub era: u64,
@@ -64,13 +64,13 @@
     pub freeze_after_hold: bool,
     pub frozen: Option<usize>,
     /// Rank whose agent is suspended while the engine beside it runs.
-    pub asleep: Option<usize>,
+    pub suspended: Option<usize>,
     /// Time that an engine takes to report its state.
-    pub slow: Duration,
+    pub state_delay: Duration,
     /// Whether another claimant always wins.
-    pub others_lead: bool,
+    pub others_claim_first: bool,
     /// A rank for which a roster entry of another writer gives the location of the next rank.
-    pub misplaced: Option<usize>,
+    pub misplaced_rank: Option<usize>,
 }
 
 impl Group {
@@ -91,28 +91,28 @@
     /// Creates a group whose boxes have addresses of their own, selected by `network`, and whose demand is concentrated
     /// on one expert of each set.
     pub fn new(network: u8) -> Self {
-        Self::of(network, RANKS)
+        Self::with_ranks(network, RANKS)
     }
 
     /// The same with the given number of ranks.
-    pub fn of(network: u8, ranks: usize) -> Self {
+    pub fn with_ranks(network: u8, ranks: usize) -> Self {
         let group = Group {
             ranks: vec![Rank::default(); ranks],
             counts: vec![0; experts().sets * experts().count],
             epoch: 1,
-            born: vec![1; ranks],
+            started_ms: vec![1; ranks],
             ..Group::default()
         };
         let world = Self {
             group: Arc::new(Mutex::new(group)),
             network,
         };
-        let ticking = world.clone();
+        let pass_world = world.clone();
         std::thread::spawn(move || {
             // Ends when the test has dropped all other references.
-            while Arc::strong_count(&ticking.group) > 1 {
-                std::thread::sleep(PASS);
-                ticking.lock().pass();
+            while Arc::strong_count(&pass_world.group) > 1 {
+                std::thread::sleep(PASS_TIME);
+                pass_world.lock().run_pass();
             }
         });
         world
@@ -133,7 +133,7 @@
     }
 
     /// Starts the agent beside `rank`.
-    pub fn agent(&self, rank: usize) -> Runtime {
+    pub fn start_agent(&self, rank: usize) -> Runtime {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -150,13 +150,13 @@
             read_interval: Duration::from_millis(300),
         };
         let parts = Parts {
-            catalog: Box::new(Fixed(catalog())),
-            roster: Box::new(Fixed(self.roster())),
-            engines: Arc::new(Memory {
+            catalog: Box::new(FixedSource(catalog())),
+            roster: Box::new(FixedSource(self.roster())),
+            engines: Arc::new(SimulatedEngines {
                 world: self.clone(),
                 caller: rank,
             }),
-            claims: Box::new(Listed(self.clone())),
+            claims: Box::new(ClaimList(self.clone())),
             registry: Arc::default(),
         };
         let started = runtime.block_on(async { start(&settings, parts) });
@@ -177,7 +177,7 @@
             ..samples::target(&format!("m-{rank}"), samples::MODEL, 8_000)
         };
         let mut targets: Vec<_> = (0..size).map(target).collect();
-        if let Some(rank) = self.lock().misplaced {
+        if let Some(rank) = self.lock().misplaced_rank {
             let elsewhere = sparscale_catalog::Target {
                 id: "0-another".to_owned(),
                 born_ms: Some(u64::MAX),
@@ -190,10 +190,13 @@
     }
 
     /// Waits until the condition `seen` holds.
-    pub fn wait(&self, what: &str, seen: impl Fn(&Group) -> bool) {
+    pub fn wait_for(&self, what: &str, seen: impl Fn(&Group) -> bool) {
         let began = Instant::now();
         while !seen(&self.lock()) {
-            assert!(began.elapsed() < Duration::from_secs(20), "never came about: {what}");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "timed out waiting for {what}"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -209,14 +212,14 @@
 
 impl Group {
     /// Moves the demand to another expert.
-    pub fn shift(&mut self) {
-        self.hot = (self.hot + 7) % experts().count;
+    pub fn shift_demand(&mut self) {
+        self.hot_expert = (self.hot_expert + 7) % experts().count;
     }
 
     /// Restarts the engine of `rank`: it loses its state, and the group re-forms.
     pub fn restart(&mut self, rank: usize) {
         self.epoch += 1;
-        self.born[rank] += 1_000;
+        self.started_ms[rank] += 1_000;
         self.ranks.fill(Rank::default());
         self.counts.fill(0);
     }
@@ -228,12 +231,12 @@
 
     /// Whether any rank holds the group now.
     pub fn is_held(&self) -> bool {
-        self.ranks.iter().any(|rank| rank.held.is_some())
+        self.ranks.iter().any(|rank| rank.held_step.is_some())
     }
 
-    fn pass(&mut self) {
+    fn run_pass(&mut self) {
         let next = self.step + 1;
-        if self.ranks.iter().any(|rank| rank.held == Some(next)) {
+        if self.ranks.iter().any(|rank| rank.held_step == Some(next)) {
             return;
         }
         self.step = next;
@@ -249,12 +252,12 @@
             }
             changed = true;
         }
-        self.changes += u32::from(changed);
-        self.mixed |= self.ranks.iter().any(|rank| rank.map.0 != self.ranks[0].map.0);
+        self.map_changes += u32::from(changed);
+        self.maps_differ |= self.ranks.iter().any(|rank| rank.map.0 != self.ranks[0].map.0);
         for set in 0..experts().sets {
             for expert in 0..experts().count {
-                let picks = if expert == self.hot { 400 } else { 20 };
-                self.counts[set * experts().count + expert] += picks;
+                let selections = if expert == self.hot_expert { 400 } else { 20 };
+                self.counts[set * experts().count + expert] += selections;
             }
         }
     }
@@ -263,7 +266,7 @@
         let rank = &self.ranks[index];
         let staged = rank.staged.as_ref().filter(|(_, _, ready)| *ready <= Instant::now());
         EngineState {
-            born_ms: Some(self.born[index]),
+            born_ms: Some(self.started_ms[index]),
             group: Some("g".to_owned()),
             rank: index,
             size: self.ranks.len(),
@@ -274,7 +277,7 @@
                 map: rank.map.0,
                 staged: staged.map(|(number, _, _)| *number),
                 armed: rank.armed,
-                held: rank.held,
+                held: rank.held_step,
             },
             load: RankLoad::default(),
         }
@@ -293,18 +296,18 @@
         let done = match order.act {
             Act::Look => true,
             Act::Stage { number } => {
-                let fits = number > rank.highest && rank.armed.is_none();
+                let fits = number > rank.highest_map && rank.armed.is_none();
                 if let Some(map) = map.filter(|_| fits) {
-                    self.stages += 1;
-                    rank.highest = number;
-                    rank.staged = Some((number, map.clone(), Instant::now() + LOAD));
+                    self.stage_orders += 1;
+                    rank.highest_map = number;
+                    rank.staged = Some((number, map.clone(), Instant::now() + LOAD_TIME));
                 }
                 fits
             }
             Act::Hold { step: held } => {
-                let fits = rank.held == Some(held) || (rank.held.is_none() && held > step);
+                let fits = rank.held_step == Some(held) || (rank.held_step.is_none() && held > step);
                 if fits {
-                    rank.held = Some(held);
+                    rank.held_step = Some(held);
                 }
                 fits
             }
@@ -324,7 +327,7 @@
                 rank.map.0 != number
             }
             Act::Release { step: held } => {
-                rank.held = rank.held.filter(|step| *step != held);
+                rank.held_step = rank.held_step.filter(|step| *step != held);
                 true
             }
         };
@@ -332,10 +335,10 @@
     }
 }
 
-struct Fixed<T>(Arc<T>);
+struct FixedSource<T>(Arc<T>);
 
 #[async_trait]
-impl<T: Send + Sync + 'static> Source<T> for Fixed<T> {
+impl<T: Send + Sync + 'static> Source<T> for FixedSource<T> {
     async fn read(&mut self) -> Result<Reading<T>, SourceError> {
         Ok(Reading {
             value: Arc::clone(&self.0),
@@ -344,33 +347,33 @@
     }
 }
 
-struct Listed(World);
+struct ClaimList(World);
 
 #[async_trait]
-impl Claims for Listed {
+impl Claims for ClaimList {
     async fn claim(&mut self, _group: &str, holder: &str, end: Place) -> Result<Claim, ClaimError> {
         let mut group = self.0.lock();
-        let standing = Place::new(group.era, group.claims.len() as u64);
-        if standing.offset != end.offset || group.others_lead {
+        let list_end = Place::new(group.era, group.claims.len() as u64);
+        if list_end.offset != end.offset || group.others_claim_first {
             group.lost_claims.push(Instant::now());
-            return Ok(Claim::Lost { end: standing });
+            return Ok(Claim::Lost { end: list_end });
         }
         group.claims.push(holder.to_owned());
-        Ok(Claim::Won { place: standing })
+        Ok(Claim::Won { place: list_end })
     }
 }
 
-struct Memory {
+struct SimulatedEngines {
     world: World,
     caller: usize,
 }
 
-impl Engines for Memory {
+impl Engines for SimulatedEngines {
     fn at(&self, address: SocketAddr) -> Box<dyn Engine> {
         let SocketAddr::V4(address) = address else {
             panic!("IPv4 only")
         };
-        Box::new(MemoryEngine {
+        Box::new(SimulatedEngine {
             world: self.world.clone(),
             caller: self.caller,
             rank: usize::from(address.ip().octets()[3]) - 1,
@@ -378,20 +381,20 @@
     }
 }
 
-struct MemoryEngine {
+struct SimulatedEngine {
     world: World,
     caller: usize,
     rank: usize,
 }
 
-impl MemoryEngine {
+impl SimulatedEngine {
     /// Whether the engine can be reached now. A frozen or suspended box runs nothing, so its only thread blocks here;
     /// and no other box reaches an engine on a frozen one.
-    async fn is_reached(&self) -> bool {
-        let stands_still = |group: &Group| [group.frozen, group.asleep].contains(&Some(self.caller));
+    async fn is_reachable(&self) -> bool {
+        let is_blocked = |group: &Group| [group.frozen, group.suspended].contains(&Some(self.caller));
         let began = Instant::now();
         // Bounds the wait so that a failing test ends.
-        while stands_still(&self.world.lock()) && began.elapsed() < ASLEEP_LIMIT {
+        while is_blocked(&self.world.lock()) && began.elapsed() < MAX_SUSPENSION {
             std::thread::sleep(Duration::from_millis(2));
         }
         if self.world.lock().frozen == Some(self.rank) {
@@ -401,30 +404,30 @@
         true
     }
 
-    async fn reach(&self) -> Result<(), EngineError> {
-        if self.is_reached().await {
+    async fn ensure_reachable(&self) -> Result<(), EngineError> {
+        if self.is_reachable().await {
             return Ok(());
         }
         Err(EngineError {
-            message: "the box stands still".to_owned(),
+            message: "the box is frozen or suspended".to_owned(),
         })
     }
 }
 
 #[async_trait]
-impl Engine for MemoryEngine {
+impl Engine for SimulatedEngine {
     async fn state(&mut self) -> Result<EngineState, EngineError> {
-        self.reach().await?;
-        let slow = self.world.lock().slow;
-        tokio::time::sleep(slow).await;
+        self.ensure_reachable().await?;
+        let delay = self.world.lock().state_delay;
+        tokio::time::sleep(delay).await;
         Ok(self.world.lock().state(self.rank))
     }
 
     async fn counts(&mut self) -> Result<Counts, EngineError> {
-        self.reach().await?;
+        self.ensure_reachable().await?;
         let group = self.world.lock();
         Ok(Counts {
-            born_ms: Some(group.born[self.rank]),
+            born_ms: Some(group.started_ms[self.rank]),
             epoch: group.epoch,
             picks: group.counts.clone(),
         })
@@ -449,7 +452,7 @@
     }
 
     async fn order(&mut self, order: &Order, map: Option<&Map>) -> Answer {
-        if !self.is_reached().await {
+        if !self.is_reachable().await {
             return Answer::Silent;
         }
         let answer = {
@@ -461,7 +464,7 @@
             }
             answer
         };
-        self.is_reached().await;
+        self.is_reachable().await;
         answer
     }
 }
--- a/crates/sparscale_conduct/tests/group/first_order.rs
+++ b/crates/sparscale_conduct/tests/group/first_order.rs
@@ -19,31 +19,34 @@
 use crate::engines::World;
 
 /// Number of consecutive leaders.
-const CONDUCTORS: u64 = 12;
+const LEADERS: u64 = 12;
 /// Time that the engine takes to report its state, during which the agent is busy.
-const SLOW: Duration = Duration::from_millis(40);
+const STATE_DELAY: Duration = Duration::from_millis(40);
 /// Time limit for an answer on a busy machine.
-const ANSWERED: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[test]
 fn first_order_answered() {
     let world = World::new(14);
-    world.lock().others_lead = true;
-    world.lock().slow = SLOW;
-    let agent = world.agent(0);
+    world.lock().others_claim_first = true;
+    world.lock().state_delay = STATE_DELAY;
+    let agent = world.start_agent(0);
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let missing = runtime.block_on(async {
+    let unanswered = runtime.block_on(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let endpoint = Endpoint::bind(any, Identity::Made(Role::Agent)).expect("a free port");
-        let mut missing = Vec::new();
-        for claim in 1..=CONDUCTORS {
+        let mut unanswered = Vec::new();
+        for claim in 1..=LEADERS {
             if !is_answered(&endpoint, world.agent_address(0), claim).await {
-                missing.push(claim);
+                unanswered.push(claim);
             }
         }
-        missing
+        unanswered
     });
-    assert!(missing.is_empty(), "first orders that were not answered: {missing:?}");
+    assert!(
+        unanswered.is_empty(),
+        "claims whose first orders were not answered: {unanswered:?}"
+    );
     agent.shutdown_background();
 }
 
@@ -73,5 +76,5 @@
             }
         }
     };
-    tokio::time::timeout(ANSWERED, answered).await.unwrap_or(false)
+    tokio::time::timeout(ANSWER_TIMEOUT, answered).await.unwrap_or(false)
 }
--- a/crates/sparscale_conduct/tests/group/main.rs
+++ b/crates/sparscale_conduct/tests/group/main.rs
@@ -2,8 +2,8 @@
 
 mod engines;
 mod first_order;
+mod frozen_box;
 mod leading;
-mod old_state;
-mod returned;
-mod sleeping;
+mod restarted_engine;
+mod stale_state;
 mod wide_group;
--- a/crates/sparscale_conduct/tests/group/old_state.rs
+++ b/crates/sparscale_conduct/tests/group/stale_state.rs
@@ -5,24 +5,24 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sparscale_conduct::{Counts, Distant, Engine, EngineError, EngineState, Held};
+use sparscale_conduct::{Counts, Engine, EngineError, EngineState, Held, RemoteEngine};
 use sparscale_place::Map;
 use sparscale_place::barrier::{Act, Answer, Change, Order, View};
 use sparscale_wire::RankLoad;
 use tokio::time::Instant;
 
-const LAG: Duration = Duration::from_millis(200);
+const REPORT_LAG: Duration = Duration::from_millis(200);
 
-/// An engine that has just been armed and reports its state as of [`LAG`] ago.
-struct Lagging {
+/// An engine that has just been armed and reports its state as of [`REPORT_LAG`] ago.
+struct LaggingEngine {
     history: VecDeque<(Instant, Option<Change>)>,
 }
 
 #[async_trait]
-impl Engine for Lagging {
+impl Engine for LaggingEngine {
     async fn state(&mut self) -> Result<EngineState, EngineError> {
-        let then = Instant::now() - LAG;
-        let known = self.history.iter().rev().find(|(at, _)| *at <= then);
+        let reported_at = Instant::now() - REPORT_LAG;
+        let known = self.history.iter().rev().find(|(at, _)| *at <= reported_at);
         Ok(EngineState {
             born_ms: None,
             group: None,
@@ -42,11 +42,11 @@
     }
 
     async fn counts(&mut self) -> Result<Counts, EngineError> {
-        unreachable!("nobody asks")
+        unreachable!("not called by this test")
     }
 
     async fn held(&mut self) -> Result<Held, EngineError> {
-        unreachable!("nobody asks")
+        unreachable!("not called by this test")
     }
 
     async fn order(&mut self, _order: &Order, _map: Option<&Map>) -> Answer {
@@ -57,12 +57,12 @@
 /// A rank that was armed just before it is ordered to disarm another number is still armed, and its report must show
 /// that.
 #[tokio::test(start_paused = true)]
-async fn armed_shows() {
+async fn armed_state_reported() {
     tokio::time::advance(Duration::from_secs(10)).await;
     let armed = Change { number: 7, at: 9 };
     let now = Instant::now();
     let history = VecDeque::from([(now - Duration::from_secs(5), None), (now, Some(armed))]);
-    let mut engine = Distant::new(Box::new(Lagging { history }), LAG);
+    let mut engine = RemoteEngine::new(Box::new(LaggingEngine { history }), REPORT_LAG);
     let order = Order {
         serial: 3,
         fence: 5,
--- a/crates/sparscale_conduct/tests/group/wide_group.rs
+++ b/crates/sparscale_conduct/tests/group/wide_group.rs
@@ -7,24 +7,24 @@
 
 use crate::engines::World;
 
-const RANKS: usize = 24;
-/// Group size above which agents keep standby connections.
-const LARGE: usize = 26;
+const GROUP_RANKS: usize = 24;
+/// Size of a group in which the first candidates keep standby connections.
+const LARGE_GROUP_RANKS: usize = 26;
 /// Twice the number of links that a leader opens concurrently: on a busy machine the check may fall into the second
 /// batch.
-const MOST: usize = 16;
+const MAX_OPENING_LINKS: usize = 16;
 /// Time until the check; shorter than a leader's timeout for opening a stream.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_DELAY: Duration = Duration::from_millis(250);
 
 /// Boxes whose agents never answer: packets that arrive stay unread.
-fn silent_agents(world: &World) -> Vec<UdpSocket> {
-    let silent = |rank| {
+fn unresponsive_agents(world: &World) -> Vec<UdpSocket> {
+    let bind_socket = |rank| {
         let socket = UdpSocket::bind(world.agent_address(rank)).expect("a free address");
-        socket.set_nonblocking(true).expect("a socket that does not wait");
+        socket.set_nonblocking(true).expect("a nonblocking socket");
         socket
     };
     let ranks = world.lock().ranks();
-    (1..ranks).map(silent).collect()
+    (1..ranks).map(bind_socket).collect()
 }
 
 fn was_dialled(socket: &UdpSocket) -> bool {
@@ -40,28 +40,31 @@
 
 /// Handshakes take processor time: if all are started at once, none completes in time on a small box.
 #[test]
-fn dials_few() {
-    let world = World::of(6, RANKS);
-    let silent = silent_agents(&world);
-    let leader = world.agent(0);
-    world.wait("a claim", |group| !group.claims.is_empty());
-    while !silent.iter().any(was_dialled) {
+fn limits_concurrent_dials() {
+    let world = World::with_ranks(6, GROUP_RANKS);
+    let unresponsive = unresponsive_agents(&world);
+    let leader = world.start_agent(0);
+    world.wait_for("a claim", |group| !group.claims.is_empty());
+    while !unresponsive.iter().any(was_dialled) {
         std::thread::sleep(Duration::from_millis(2));
     }
-    std::thread::sleep(LOOK);
-    let dialled = silent.iter().filter(|socket| was_dialled(socket)).count();
-    assert!(dialled <= MOST, "{dialled} links were being opened at once");
+    std::thread::sleep(CHECK_DELAY);
+    let dialled = unresponsive.iter().filter(|socket| was_dialled(socket)).count();
+    assert!(
+        dialled <= MAX_OPENING_LINKS,
+        "{dialled} links were being opened concurrently"
+    );
     leader.shutdown_background();
 }
 
 /// The next candidate for leadership is connected to every other agent before it leads.
 #[test]
-fn next_stands_by() {
-    let world = World::of(11, LARGE);
-    world.lock().others_lead = true;
-    let silent: Vec<UdpSocket> = silent_agents(&world).into_iter().skip(1).collect();
-    let next = world.agent(1);
-    world.wait("a dial of each other agent", |_| silent.iter().all(was_dialled));
-    assert!(world.lock().claims.is_empty(), "it leads");
-    next.shutdown_background();
+fn candidate_connects_in_advance() {
+    let world = World::with_ranks(11, LARGE_GROUP_RANKS);
+    world.lock().others_claim_first = true;
+    let unresponsive: Vec<UdpSocket> = unresponsive_agents(&world).into_iter().skip(1).collect();
+    let candidate = world.start_agent(1);
+    world.wait_for("a dial of each other agent", |_| unresponsive.iter().all(was_dialled));
+    assert!(world.lock().claims.is_empty(), "the candidate claimed the leadership");
+    candidate.shutdown_background();
 }
--- a/crates/sparscale_conduct/tests/map_updates.rs
+++ b/crates/sparscale_conduct/tests/map_updates.rs
@@ -3,33 +3,33 @@
 use std::sync::Arc;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_conduct::{Cache, Offer, Sent};
+use sparscale_conduct::{MapCache, OutgoingMap, SentMaps};
 use sparscale_place::{Layer, Map};
 use sparscale_wire::{Base, MapUpdate};
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
     /// The agent accepts the map, and it becomes active.
-    InForce,
+    Activated,
     /// The agent accepts the map, and it is dropped before it becomes active.
     Dropped,
     /// The agent accepts the map, and its answer is lost with the link.
     AnswerLost,
     /// The agent was restarted without the leader noticing.
     Restarted,
-    /// Another agent becomes the leader and is told which map the agent has.
-    Succeeded,
+    /// Another agent becomes the leader and receives a report of the map that the agent has.
+    LeaderReplaced,
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         let events = [
-            Self::InForce,
-            Self::InForce,
+            Self::Activated,
+            Self::Activated,
             Self::Dropped,
             Self::AnswerLost,
             Self::Restarted,
-            Self::Succeeded,
+            Self::LeaderReplaced,
         ];
         *g.choose(&events).expect("a choice")
     }
@@ -48,78 +48,78 @@
 }
 
 struct Pair {
-    sent: Sent,
-    cache: Cache,
-    in_force: Option<(u64, Arc<Map>)>,
+    sent: SentMaps,
+    cache: MapCache,
+    active: Option<(u64, Arc<Map>)>,
     dropped: Option<(u64, Arc<Map>)>,
-    refused: bool,
-    wholes: u32,
+    rejected: bool,
+    whole_updates: u32,
 }
 
 impl Pair {
-    fn offer(&mut self, number: u64, event: Event) -> bool {
+    fn send_map(&mut self, number: u64, event: Event) -> bool {
         if matches!(event, Event::Restarted) {
-            self.cache = Cache::default();
+            self.cache = MapCache::default();
         }
-        if matches!(event, Event::Succeeded) {
-            self.sent = Sent::default();
+        if matches!(event, Event::LeaderReplaced) {
+            self.sent = SentMaps::default();
             self.dropped = None;
-            let has = |(number, _): &&(u64, Arc<Map>)| self.cache.has(*number);
-            if let Some((number, _)) = self.in_force.as_ref().filter(has) {
-                self.sent.learn(*number);
+            let is_cached = |(number, _): &&(u64, Arc<Map>)| self.cache.contains(*number);
+            if let Some((number, _)) = self.active.as_ref().filter(is_cached) {
+                self.sent.record_reported(*number);
             }
         }
-        let bases = [&self.in_force, &self.dropped];
+        let bases = [&self.active, &self.dropped];
         let bases = bases.into_iter().flatten();
         let bases: Vec<_> = bases
             .map(|(number, map)| (Base::Sent(*number), Arc::clone(map)))
             .collect();
-        let offer = Offer::new(number, map(number), &bases);
-        let update = offer.update(&self.sent);
+        let outgoing = OutgoingMap::new(number, map(number), &bases);
+        let update = outgoing.update_for(&self.sent);
         let base = match &update {
             MapUpdate::Whole(_) => None,
             MapUpdate::Change { base, .. } => Some(*base),
         };
-        self.wholes += u32::from(base.is_none());
-        let Some(taken) = self.cache.take(number, update) else {
+        self.whole_updates += u32::from(base.is_none());
+        let Some(applied) = self.cache.apply(number, update) else {
             // The next update is a whole map, so a second rejection in a row would stall the group.
-            let first = !self.refused;
-            self.refused = true;
-            self.sent.forget();
-            return first;
+            let is_first = !self.rejected;
+            self.rejected = true;
+            self.sent.clear();
+            return is_first;
         };
-        self.refused = false;
-        self.sent.note(number, base);
+        self.rejected = false;
+        self.sent.record_sent(number, base);
         match event {
-            Event::InForce | Event::Restarted | Event::Succeeded => {
-                self.in_force = Some((number, Arc::clone(&offer.map)));
+            Event::Activated | Event::Restarted | Event::LeaderReplaced => {
+                self.active = Some((number, Arc::clone(&outgoing.map)));
             }
-            Event::Dropped => self.dropped = Some((number, Arc::clone(&offer.map))),
-            Event::AnswerLost => self.sent.forget(),
+            Event::Dropped => self.dropped = Some((number, Arc::clone(&outgoing.map))),
+            Event::AnswerLost => self.sent.clear(),
         }
-        taken == offer.map
+        applied == outgoing.map
     }
 }
 
 fn pair() -> Pair {
     Pair {
-        sent: Sent::default(),
-        cache: Cache::default(),
-        in_force: None,
+        sent: SentMaps::default(),
+        cache: MapCache::default(),
+        active: None,
         dropped: None,
-        refused: false,
-        wholes: 0,
+        rejected: false,
+        whole_updates: 0,
     }
 }
 
 #[test]
-fn right_map() {
+fn agent_gets_intended_map() {
     fn holds(events: Vec<Event>) -> bool {
         let mut pair = pair();
         events
             .into_iter()
             .zip(1..)
-            .all(|(event, number)| pair.offer(number, event))
+            .all(|(event, number)| pair.send_map(number, event))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 1))
@@ -129,12 +129,12 @@
 
 /// Consecutive map switches that are dropped do not send the whole map each time.
 #[test]
-fn dropped_tries() {
+fn dropped_switches() {
     let mut pair = pair();
     for number in 1..=6 {
-        assert!(pair.offer(number, Event::Dropped));
+        assert!(pair.send_map(number, Event::Dropped));
     }
-    assert_eq!(pair.wholes, 1);
+    assert_eq!(pair.whole_updates, 1);
 }
 
 /// A new leader sends changes as well: the whole map for each of 129 ranks took 4.7 s.
@@ -142,8 +142,12 @@
 fn successors_send_changes() {
     let mut pair = pair();
     for number in 1..=6 {
-        let event = if number == 1 { Event::InForce } else { Event::Succeeded };
-        assert!(pair.offer(number, event));
+        let event = if number == 1 {
+            Event::Activated
+        } else {
+            Event::LeaderReplaced
+        };
+        assert!(pair.send_map(number, event));
     }
-    assert_eq!(pair.wholes, 1);
+    assert_eq!(pair.whole_updates, 1);
 }
