--- a/crates/sparscale_conduct/src/agent.rs
+++ b/crates/sparscale_conduct/src/agent.rs
@@ -46,7 +46,7 @@
     /// State that was last reported to the leader, and when.
     reported_state: Option<(Option<View>, Instant)>,
     /// Serial of the last completed order.
-    serial: u64,
+    completed_serial: u64,
     staging_map: Option<u64>,
     /// Answer to the last order, if the update that carried it did not fit into the leader's queue.
     unsent_answer: Option<Answer>,
@@ -82,7 +82,7 @@
         last_counts: None,
         reported_map: None,
         reported_state: None,
-        serial: 0,
+        completed_serial: 0,
         staging_map: None,
         unsent_answer: None,
         cache: MapCache::default(),
@@ -167,7 +167,7 @@
         if highest != Some(claim) {
             log::info!(target: DECISION, decision = "led", claim, before = highest; "accepted a new leader");
             self.subscriber = None;
-            self.serial = 0;
+            self.completed_serial = 0;
             self.staging_map = None;
             self.unsent_answer = None;
         }
@@ -219,7 +219,7 @@
             },
             _ => self.send_with_retries(&order, None).await,
         };
-        self.serial = order.serial;
+        self.completed_serial = order.serial;
         if let (Act::Stage { number }, Answer::Done) = (order.act, answer) {
             self.staging_map = Some(number);
         }
@@ -304,7 +304,7 @@
     fn report_state(&mut self, state: Option<EngineState>, answer: Option<Answer>) {
         let answer = answer.or(self.unsent_answer.take());
         let report = Report {
-            serial: self.serial,
+            serial: self.completed_serial,
             answer,
             view: state.as_ref().map(|state| state.view),
         };
--- a/crates/sparscale_conduct/src/decision.rs
+++ b/crates/sparscale_conduct/src/decision.rs
@@ -130,8 +130,8 @@
         if !self.has_demand() {
             return None;
         }
-        let depths = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare);
-        let candidates = depths.map(|per_rank| {
+        let load_limits = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare);
+        let candidates = load_limits.map(|per_rank| {
             let bounds = Bounds {
                 per_rank,
                 per_set: self.experts.spare,
@@ -141,11 +141,11 @@
         });
         let (_, best) = candidates.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
         let slack = ((SHORT_PASS_SHARE - self.pressure) / SHORT_PASS_SHARE).clamp(0.0, 1.0);
-        let pays = best.before - best.after >= MIN_SKEW_REDUCTION + IDLE_SKEW_REDUCTION * slack;
-        if !pays {
+        let pays_off = best.before - best.after >= MIN_SKEW_REDUCTION + IDLE_SKEW_REDUCTION * slack;
+        if !pays_off {
             self.log_stay(&best);
         }
-        if pays {
+        if pays_off {
             log::info!(
                 target: DECISION,
                 decision = "move",
@@ -158,7 +158,7 @@
                 "switching to another map"
             );
         }
-        pays.then_some(best)
+        pays_off.then_some(best)
     }
 
     /// Logs that the current map is kept, at most once per second, since most decisions are of this kind.
--- a/crates/sparscale_conduct/tests/group/first_order.rs
+++ b/crates/sparscale_conduct/tests/group/first_order.rs
@@ -2,9 +2,9 @@
 //!
 //! After the leader of 129 ranks had died, two agents left the first order of its successor unanswered: they were busy
 //! with their engines when its stream and the order arrived, handled the order before the subscription and so had no
-//! receiver for the answer. The leader waited 2.4 s for each, by when one of the two boxes was frozen, and the next map
-//! became active 10 s after the death. The leader's log line shows the age of each order beside that of the latest
-//! report:
+//! receiver for the answer. The successor waited 2.4 s for each, by when one of the two boxes was frozen, and the next
+//! map became active 10 s after the leader's death. The successor's log line shows the age of each order beside that of
+//! the latest report:
 //!
 //! ```text
 //! 7.93 stalled progress=Surveying awaited=["0: Look for 1154 ms, heard 71 ms ago", "128: Look for 2002 ms, heard 36 ms ago"]
--- a/crates/sparscale_conduct/tests/group/frozen_box.rs
+++ b/crates/sparscale_conduct/tests/group/frozen_box.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::engines::{RANKS, World};
-use crate::leading::{agents, leader_rank, stop_agents};
+use crate::leading::{leader_rank, start_agents, stop_agents};
 
 /// Time within which, on a busy machine, a frozen rank counts as unresponsive and a map switch in progress is given up.
 const DETECTION_TIME: Duration = Duration::from_millis(1_500);
@@ -14,7 +14,7 @@
 #[test]
 fn no_staging_while_frozen() {
     let world = World::new(22);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let frozen_rank = (leader_rank(&world) + 1) % RANKS;
     world.lock().frozen = Some(frozen_rank);
--- a/crates/sparscale_conduct/tests/group/leading.rs
+++ b/crates/sparscale_conduct/tests/group/leading.rs
@@ -7,7 +7,7 @@
 
 use crate::engines::{RANKS, World, kill};
 
-pub fn agents(world: &World) -> BTreeMap<usize, Runtime> {
+pub fn start_agents(world: &World) -> BTreeMap<usize, Runtime> {
     (0..RANKS).map(|rank| (rank, world.start_agent(rank))).collect()
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn follows_demand() {
     let world = World::new(1);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     for round in 1..=3 {
         world.wait_for("a change of map", |group| group.map_changes >= round);
         world.lock().shift_demand();
@@ -53,7 +53,7 @@
 #[test]
 fn one_leader() {
     let world = World::new(2);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let settled = world.lock().claims.len();
     // Four times as long as the agents wait for a leader.
@@ -65,7 +65,7 @@
 #[test]
 fn leader_killed() {
     let world = World::new(3);
-    let mut agents = agents(&world);
+    let mut agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let rank = leader_rank(&world);
     kill(&mut agents, rank);
@@ -80,7 +80,7 @@
 fn claims_restored() {
     let world = World::new(21);
     world.lock().claims = vec!["before".to_owned(); 3];
-    let mut agents = agents(&world);
+    let mut agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let rank = leader_rank(&world);
     world.lock().restore_claims(1);
@@ -93,7 +93,7 @@
 #[test]
 fn holder_frozen() {
     let world = World::new(4);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let mut group = world.lock();
     group.freeze_after_hold = true;
@@ -120,7 +120,7 @@
 #[test]
 fn agent_restarted() {
     let world = World::new(7);
-    let mut agents = agents(&world);
+    let mut agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let leader_claim = world.lock().claims.last().cloned().expect("a claim");
     let other = (0..RANKS).find(|rank| !leader_claim.ends_with(&format!("/{rank}")));
@@ -150,7 +150,7 @@
 fn all_restarted() {
     let world = World::new(8);
     world.lock().claims = vec!["before".to_owned(); 3];
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a claim", |group| group.claims.len() > 3);
     let first_lost = world.lock().lost_claims.first().copied().expect("a lost claim");
     let waited = first_lost.elapsed();
@@ -165,7 +165,7 @@
 #[test]
 fn agent_suspended() {
     let world = World::new(12);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     let leader_claim = world.lock().claims.last().cloned().expect("a claim");
     let other = (0..RANKS)
--- a/crates/sparscale_conduct/tests/group/restarted_engine.rs
+++ b/crates/sparscale_conduct/tests/group/restarted_engine.rs
@@ -1,13 +1,13 @@
 //! Restarted engines, and roster entries that name the wrong box.
 
 use crate::engines::World;
-use crate::leading::{agents, stop_agents};
+use crate::leading::{start_agents, stop_agents};
 
 /// The group re-forms with a restarted engine that has lost its state, and the leader continues to switch maps.
 #[test]
 fn engine_restarted() {
     let world = World::new(9);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     world.wait_for("a change of map", |group| group.map_changes >= 1);
     for rank in [1, 0, 1] {
         let changes = world.lock().map_changes;
@@ -25,7 +25,7 @@
 fn misplaced_entry() {
     let world = World::new(10);
     world.lock().misplaced_rank = Some(2);
-    let agents = agents(&world);
+    let agents = start_agents(&world);
     for round in 1..=3 {
         world.wait_for("a change of map", |group| group.map_changes >= round);
         world.lock().shift_demand();
