--- a/crates/sparscale_conduct/src/agent.rs
+++ b/crates/sparscale_conduct/src/agent.rs
@@ -369,16 +369,16 @@
             return;
         };
         let now = Instant::now();
-        let Some((before, at)) = self.last_counts.replace((counts.clone(), now)) else {
+        let Some((previous, at)) = self.last_counts.replace((counts.clone(), now)) else {
             return;
         };
-        let pairs = before.picks.iter().zip(&counts.picks);
+        let pairs = previous.picks.iter().zip(&counts.picks);
         // A restarted engine counts from zero.
         let selections: Option<Vec<u32>> = pairs
             .map(|(before, now)| now.checked_sub(*before).and_then(|new| u32::try_from(new).ok()))
             .collect();
-        let same_process = (before.epoch, before.born_ms) == (counts.epoch, counts.born_ms)
-            && before.picks.len() == counts.picks.len();
+        let same_process = (previous.epoch, previous.born_ms) == (counts.epoch, counts.born_ms)
+            && previous.picks.len() == counts.picks.len();
         let Some(selections) =
             selections.filter(|selections| same_process && selections.iter().any(|count| *count > 0))
         else {
--- a/crates/sparscale_conduct/src/leader.rs
+++ b/crates/sparscale_conduct/src/leader.rs
@@ -192,9 +192,9 @@
                 }
                 // An answer to an earlier order, which was given up, must not count for the current one.
                 if report.answer.is_some() && self.members[rank].awaits_order(report.serial) {
-                    let sent = self.members[rank].pending_order.take();
+                    let answered_order = self.members[rank].pending_order.take();
                     self.response_times
-                        .extend(sent.map(|(_, at)| now.saturating_duration_since(at)));
+                        .extend(answered_order.map(|(_, at)| now.saturating_duration_since(at)));
                     self.members[rank].settle_pending_map(report.answer);
                 }
                 if rank == self.term.own_rank
@@ -224,15 +224,15 @@
     /// begin between two reports.
     fn measure_passes(&mut self, step: u64, now: Instant) {
         self.latest_pass = step;
-        let Some((before, at)) = self.pass_mark else {
+        let Some((marked_step, at)) = self.pass_mark else {
             self.pass_mark = Some((step, now));
             return;
         };
         let span = now.saturating_duration_since(at);
-        if step < before || span > 4 * PASS_WINDOW {
+        if step < marked_step || span > 4 * PASS_WINDOW {
             self.pass_mark = Some((step, now));
-        } else if span >= PASS_WINDOW && step > before {
-            let micros = span.as_micros() as f64 / (step - before) as f64;
+        } else if span >= PASS_WINDOW && step > marked_step {
+            let micros = span.as_micros() as f64 / (step - marked_step) as f64;
             let previous = if self.pass_micros > 0.0 {
                 self.pass_micros
             } else {
