--- a/crates/sparscale_conduct/src/context.rs
+++ b/crates/sparscale_conduct/src/context.rs
@@ -1,4 +1,4 @@
-//! What leading a group, and standing ready to, work with.
+//! State shared by the leader of a group and by the agents that may succeed it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 
 use crate::bandwidth::Bandwidth;
 use crate::engine::Engines;
-use crate::figures::Figures;
 use crate::handle::Handle;
+use crate::metrics::Metrics;
 
-/// What a leader works with, and who may become one.
+/// Handles that a leader, or a candidate for leadership, needs.
 #[derive(Clone)]
 pub(crate) struct Context {
     pub(crate) board: Arc<Board>,
@@ -20,21 +20,21 @@
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) engines: Arc<dyn Engines>,
     pub(crate) handle: Handle,
-    /// The engine beside this process.
-    pub(crate) engine: SocketAddr,
-    /// Port at which every agent takes connections.
+    /// Address of the engine beside this process.
+    pub(crate) engine_address: SocketAddr,
+    /// Port on which every agent listens.
     pub(crate) port: u16,
-    /// Link of this box.
+    /// Bandwidth of this box's link.
     pub(crate) bandwidth: Bandwidth,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
 }
 
-/// One term of leadership: the group that is led, and the claim by which it is.
+/// One term of leadership: the group, and the claim that grants its leadership.
 #[derive(Debug, Clone)]
 pub(crate) struct Term {
     pub(crate) group: String,
     pub(crate) service: String,
-    pub(crate) own: usize,
+    pub(crate) own_rank: usize,
     pub(crate) size: usize,
     /// Number of the claim.
     pub(crate) claim: u64,
--- a/crates/sparscale_conduct/src/handle.rs
+++ b/crates/sparscale_conduct/src/handle.rs
@@ -1,4 +1,4 @@
-//! What a conductor, and others of the group, may ask of the agent beside a rank.
+//! Interface of the agent beside a rank: orders, subscriptions and the latest state.
 
 use sparscale_wire::{RankNews, RankOrder};
 use tokio::sync::{mpsc, watch};
@@ -6,65 +6,65 @@
 
 use crate::engine::EngineState;
 
-/// News that wait for a slow conductor.
-pub(crate) const QUEUE: usize = 64;
+/// Updates that are queued for a slow leader.
+pub(crate) const UPDATE_QUEUE_LEN: usize = 64;
 
-/// What a conductor leads an agent as.
+/// Rank that a leader assigns to an agent, and the claim by which it leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Lead {
+pub(crate) struct Assignment {
     pub(crate) group: String,
-    /// Rank that the conductor takes the agent's engine for.
+    /// Rank that the leader expects the agent's engine to be.
     pub(crate) rank: usize,
-    /// Number of the claim by which it leads.
+    /// Number of the leader's claim.
     pub(crate) claim: u64,
 }
 
-/// An order from a conductor.
+/// An order from a leader.
 #[derive(Debug)]
 pub(crate) struct Command {
-    pub(crate) lead: Lead,
+    pub(crate) assignment: Assignment,
     pub(crate) order: RankOrder,
 }
 
-/// A conductor that wants to hear of the rank.
+/// A leader that subscribes to updates about the rank.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
-    pub(crate) lead: Lead,
-    pub(crate) news: mpsc::Sender<RankNews>,
+    pub(crate) assignment: Assignment,
+    pub(crate) updates: mpsc::Sender<RankNews>,
 }
 
-/// What others may ask of the rank's agent.
+/// Handle to the task of a rank's agent.
 #[derive(Debug, Clone)]
 pub(crate) struct Handle {
     pub(crate) commands: mpsc::Sender<Command>,
     pub(crate) subscribers: mpsc::Sender<Subscriber>,
     /// Latest state of the rank.
     pub(crate) state: watch::Receiver<Option<EngineState>>,
-    /// Highest claim by which a conductor led this rank, and when it last spoke.
-    pub(crate) led: watch::Receiver<Led>,
+    /// Highest claim of any leader of this rank, and when that leader was last seen.
+    pub(crate) leader: watch::Receiver<LeaderObservation>,
     /// When this agent started.
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
 }
 
-/// Who leads the rank.
+/// What this agent has observed of the rank's leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Led {
-    /// Its claim; none if nobody has spoken yet.
+pub(crate) struct LeaderObservation {
+    /// The leader's claim; `None` until a leader has been seen.
     pub(crate) claim: Option<u64>,
-    /// When it last spoke.
-    pub(crate) spoke: Instant,
+    /// Time of its latest order, heartbeat or subscription; before the first one, the start of this agent.
+    pub(crate) last_seen: Instant,
 }
 
 impl Handle {
-    /// Hands an order over; nothing happens if the agent is stopping.
-    pub(crate) async fn command(&self, command: Command) {
+    /// Sends an order to the agent; does nothing if the agent is stopping.
+    pub(crate) async fn send_command(&self, command: Command) {
         let _stopping = self.commands.send(command).await;
     }
 
-    /// Lets a conductor hear of the rank, and gives what it hears.
-    pub(crate) async fn subscribe(&self, lead: Lead) -> mpsc::Receiver<RankNews> {
-        let (news, receiver) = mpsc::channel(QUEUE);
-        let _stopping = self.subscribers.send(Subscriber { lead, news }).await;
+    /// Subscribes a leader to updates about the rank.
+    pub(crate) async fn subscribe(&self, assignment: Assignment) -> mpsc::Receiver<RankNews> {
+        let (updates, receiver) = mpsc::channel(UPDATE_QUEUE_LEN);
+        let _stopping = self.subscribers.send(Subscriber { assignment, updates }).await;
         receiver
     }
 }
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -1,4 +1,4 @@
-//! Puts an agent together and runs it until it is told to stop.
+//! Builds an agent from its settings and runs it until it receives a stop signal.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,52 +11,52 @@
 use sparscale_telemetry::{DECISION, Registry, Signals};
 use sparscale_wire::{Endpoint, EndpointError, FEW_STREAMS, Identity, Role};
 
+use crate::agent;
 use crate::bandwidth::Bandwidth;
 use crate::claims::Claims;
 use crate::context::Context;
 use crate::engine::Engines;
-use crate::figures::Figures;
 use crate::leadership;
 use crate::link;
-use crate::rank;
+use crate::metrics::Metrics;
 use crate::standby;
 
-/// Longest pause between two readings of the store while they fail. Agents are many, and serve nobody by what they read:
-/// a conductor needs to know where its ranks are, and that changes seldom.
-const MAX_RETRY: Duration = Duration::from_secs(6);
+/// Longest delay between two attempts to read the store while they fail. Agents are many and serve no callers from this
+/// data: a leader needs only the locations of its ranks, which seldom change.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(6);
 
-/// Checked settings of an agent.
+/// Validated settings of an agent.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of this process.
     pub name: String,
-    /// Where it takes connections from other processes; every agent uses the same port.
+    /// Address on which it accepts connections from other processes; every agent uses the same port.
     pub address: SocketAddr,
-    /// The engine beside it.
+    /// Address of the engine beside it.
     pub engine: SocketAddr,
     /// Service that the engine belongs to.
     pub service: String,
-    /// Entries that the settings name.
+    /// Addresses of the configured entries.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two messages on a link without news.
+    /// Time between two messages on a link that has no updates.
     pub interval: Duration,
-    /// Link of this box.
+    /// Bandwidth of this box's link.
     pub bandwidth: Bandwidth,
-    /// Age of a belief at which the agent reads the store itself: no entry has told it for so long.
+    /// Age of the observed state after which the agent reads the store itself, because no entry has sent it since.
     pub read_interval: Duration,
 }
 
-/// What an agent is connected to.
+/// External services that an agent uses.
 pub struct Parts {
-    /// Gives the catalog.
+    /// Source of the catalog.
     pub catalog: Box<dyn Source<Catalog>>,
-    /// Gives the roster.
+    /// Source of the roster.
     pub roster: Box<dyn Source<Roster>>,
-    /// Reaches engines.
+    /// Connects to engines.
     pub engines: Arc<dyn Engines>,
-    /// The list of claims.
+    /// The platform's list of leadership claims.
     pub claims: Box<dyn Claims>,
-    /// The process's figures.
+    /// Metrics of the process.
     pub registry: Arc<Registry>,
 }
 
@@ -66,13 +66,13 @@
     }
 }
 
-/// Why an agent cannot run.
+/// Error that keeps an agent from starting.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Its socket cannot be opened.
+    /// The socket cannot be opened.
     #[snafu(display("{source}"))]
     Endpoint {
-        /// What is wrong.
+        /// Cause of the failure.
         source: EndpointError,
     },
 }
@@ -81,11 +81,11 @@
 pub async fn run(settings: Settings, parts: Parts, mut signals: Signals, reload: impl FnMut()) -> Result<(), Error> {
     start(&settings, parts)?;
     signals.wait_for_stop(reload).await;
-    log::info!(target: DECISION, decision = "stopped"; "stopped");
+    log::info!(target: DECISION, decision = "stopped"; "agent stopped");
     Ok(())
 }
 
-/// Starts an agent's tasks on the present runtime.
+/// Starts an agent's tasks on the current runtime.
 pub fn start(settings: &Settings, parts: Parts) -> Result<(), Error> {
     let board = Arc::new(Board::default());
     let identity = Identity::Made(Role::Agent);
@@ -104,17 +104,17 @@
     tokio::spawn(Arc::clone(&mesh).follow_one());
     let pace = || {
         let (interval, head_start) = (settings.read_interval, settings.read_interval);
-        Arc::new(Pace::new(interval, Duration::ZERO, head_start).with_max_retry(MAX_RETRY))
+        Arc::new(Pace::new(interval, Duration::ZERO, head_start).with_max_retry(MAX_RETRY_DELAY))
     };
-    let reads = || ReadFigures::new(&parts.registry);
-    tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), reads()));
-    tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), reads()));
-    let figures = Figures::new(&parts.registry);
-    let handle = rank::start(
+    let read_metrics = || ReadFigures::new(&parts.registry);
+    tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), read_metrics()));
+    tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), read_metrics()));
+    let metrics = Metrics::new(&parts.registry);
+    let handle = agent::start(
         Arc::clone(&parts.engines),
         settings.engine,
         settings.bandwidth,
-        figures.clone(),
+        metrics.clone(),
     );
     tokio::spawn(link::accept(Arc::clone(&endpoint), handle.clone()));
     let context = Context {
@@ -123,10 +123,10 @@
         endpoint: Arc::clone(&endpoint),
         engines: parts.engines,
         handle,
-        engine: settings.engine,
+        engine_address: settings.engine,
         port: settings.address.port(),
         bandwidth: settings.bandwidth,
-        figures,
+        metrics,
     };
     tokio::spawn(standby::run(context.clone()));
     tokio::spawn(leadership::run(context, parts.claims, settings.service.clone()));
--- a/crates/sparscale_conduct/src/reporter.rs
+++ b/crates/sparscale_conduct/src/reporter.rs
@@ -1,21 +1,22 @@
-//! Which ranks of a group tell their conductor what their requests choose.
+//! Selects the ranks of a group that report their expert selection counts to the leader.
 
-/// A rank that may tell its counts.
+/// A rank that may report its counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reporter {
-    /// Its rank.
+pub struct CountReporter {
+    /// Its rank in the group.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
 }
 
-impl Reporter {
-    /// Whether this rank tells its counts, of `numbers` numbers, where all together may tell `most` in a round.
+impl CountReporter {
+    /// Whether this rank reports its counts, `values` in number, if all ranks together may report `max_values` per
+    /// round.
     ///
-    /// Requests are spread over the ranks whatever they choose, so a part of the ranks shows what all choose. All tell
-    /// where that fits; of larger groups every second, third and so on.
-    pub fn tells(self, numbers: usize, most: usize) -> bool {
-        let part = (self.size * numbers).div_ceil(most.max(1)).max(1);
-        self.rank.is_multiple_of(part)
+    /// Requests are routed to ranks regardless of the experts that they select, so a subset of the ranks is a fair
+    /// sample. All ranks report if that fits; in larger groups every second, third and so on does.
+    pub fn reports_counts(self, values: usize, max_values: usize) -> bool {
+        let stride = (self.size * values).div_ceil(max_values.max(1)).max(1);
+        self.rank.is_multiple_of(stride)
     }
 }
