--- a/crates/sparscale_place/src/barrier/conductor.rs
+++ b/crates/sparscale_place/src/barrier/coordinator.rs
@@ -1,33 +1,34 @@
-//! The conductor's side, as a state machine without clock or socket.
+//! The coordinator side of the barrier protocol: a state machine without clock or socket that turns the ranks' reports
+//! into orders.
 
 use super::{Act, Answer, Change, Order, Report, View};
 
-/// How far a conductor is.
+/// Phase of the change under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// It has not heard from every rank yet, or the group is not open.
+    /// Not every rank's state has been read yet, or the group is not open.
     Surveying,
-    /// It takes back what a predecessor left.
+    /// Guard holds are being placed before changes of a previous coordinator are undone.
     Recovering,
-    /// Nothing is under way.
+    /// No change is under way.
     Idle,
-    /// Ranks load the next map.
+    /// Ranks are loading the next map.
     Staging,
-    /// The group is being held.
+    /// A hold is being placed before the step of the change.
     Holding,
-    /// Ranks are being armed.
+    /// Ranks are being armed for the change.
     Arming,
-    /// All are armed; the group is let go.
+    /// All ranks are armed; the hold is being released.
     Releasing,
-    /// The group runs up to the step.
+    /// The hold is released; some ranks do not use the new map yet.
     Settling,
-    /// A try is taken back.
+    /// A change is being undone: ranks are disarmed and holds are released.
     Undoing,
-    /// Another conductor has taken over.
+    /// A rank has seen a higher fence: another coordinator has taken over.
     Overtaken,
 }
 
-/// A hold that this conductor places so that nobody else can let the group begin a step.
+/// A hold that this coordinator places so that no other coordinator can let the group begin `step`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Guard {
     rank: usize,
@@ -37,26 +38,26 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Every rank has to be looked at once.
+    /// Every rank's state has to be read once.
     Survey {
         looked: Vec<bool>,
     },
-    /// Guards are being placed; then everything is taken back.
+    /// Guard holds are being placed; then every rank is disarmed and all holds are released.
     Guard {
         guards: Vec<Guard>,
     },
-    /// Every rank has to be disarmed under the present fence.
+    /// Every rank has to be disarmed under the current fence.
     Undo {
         fenced: Vec<bool>,
     },
     /// All holds are being released.
     Open,
-    /// A hold that may stand is being released; nothing was armed for it.
+    /// A hold that may have been placed is being released; no rank was armed for it.
     Lift {
         looked: bool,
     },
     Idle,
-    /// Ranks that have not `begun` to load are told to.
+    /// Ranks that have not acknowledged the order to load the map are sent it.
     Stage {
         number: u64,
         begun: Vec<bool>,
@@ -79,36 +80,37 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Member {
     view: Option<View>,
-    /// Order on its way.
+    /// Order that was sent to the rank and is not answered yet.
     pending: Option<Order>,
 }
 
-/// Leads one group from map to map.
+/// Moves all ranks of one group from one expert map to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Conductor {
-    /// Rank that holds the group in a change: the one beside the conductor.
+    /// Rank beside the coordinator; it places the hold of a change.
     own: usize,
-    /// Steps between the last one seen and the one that is held.
+    /// Steps between the highest step seen and the step to hold.
     lead: u64,
     epoch: u64,
     fence: u64,
     serial: u64,
     members: Vec<Member>,
     phase: Phase,
-    /// Steps of holds of this conductor that may still be placed late.
+    /// Steps of this coordinator's holds that may still be placed late, because the order got no answer.
     strays: Vec<u64>,
-    /// Whether the last change under way was taken back or lost.
+    /// Whether the last change was undone, or lost when the group re-formed.
     failed: bool,
     overtaken: bool,
-    /// Surveys that it began.
+    /// Number of surveys begun.
     surveys: u64,
-    /// Whether some rank is silent, so that a hold now might last until it speaks again.
+    /// Whether a rank is unresponsive; a hold placed now might last until it responds.
     silent: bool,
 }
 
 impl Conductor {
-    /// A conductor of `ranks` ranks, beside rank `own`, whose fences start at `fence`: above those of all before it,
-    /// with room for two fences a change below those of all after it.
+    /// A coordinator for `ranks` ranks that runs beside rank `own_rank`. `fence` is its first fence: it must exceed the
+    /// fences of all earlier coordinators, and the first fence of each later one must leave room for two fences per
+    /// change.
     pub fn new(ranks: usize, own: usize, fence: u64) -> Self {
         Self {
             own,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// How far it is.
+    /// Phase of the change under way.
     pub fn progress(&self) -> Progress {
         if self.overtaken {
             return Progress::Overtaken;
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Epoch of the group.
+    /// Current epoch of the group.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -156,7 +158,7 @@
         self.fence
     }
 
-    /// Step that the change under way is for.
+    /// Step of the change under way, once it is chosen.
     pub fn step(&self) -> Option<u64> {
         match &self.phase {
             Phase::Hold { step, .. } => Some(*step),
@@ -165,12 +167,12 @@
         }
     }
 
-    /// How often it began to look at all ranks; many in a row say that what they tell does not agree.
+    /// Number of surveys begun; many in a row mean that the ranks' states do not agree.
     pub fn surveys(&self) -> u64 {
         self.surveys
     }
 
-    /// Ranks that the next step waits for.
+    /// Ranks that the current phase still waits for.
     pub fn awaited(&self) -> Vec<usize> {
         let missing = |done: &dyn Fn(usize) -> bool| (0..self.members.len()).filter(|rank| !done(*rank)).collect();
         let shows = |test: &dyn Fn(&View) -> bool| missing(&|rank| self.view(rank).as_ref().is_some_and(test));
@@ -191,36 +193,36 @@
         }
     }
 
-    /// What an order that is on its way to a rank is for.
+    /// Action of the unanswered order to a rank, if there is one.
     pub fn pending(&self, rank: usize) -> Option<Act> {
         let pending = self.members.get(rank)?.pending;
         pending.map(|order| order.act)
     }
 
-    /// State of a rank as last told.
+    /// Last reported state of a rank.
     pub fn view(&self, rank: usize) -> Option<View> {
         self.members.get(rank).and_then(|member| member.view)
     }
 
-    /// Whether the last change was taken back or lost with its epoch; asking clears it.
+    /// Whether the last change was undone, or lost when the group re-formed; reading clears the flag.
     pub fn take_failure(&mut self) -> bool {
         std::mem::take(&mut self.failed)
     }
 
-    /// Number of the map that all ranks use, while nothing is under way.
+    /// Number of the map that all ranks use, if no change is under way.
     pub fn settled_map(&self) -> Option<u64> {
         let first = self.members.first()?.view?.map;
         let same = |member: &Member| member.view.is_some_and(|view| view.map == first);
         (self.phase == Phase::Idle && self.members.iter().all(same)).then_some(first)
     }
 
-    /// Sets the steps between the last one seen and the one that is held.
+    /// Sets the number of steps (at least 1) between the highest step seen and the step to hold.
     pub fn set_lead(&mut self, lead: u64) {
         self.lead = lead.max(1);
     }
 
-    /// Says whether some rank is silent. No hold is begun then: a rank that has been armed, or may have been, and says nothing
-    /// keeps the whole group held until it does.
+    /// Records whether a rank is unresponsive. No hold is begun while one is: a rank that is armed, or may be, and does
+    /// not respond keeps the whole group held until it does.
     pub fn set_silent(&mut self, silent: bool) {
         if self.silent != silent {
             self.silent = silent;
@@ -228,7 +230,8 @@
         }
     }
 
-    /// Starts a change to map `number`, which no rank has had before in this epoch; only while idle and nothing is held.
+    /// Starts a change to map `number`, which no rank has staged before in this epoch. Returns false if a change is
+    /// under way or a rank holds the group.
     pub fn begin(&mut self, number: u64) -> bool {
         if self.phase != Phase::Idle || self.overtaken || self.any(|view| view.held.is_some()) {
             return false;
@@ -239,12 +242,12 @@
         true
     }
 
-    /// Gives the change under way up, unless it is past taking back.
+    /// Abandons the change under way, unless it can no longer be undone.
     pub fn abandon(&mut self) {
         match &self.phase {
             Phase::Stage { .. } => self.fail(Phase::Idle),
             Phase::Hold { step, .. } => {
-                // No rank was told to arm yet: there is nothing to take back but the hold, whenever it stands.
+                // No rank has been ordered to arm yet, so only the hold has to be undone, even if it is placed late.
                 self.strays.push(*step);
                 self.fail(Phase::Lift { looked: false });
             }
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Orders to be sent now; at most one is on its way to each rank.
+    /// Orders to send now. Each rank has at most one unanswered order.
     pub fn orders(&mut self) -> Vec<(usize, Order)> {
         let mut orders = Vec::new();
         if self.overtaken {
@@ -277,8 +280,8 @@
         orders
     }
 
-    /// An order to `rank` that only asks for its state, for a rank that nobody tells of unasked; none while another order is on
-    /// its way to it.
+    /// An order that queries the state of `rank`, for a rank whose state is not reported without a query. None while
+    /// another order to the rank is unanswered.
     pub fn look_at(&mut self, rank: usize) -> Option<Order> {
         let member = self.members.get_mut(rank).filter(|member| member.pending.is_none())?;
         self.serial += 1;
@@ -292,7 +295,7 @@
         (!self.overtaken).then_some(order)
     }
 
-    /// Takes in what a rank's agent told.
+    /// Records the report of a rank's agent and advances the change.
     pub fn report(&mut self, rank: usize, report: Report) {
         let Some(member) = self.members.get_mut(rank) else {
             return;
@@ -308,7 +311,7 @@
         self.advance();
     }
 
-    /// The order on its way to a rank, if there is one, will not be answered any more.
+    /// Records that the unanswered order to a rank, if there is one, will not be answered.
     pub fn lost(&mut self, rank: usize) {
         let Some(order) = self.members.get_mut(rank).and_then(|member| member.pending.take()) else {
             return;
@@ -354,7 +357,7 @@
         }
     }
 
-    /// Releases a hold of an earlier try, whenever it shows.
+    /// Releases a late hold of an earlier attempt once the rank's state shows it.
     fn lift(&self, view: Option<View>) -> Option<Act> {
         let held = view?.held.filter(|step| self.strays.contains(step))?;
         Some(Act::Release { step: held })
@@ -379,11 +382,11 @@
                     _ => {}
                 }
             }
-            // The rank has to say under which fence it stands, and show that it is not armed.
+            // Only an answer under the current fence counts, and the state must show that the rank is not armed.
             (Phase::Undo { fenced }, Act::Disarm { .. }) if order.fence == self.fence => {
                 fenced[rank] = certain && view.is_some() && !armed;
             }
-            // An answer for a change that was given up says nothing of this one.
+            // An answer to an order of an abandoned change says nothing about the current one.
             (Phase::Stage { number, begun }, Act::Stage { number: ordered }) if ordered == *number => {
                 if answer == Answer::Refused {
                     self.fail(Phase::Idle);
@@ -411,7 +414,7 @@
         }
     }
 
-    /// What became of the hold before the step of a change.
+    /// Handles the answer to the order to hold the group before the step of a change.
     fn held(&mut self, change: Change, answer: Answer, view: Option<View>) {
         let stands = view.is_some_and(|view| view.held == Some(change.at));
         if stands || answer == Answer::Done {
@@ -421,7 +424,7 @@
         if answer == Answer::Silent {
             self.strays.push(change.at);
         }
-        // The step has begun, or the hold may come late: another step is tried.
+        // The step has begun, or the hold may be placed late: try a later step.
         if let Some(step) = self.next_step() {
             self.phase = Phase::Hold {
                 number: change.number,
@@ -430,7 +433,7 @@
         }
     }
 
-    /// Moves on as far as the ranks' states allow.
+    /// Advances through the phases as far as the ranks' states allow.
     fn advance(&mut self) {
         if self.overtaken {
             return;
@@ -483,7 +486,7 @@
         }
     }
 
-    /// What every rank was seen to be in decides whether anything has to be taken back.
+    /// Decides from the state of every rank whether anything has to be undone.
     fn weigh(&mut self) {
         let Some(epoch) = self.common_epoch() else {
             self.survey();
@@ -493,7 +496,8 @@
         let views = self.views();
         let change = views.iter().find_map(|view| view.armed);
         let held = views.iter().any(|view| view.held.is_some());
-        // All armed alike and none held: the group was let go and the step has not begun yet. Nothing may be touched.
+        // All ranks are armed for the same change and none holds the group: the hold was released and the step is about
+        // to begin. Nothing may be undone now.
         if let Some(change) = change
             && !held
             && views.iter().all(|view| view.armed == Some(change))
@@ -507,12 +511,13 @@
         } else if views.iter().all(|view| view.map == views[0].map) {
             self.phase = Phase::Idle;
         } else {
-            // The views were read around a step.
+            // The states were read while a step began: some show the old map, others the new one.
             self.survey();
         }
     }
 
-    /// One guard for each step that anyone is armed or held for, at a rank that holds it or none.
+    /// One guard for each step that a rank is armed or held for, on a rank that already holds that step or else on one
+    /// without a hold.
     fn guards(&self, views: &[View]) -> Vec<Guard> {
         let armed = views.iter().filter_map(|view| view.armed.map(|armed| armed.at));
         let mut steps: Vec<u64> = armed.chain(views.iter().filter_map(|view| view.held)).collect();
@@ -532,7 +537,7 @@
         guards
     }
 
-    /// Whether a state shows something that this conductor has not left there.
+    /// Whether a state shows an armed change or a hold that this coordinator did not leave there.
     fn is_left_over(&self, view: &View) -> bool {
         let held = view.held.is_some_and(|step| !self.strays.contains(&step));
         view.armed.is_some() || held
--- a/crates/sparscale_place/src/barrier/mod.rs
+++ b/crates/sparscale_place/src/barrier/mod.rs
@@ -1,36 +1,37 @@
-//! How all ranks of a group change to another expert map in one step, where the group can be held at a step.
+//! Switches all ranks of a group to another expert map at the same step, for engines that can be held before a step.
 //!
-//! The conductor stages the map on every rank, holds the group before a step, arms every rank for that step, reads
-//! back that *each* is armed, and only then lets the group go on. If one is not, it disarms all, reads back that none
-//! is armed, and lets go. So no step can begin while only some ranks are armed for it, whoever dies and whatever is
-//! late:
+//! The coordinator stages the map on every rank, holds the group before a step, arms every rank for that step, and
+//! reads back that *each* rank is armed before it releases the hold. If one is not, it disarms all ranks, reads back
+//! that none is armed, and then releases the hold. So no step can begin while only some ranks are armed for it,
+//! whichever process dies and whichever order arrives late:
 //!
-//! - ranks are armed for a step only while a hold of this conductor stands before it;
-//! - the hold is released only when all ranks are armed for it, or none is and none will be: each try arms under a
-//!   fence of its own, and a rank that was disarmed under a higher one refuses a late order of that try;
-//! - a conductor that takes over puts a hold of its own before each step that anyone is armed or held for, which its
-//!   predecessor can no longer release, before it disarms.
+//! - A rank is armed for a step only while a hold of this coordinator stands before that step.
+//! - The hold is released only when all ranks are armed for the step, or when none is and none will be: each attempt
+//!   arms under its own fence, and a rank that was disarmed under a higher fence refuses a late order of that attempt.
+//! - A coordinator that takes over first places a hold of its own before each step that a rank is armed or held for,
+//!   and only then disarms ranks. Its predecessor can no longer release that hold.
 
-mod conductor;
+mod coordinator;
 
-pub use conductor::{Conductor, Progress};
+pub use coordinator::{Conductor, Progress};
 
 use serde::{Deserialize, Serialize};
 
 pub use crate::switch::Change;
 
-/// A rank's state as it was read.
+/// State of a rank, as read from its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Incarnation of the group: it re-forms when a rank was lost, with map 0 and nothing staged, armed or held.
+    /// Incarnation of the group. The group re-forms when a rank is lost, and then uses map 0 with nothing staged, armed
+    /// or held.
     pub epoch: u64,
     /// Whether the group runs.
     pub open: bool,
     /// Last step that has begun.
     pub step: u64,
-    /// Number of the map in use.
+    /// Number of the active map.
     pub map: u64,
-    /// Number of the map that is loaded beside it.
+    /// Number of the map that is loaded beside the active one.
     pub staged: Option<u64>,
     /// Change that the rank is armed for.
     pub armed: Option<Change>,
@@ -41,65 +42,65 @@
 /// An order to one rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Counts the orders of one conductor.
+    /// Sequence number among the orders of one coordinator.
     pub serial: u64,
     /// A rank refuses orders below the highest fence that it has seen.
     pub fence: u64,
-    /// Epoch in which it is to be carried out.
+    /// Epoch in which the order is valid.
     pub epoch: u64,
-    /// What to do.
+    /// Action to carry out.
     pub act: Act,
 }
 
-/// What a rank is told to do.
+/// Action that an order requests from a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Act {
-    /// Only tell the state.
+    /// Query the state without changing it.
     Look,
-    /// Load what map `number` needs beside the map in use.
+    /// Load what map `number` needs beside the active map.
     Stage {
         /// Number of the map.
         number: u64,
     },
-    /// Do not let the group begin `step`.
+    /// Prevent the group from beginning `step`.
     Hold {
-        /// The step.
+        /// Step to hold.
         step: u64,
     },
-    /// Take the staged map as the step begins.
+    /// Switch to the staged map when the step of the change begins.
     Arm(Change),
-    /// Forget the change to map `number`.
+    /// Discard the change to map `number`.
     Disarm {
         /// Number of the map.
         number: u64,
     },
-    /// Let the group begin `step`.
+    /// Allow the group to begin `step`.
     Release {
-        /// The step.
+        /// Step to release.
         step: u64,
     },
 }
 
-/// What a rank said to an order.
+/// Answer of a rank to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done, begun, or so already.
+    /// Carried out, in progress, or already in effect.
     Done,
-    /// It does not fit the rank's state or epoch.
+    /// Refused: the order does not fit the rank's state or epoch.
     Refused,
-    /// A higher fence was seen.
+    /// Refused: the rank has seen a higher fence.
     Fenced,
-    /// Nothing: it may be carried out now, never, or seconds later.
+    /// No answer: the order may be carried out now, never, or seconds later.
     Silent,
 }
 
-/// What a rank's agent tells the conductor.
+/// Report of a rank's agent to the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Serial of the last order that was over before the state was read.
+    /// Serial of the last order that had ended before the state was read.
     pub serial: u64,
-    /// What the rank said to that order; none if this was told unasked.
+    /// Answer to that order; none if the report was sent without a query.
     pub answer: Option<Answer>,
-    /// The state, if it could be read.
+    /// State of the rank, if it could be read.
     pub view: Option<View>,
 }
--- a/crates/sparscale_place/src/baseline.rs
+++ b/crates/sparscale_place/src/baseline.rs
@@ -1,10 +1,10 @@
-//! Baselines that decisions are measured against.
+//! Placements from scratch, as a baseline for decisions.
 
 use crate::counts::Counts;
 use crate::map::{Layer, Map};
 
-/// A map built from scratch, as published balancers for expert parallelism do: spare slots go to replicas of the
-/// hottest experts, then replicas are packed, heaviest first, each on the least loaded rank with room.
+/// A map packed from scratch, as published balancers for expert parallelism do it: spare slots go to replicas of the
+/// most loaded experts, then replicas are packed, heaviest first, each on the least loaded rank with a free slot.
 pub fn greedy_from_scratch(counts: &Counts) -> Map {
     let shape = counts.shape();
     let layers = (0..shape.layers).map(|layer| greedy_layer(counts.layer(layer), shape.ranks, shape.slots));
@@ -46,8 +46,8 @@
         let rank = (0..ranks)
             .filter(fits)
             .min_by(|left, right| loads[*left].total_cmp(&loads[*right]));
-        // A replica that fits nowhere is left out; the first replica of each expert is packed before it can happen
-        // only if slots allow, so a second pass places those that are missing.
+        // A replica that fits on no rank is left out. It may be the first one of its expert, so a second pass places
+        // experts that are missing.
         let Some(rank) = rank else { continue };
         held[rank].push(*expert);
         loads[rank] += share;
@@ -56,7 +56,7 @@
     Layer { ranks: held }
 }
 
-/// Gives experts that were left out the slot of a replica that others have, too.
+/// Gives each expert without a replica the slot of an expert that has more than one.
 fn place_missing(pieces: &[(f64, u16)], held: &mut [Vec<u16>]) {
     for (_, expert) in pieces {
         if held.iter().any(|rank| rank.contains(expert)) {
--- a/crates/sparscale_place/src/counts.rs
+++ b/crates/sparscale_place/src/counts.rs
@@ -1,4 +1,4 @@
-//! Expert popularity, from counts that fade with age.
+//! Popularity of each expert, as token counts that decay with age.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 impl Counts {
-    /// No tokens yet. A count is worth half after `half_life`.
+    /// Empty counts. A count loses half its weight in each `half_life`.
     pub fn new(shape: Shape, half_life: Duration) -> Self {
         Self {
             shape,
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Lets `passed` go by, then adds `tokens`: layer by layer, one number for each expert. A list of another length
-    /// comes from a target of another shape and is left out.
+    /// Decays the counts by `elapsed`, then adds `tokens`: layer by layer, one number for each expert. A list of
+    /// another length comes from a target of another shape and is ignored.
     pub fn observe(&mut self, tokens: &[f64], passed: Duration) {
         if tokens.len() != self.tokens.len() {
             return;
@@ -41,7 +41,7 @@
         &self.tokens[start..start + self.shape.experts]
     }
 
-    /// All tokens counted.
+    /// Sum of all counts.
     pub fn total(&self) -> f64 {
         self.tokens.iter().sum()
     }
--- a/crates/sparscale_place/src/decide.rs
+++ b/crates/sparscale_place/src/decide.rs
@@ -1,4 +1,5 @@
-//! Whether to change the map, and to which: each layer is changed only as far as that pays for itself.
+//! Decides whether to change the expert map, and to which: each layer changes only as far as the lower skew outweighs
+//! the cost of loading replicas.
 
 use serde::Serialize;
 
@@ -8,12 +9,12 @@
 use crate::map::{Layer, Map};
 use crate::search::{LayerSearch, Path, Point};
 
-/// Smallest fall of skew for which a map is changed at all.
+/// Smallest decrease of the skew for which a map is changed at all.
 const HYSTERESIS: f64 = 0.02;
-/// Tokens for each expert and layer below which nothing can be told.
+/// Tokens per expert and layer below which the counts are too few to decide on.
 const MIN_TOKENS: f64 = 10.0;
 
-/// What a decision weighs.
+/// Costs that a decision compares.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
     /// Cost of one unit of skew.
@@ -22,40 +23,40 @@
     pub weight_move: f64,
     /// Time to load one replica on one rank at the weight store's rate, in seconds.
     pub seconds_per_load: f64,
-    /// Share by which answers are slower while a replica loads: it adds to the cost of each second.
+    /// Share by which responses are slower while a replica loads; it adds to the cost of each second.
     pub slowed: f64,
-    /// Replicas that one change of a map may load.
+    /// Largest number of replicas that one change of the map may load.
     pub move_budget: u32,
-    /// Whether nothing may move at this hour.
+    /// Whether moves are forbidden at this hour.
     pub quiet: bool,
 }
 
-/// Why a decision came out as it did.
+/// Reason for a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// Moving costs less than staying.
     Pays,
-    /// No change pays for its loading.
+    /// No change is worth its loading cost.
     TooDear,
     /// The gain is within the hysteresis.
     TooSmall,
-    /// Nothing moves at this hour.
+    /// Moves are forbidden at this hour.
     QuietHours,
     /// Too few tokens were counted.
     TooFewTokens,
 }
 
-/// A decision, also when it is to stay.
+/// A decision to move to another map or to stay.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     /// The next map; none to stay.
     pub next: Option<Map>,
-    /// Why.
+    /// Reason for the decision.
     pub reason: Reason,
-    /// Skew of the present map.
+    /// Skew of the current map.
     pub skew_now: f64,
-    /// Skew of the next map, or of the best that was found.
+    /// Skew of the next map, or of the best one found.
     pub skew_next: f64,
     /// Replicas that the next map loads.
     pub loads: u32,
@@ -65,7 +66,7 @@
     pub cost_move: f64,
 }
 
-/// Decides whether the group's map changes from `present`, and to what.
+/// Decides whether the group's map changes from `current`, and to which.
 pub fn decide(counts: &Counts, present: &Map, costs: &Costs) -> Decision {
     let skew_now = skew(present, counts);
     let stay = |reason| Decision {
@@ -114,10 +115,10 @@
     costs.weight_move * costs.seconds_per_load * (1.0 + costs.slowed)
 }
 
-/// A layer that may change: step by step along a path, or in one jump to a fresh packing.
+/// A layer that may change: by changes along a search path, or by one jump to a layer packed from scratch.
 ///
-/// A fresh packing cuts the load into more and smaller pieces, which steps alone never reach; its ranks are matched to
-/// the present ones first, so that it loads as little as it can.
+/// Packing from scratch splits the load into more and smaller replicas, which single changes never reach. Its ranks are
+/// matched to the current ones first, so that it loads as few replicas as it can.
 struct Candidate<'a> {
     layer: usize,
     search: LayerSearch<'a>,
@@ -126,12 +127,12 @@
     fresh_point: Point,
 }
 
-/// What becomes of a candidate.
+/// How a candidate changes.
 #[derive(Clone, Copy, PartialEq)]
 enum Choice {
     /// The first changes of the path.
     Steps(usize),
-    /// The fresh packing.
+    /// The layer packed from scratch.
     Fresh,
 }
 
@@ -145,7 +146,8 @@
         let loads = present.loads_of(&fresh) as u32;
         Self {
             layer,
-            // Steps that load more than the fresh packing, or lead further, cannot be the better choice.
+            // Changes that load more than the layer packed from scratch, or go below its largest load, cannot be the
+            // better choice.
             path: search.clone().path(largest, budget.min(loads)),
             search,
             fresh,
@@ -153,10 +155,11 @@
         }
     }
 
-    /// The choice for which the fall of the largest load is worth most beyond its loads at `price` tokens.
+    /// The choice of the highest value: the decrease of the largest rank load, less `price` tokens for each replica
+    /// that it loads.
     ///
-    /// The whole path is looked at, not one change at a time: where many ranks are equally loaded, the first changes
-    /// gain next to nothing and only all together pay.
+    /// All points of the path are compared, not one change at a time: where many ranks are equally loaded, the first
+    /// changes gain next to nothing and only all of them together pay.
     fn choose(&self, price: f64) -> (Choice, Point) {
         let start = self.path.points[0];
         let value = |point: Point| start.largest - point.largest - f64::from(point.loads) * price;
@@ -180,7 +183,7 @@
     }
 }
 
-/// The layer `fresh` with its ranks in the order that shares most with `present`.
+/// Reorders the ranks of the layer `packed` so that they share as many experts as possible with those of `current`.
 fn relabel(fresh: &Layer, present: &Layer) -> Layer {
     let shared = |old: &[u16], new: &[u16]| new.iter().filter(|expert| old.contains(expert)).count();
     let count = present.ranks.len();
@@ -208,11 +211,12 @@
     }
 }
 
-/// Changes each layer as far as that pays; if the budget does not reach, the price of a load is raised until it does.
+/// Changes each layer as far as that pays. If this exceeds the budget, the price of a replica load is raised until it
+/// does not.
 fn improve(counts: &Counts, present: &Map, costs: &Costs) -> Map {
     const RAISES: usize = 32;
     let mean = counts.total() / counts.shape().ranks as f64;
-    // Tokens by which the largest loads have to fall for one load to be worth its cost.
+    // Tokens by which the largest rank loads have to fall for one replica load to be worth its cost.
     let price = load_cost(costs) / costs.weight_skew.max(f64::MIN_POSITIVE) * mean;
     let candidates = candidates(counts, present, costs, price);
     let total = |price: f64| {
@@ -223,7 +227,7 @@
     };
     let mut paid = price;
     if total(price) > costs.move_budget {
-        // No load is worth more tokens than there are.
+        // No replica load is worth more tokens than were counted.
         let (mut low, mut high) = (price, counts.total());
         for _ in 0..RAISES {
             let middle = f64::midpoint(low, high);
@@ -244,7 +248,7 @@
     Map { layers }
 }
 
-/// Layers in which one load could pay at all.
+/// Layers in which at least one replica load could pay.
 fn candidates<'a>(counts: &'a Counts, present: &Map, costs: &Costs, price: f64) -> Vec<Candidate<'a>> {
     let shape = counts.shape();
     let search = |(layer, held): (usize, &Layer)| {
--- a/crates/sparscale_place/src/lib.rs
+++ b/crates/sparscale_place/src/lib.rs
@@ -1,5 +1,5 @@
-//! Expert placement: which rank holds which experts, when that changes, and how the change reaches all ranks in
-//! one step. Pure functions and state machines; nothing here reads a clock or a socket.
+//! Expert placement for a group of ranks: which rank holds which experts, when that changes, and how all ranks switch
+//! to a new map at the same step. Pure functions and state machines; nothing here reads a clock or a socket.
 
 pub mod barrier;
 pub mod baseline;
--- a/crates/sparscale_place/src/load.rs
+++ b/crates/sparscale_place/src/load.rs
@@ -1,10 +1,10 @@
-//! What a map means for the ranks' loads.
+//! How evenly an expert map spreads load over the ranks.
 
 use crate::counts::Counts;
 use crate::map::{Layer, Map};
 
-/// Step-time skew of `map` under `counts`: the sum over layers of the largest rank load, over the sum of the means.
-/// Every layer ends with a barrier, so each layer waits for its own slowest rank. 1 is perfect.
+/// Step-time skew of `map` under `counts`: the sum over layers of the largest rank load, divided by the sum of the mean
+/// rank loads. Every layer ends with a barrier, so each layer waits for its own slowest rank. 1 is perfect balance.
 pub fn skew(map: &Map, counts: &Counts) -> f64 {
     let mut largest = 0.0;
     let mut mean = 0.0;
@@ -17,7 +17,7 @@
     if mean > 0.0 { largest / mean } else { 1.0 }
 }
 
-/// Load of each rank in one layer: an expert's tokens are spread evenly over its replicas.
+/// Load of each rank in one layer, in tokens: an expert's tokens are spread evenly over its replicas.
 pub(crate) fn rank_loads(layer: &Layer, tokens: &[f64]) -> Vec<f64> {
     let replicas = replica_counts(layer, tokens.len());
     let share = |expert: &u16| {
--- a/crates/sparscale_place/src/map.rs
+++ b/crates/sparscale_place/src/map.rs
@@ -1,4 +1,4 @@
-//! The expert map of a group: for each layer, the experts that each rank holds.
+//! The expert map of a group: the experts that each rank holds in each layer.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,14 +11,14 @@
     pub layers: usize,
     /// Logical experts in each layer.
     pub experts: usize,
-    /// Expert replicas that fit on one rank, in each layer.
+    /// Expert replicas that fit on one rank in each layer.
     pub slots: usize,
 }
 
 /// One layer of a map.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Layer {
-    /// Experts that each rank holds, in rank order; at most `Shape::slots` for each.
+    /// Experts of each rank, in rank order; at most `Shape::slots` per rank.
     pub ranks: Vec<Vec<u16>>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Map {
-    /// The map that a group starts with: experts dealt out in order, spare slots left empty.
+    /// The map that a group starts with: experts are assigned to ranks round-robin, and spare slots stay empty.
     pub fn initial(shape: Shape) -> Self {
         let mut ranks = vec![Vec::with_capacity(shape.slots); shape.ranks];
         for expert in 0..shape.experts {
@@ -42,19 +42,19 @@
         }
     }
 
-    /// Whether every layer holds every expert and no rank holds more than fits.
+    /// Whether every layer holds every expert and no rank holds more replicas than it has slots.
     pub fn fits(&self, shape: Shape) -> bool {
         self.layers.len() == shape.layers && self.layers.iter().all(|layer| layer.fits(shape))
     }
 
-    /// Puts the experts of each rank in ascending order: two maps with the same experts in the same places are then equal.
+    /// Sorts the experts of each rank, so that two maps with the same experts on the same ranks are equal.
     pub fn sort(&mut self) {
         for rank in self.layers.iter_mut().flat_map(|layer| &mut layer.ranks) {
             rank.sort_unstable();
         }
     }
 
-    /// A number that differs between maps that differ (FNV-1a over all places).
+    /// Hash that tells different maps apart: FNV-1a over all ranks and their experts.
     pub fn digest(&self) -> u64 {
         const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
         const PRIME: u64 = 0x0100_0000_01b3;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Replicas that `next` holds and this map does not: what a switch to `next` has to load.
+    /// Number of replicas to load for a switch to `next`: those that `next` holds and this map does not.
     pub fn loads_of(&self, next: &Self) -> usize {
         let pairs = self.layers.iter().zip(&next.layers);
         pairs.map(|(old, new)| old.loads_of(new)).sum()
@@ -89,7 +89,7 @@
             && held.into_iter().all(|seen| seen)
     }
 
-    /// Replicas that `next` holds on a rank and this layer does not.
+    /// Number of replicas that the ranks of this layer have to load for a switch to `next`.
     pub fn loads_of(&self, next: &Self) -> usize {
         let pairs = self.ranks.iter().zip(&next.ranks);
         pairs
--- a/crates/sparscale_place/src/patch.rs
+++ b/crates/sparscale_place/src/patch.rs
@@ -1,26 +1,27 @@
-//! The difference between two maps: a change moves a few experts, and a map of a large group is long.
+//! The difference between two expert maps: a change moves a few experts, while the whole map of a large group is long.
 //!
-//! It goes to every rank of a group over the slim link of one box, so it is written as tightly as it can be: two experts
-//! that change places on each of 129 ranks take less than one packet, where a place each took 2 KB and a second and more to
-//! reach all of them.
+//! A patch goes to every rank of a group over the low-bandwidth link of one box, so its encoding is compact: exchanging
+//! two experts on each of 129 ranks takes less than one packet. With an entry for each place in the lists it took 2 KB,
+//! and more than a second to reach all ranks.
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, Snafu, ensure};
 
 use crate::map::Map;
 
-/// Marks a rank on which not just one expert gives way to another one.
+/// Marks a rank whose edit is not a plain replacement of one expert by another.
 const MIXED: u64 = 0;
 
-/// What turns one map into another.
+/// The edits that turn one map into another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
-    /// For each layer the number of ranks that change; for each of these the ranks that are skipped, then either the place
-    /// of the expert that gives way (from 1) and the one that takes it, or [`MIXED`] and two lists with their lengths.
+    /// Varints: for each layer the number of ranks that change; for each of these the number of ranks skipped before
+    /// it, then either the position of the removed expert (from 1) and the added expert, or [`MIXED`] and two lists,
+    /// each preceded by its length.
     edits: Vec<u8>,
-    /// Places that are taken or left.
+    /// Number of experts removed plus number of experts added, over all ranks and layers.
     places: u32,
-    /// Digest of the map that comes out.
+    /// Digest of the resulting map.
     digest: u64,
 }
 
@@ -30,7 +31,7 @@
 pub struct Mismatch;
 
 impl Patch {
-    /// What turns `old` into `new`, which has the same ranks and layers.
+    /// The patch that turns `old` into `new`, which has the same ranks and layers.
     pub fn between(old: &Map, new: &Map) -> Self {
         let mut edits = Vec::new();
         let mut places = 0;
@@ -56,17 +57,17 @@
         }
     }
 
-    /// Places that are taken or left.
+    /// Number of experts removed plus number of experts added, over all ranks and layers.
     pub fn places(&self) -> usize {
         self.places as usize
     }
 
-    /// Bytes that its edits take.
+    /// Encoded size of the edits, in bytes.
     pub fn bytes(&self) -> usize {
         self.edits.len()
     }
 
-    /// The map that comes out; experts of a rank are in ascending order, as in every map that is put in force.
+    /// Applies the patch to `old`. The experts of each rank end up in ascending order, as in every active map.
     pub fn apply(&self, old: &Map) -> Result<Map, Mismatch> {
         let mut map = old.clone();
         let mut edits = self.edits.as_slice();
@@ -85,12 +86,11 @@
     }
 }
 
-/// What changes on one rank of one layer.
+/// What changes on one rank in one layer.
 #[derive(Debug, Default)]
 struct Edit {
-    /// Places in the list of experts, ascending.
+    /// Positions in the rank's list of experts, ascending.
     removed: Vec<u64>,
-    /// Experts.
     added: Vec<u64>,
 }
 
@@ -158,7 +158,7 @@
     }
 }
 
-/// Writes seven bits a byte, the lowest first; the eighth tells that more follow.
+/// Writes a varint: seven bits per byte, the lowest first; the eighth bit is set if more bytes follow.
 fn put(bytes: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         bytes.push(number as u8 | 0x80);
--- a/crates/sparscale_place/src/popularity.rs
+++ b/crates/sparscale_place/src/popularity.rs
@@ -1,46 +1,47 @@
-//! Which experts are in demand now, from counts that arrive every moment.
+//! Which experts are in demand now, from samples of expert selection counts that arrive many times a second.
 //!
-//! Demand stands still for seconds and then shifts at once, to other experts. So a sample that differs from what was
-//! seen before by more than chance replaces it, and samples that agree are added up.
+//! Demand stays the same for seconds and then shifts abruptly to other experts. So a sample that differs from the
+//! earlier ones by more than chance replaces them, and samples that agree are added up.
 
 use std::time::Duration;
 
-/// Distance between two distributions, from 0 to 2, beyond which demand has shifted. A shift moves most of the
-/// demand; chance and the mix of the requests in progress move a few hundredths.
+/// Distance between two distributions, from 0 to 2, above which demand has shifted. A shift moves most of the demand;
+/// chance and the mix of running requests move a few hundredths.
 const SHIFTED: f64 = 0.35;
-/// Picks in a sample below which its distance says nothing.
+/// Selections in a sample below which its distance means nothing.
 const MIN_SAMPLE: f64 = 1_000.0;
 
-/// Experts of a set that are most wanted and by whose loss the moment of a shift is told.
+/// Most selected experts of a set that are checked for how much of a sample was recorded before a shift.
 const MOST_WANTED: usize = 5;
-/// Least of a sample that is worth taking out: experts that are wanted little have as much by chance.
+/// Smallest share of a sample that is worth subtracting as recorded before a shift: rarely selected experts keep as
+/// much by chance.
 const MIN_OLD_PART: f64 = 0.1;
-/// Most of a sample that is taken to be from before a shift.
+/// Largest share of a sample that is taken to be recorded before a shift.
 const MAX_OLD_PART: f64 = 0.8;
 
-/// Picks of each expert in each set.
+/// Decayed selection counts of each expert in each set of layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Popularity {
     experts: usize,
     half_life: Duration,
     picks: Vec<f64>,
-    /// Samples taken in since the last shift.
+    /// Samples recorded since the last shift.
     samples: u32,
 }
 
-/// What a sample meant.
+/// How a sample compares with the earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trend {
-    /// It agrees with what was seen before.
+    /// It agrees with the earlier samples and was added.
     Steady,
-    /// It replaced what was seen before.
+    /// It differs from the earlier samples and replaced them.
     Shifted,
-    /// It was too small to tell.
+    /// It is too small to compare.
     Small,
 }
 
 impl Popularity {
-    /// Nothing is known yet of `sets` sets of `experts` experts. A pick is worth half after `half_life`.
+    /// No counts yet, for `sets` sets of `experts` experts. A selection loses half its weight in each `half_life`.
     pub fn new(sets: usize, experts: usize, half_life: Duration) -> Self {
         Self {
             experts,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes in the picks of the last `span`, set by set. A sample of another shape is left out.
+    /// Records the selection counts of the last `span`, set by set. A sample of another shape is ignored.
     pub fn observe(&mut self, sample: &[f64], span: Duration) -> Trend {
         if sample.len() != self.picks.len() {
             return Trend::Small;
@@ -72,29 +73,29 @@
         Trend::Steady
     }
 
-    /// Picks of one set, expert by expert.
+    /// Selection counts of one set, one for each expert.
     pub fn set(&self, set: usize) -> &[f64] {
         &self.picks[set * self.experts..(set + 1) * self.experts]
     }
 
-    /// Samples since the last shift.
+    /// Number of samples since the last shift.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// All picks that are remembered.
+    /// Sum of all selection counts.
     pub fn total(&self) -> f64 {
         self.picks.iter().sum()
     }
 
-    /// Sets.
+    /// Number of sets.
     pub fn sets(&self) -> usize {
         self.picks.len() / self.experts.max(1)
     }
 
-    /// What of `sample` was picked after the shift in its span: an expert that lost its demand was picked before it only,
-    /// which tells how much of the sample is as old. Maps decided on samples as they came left a skew of 1.44 where 1.22
-    /// was foreseen, on the mean of 52 changes.
+    /// The part of `sample` that was recorded after a shift within its span. Experts that lost their demand were
+    /// selected only before the shift, so the share that they kept shows how much of the sample is older than it. Maps
+    /// decided on unfiltered samples left a skew of 1.44 where 1.22 was expected, on the mean of 52 changes.
     fn since_shift(&self, sample: &[f64]) -> Vec<f64> {
         let pairs = || self.picks.chunks(self.experts).zip(sample.chunks(self.experts));
         let mut parts: Vec<f64> = pairs().map(|(old, new)| old_part(old, new)).collect();
@@ -110,7 +111,7 @@
         left.collect()
     }
 
-    /// Mean over the sets of the distance between the distribution of `sample` and the one seen before.
+    /// Distance between the distribution of `sample` and that of the earlier samples, as the mean over the sets.
     fn distance(&self, sample: &[f64]) -> f64 {
         let sets = self.sets().max(1);
         let pairs = self.picks.chunks(self.experts).zip(sample.chunks(self.experts));
@@ -119,7 +120,8 @@
     }
 }
 
-/// Part of `new` that may still be `old`: the least that one of the most wanted experts of `old` kept of its share.
+/// Share of `new` that may still follow the distribution `old`: the smallest fraction of its share in `old` that one of
+/// the most selected experts of `old` kept.
 fn old_part(old: &[f64], new: &[f64]) -> f64 {
     let (old_sum, new_sum): (f64, f64) = (old.iter().sum(), new.iter().sum());
     if old_sum <= 0.0 || new_sum <= 0.0 {
--- a/crates/sparscale_place/src/refine.rs
+++ b/crates/sparscale_place/src/refine.rs
@@ -1,44 +1,45 @@
-//! The few loads that even a group's ranks out most, for groups in which demand shifts often and loads are quick.
+//! Finds the few replica loads that balance a group's ranks most, for groups whose demand shifts often and whose
+//! replicas load quickly.
 //!
-//! A fresh packing of all experts takes seconds to load; by then the demand has shifted again. So a change loads a few
-//! experts on each rank and is in force a moment later, and the next change goes on from there.
+//! Packing all experts from scratch takes seconds to load, and by then the demand has shifted again. So a change loads
+//! a few experts on each rank and is active a moment later, and the next change continues from there.
 
 use crate::map::{Layer, Map, Shape};
 use crate::popularity::Popularity;
 
-/// Experts of the most loaded rank that are looked at.
+/// Heaviest experts of the most loaded rank that are tried.
 const EXPERTS: usize = 6;
-/// Least loaded ranks that are looked at.
+/// Least loaded ranks that are tried as destinations.
 const RANKS: usize = 4;
 /// Share of a set's smooth largest load by which a change must lower it; less is noise.
 const MIN_GAIN: f64 = 0.004;
 
-/// What one change may load.
+/// Limits on what one change may load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Experts that one rank loads, over all sets: each takes as long as the one before.
+    /// Experts that one rank may load over all sets; they load one after the other, each in the same time.
     pub per_rank: usize,
-    /// Experts that one rank loads of one set.
+    /// Experts that one rank may load in one set.
     pub per_set: usize,
 }
 
-/// A map that is better than the one before.
+/// A refined map with its costs and gains.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refined {
     /// The new map.
     pub map: Map,
     /// Experts loaded, over all ranks.
     pub loads: u32,
-    /// Experts that the busiest loader loads.
+    /// Largest number of experts that one rank loads.
     pub deepest: u32,
-    /// Mean over the sets of the largest rank load over the mean, before.
+    /// Skew of the old map: the mean over the sets of the largest rank load divided by the mean rank load.
     pub before: f64,
-    /// The same after.
+    /// Skew of the new map.
     pub after: f64,
 }
 
-/// Improves `map` within `bounds`. `paces` tells how many times as long as usual each rank's work takes: a slow rank
-/// is to get as much less.
+/// Improves `map` within `limits`. `slowdowns` has a factor for each rank, 1 if nominal: a straggler gets
+/// proportionally less load.
 pub fn refine(popularity: &Popularity, map: &Map, shape: Shape, bounds: Bounds, paces: &[f64]) -> Refined {
     let mut sets: Vec<Set> = (0..shape.layers)
         .map(|set| Set::new(&map.layers[set], popularity.set(set), shape.slots, paces))
@@ -50,7 +51,7 @@
     while let Some(index) = best_of(&bests) {
         let Some(change) = bests[index].take() else { break };
         if change.loads_on.is_some_and(|rank| loaded[rank] >= bounds.per_rank) {
-            // Another set has used up the rank meanwhile.
+            // Changes of other sets have used up the limit of this rank.
             bests[index] = sets[index].best(&loaded, bounds);
             continue;
         }
@@ -75,7 +76,7 @@
     }
 }
 
-/// Mean over the sets of the largest rank load over the mean.
+/// Skew of `map`: the mean over the sets of the largest rank load divided by the mean rank load.
 pub fn skew_now(popularity: &Popularity, map: &Map, shape: Shape, paces: &[f64]) -> f64 {
     let sets = (0..shape.layers).map(|set| Set::new(&map.layers[set], popularity.set(set), shape.slots, paces));
     mean_skew(&sets.collect::<Vec<_>>())
@@ -94,7 +95,7 @@
     total / sets.len().max(1) as f64
 }
 
-/// One set while it is being improved. Loads are times, relative to the mean of ranks at their usual pace.
+/// One set of layers during refinement. Loads are times, relative to the mean of ranks without slowdown.
 #[derive(Debug, Clone)]
 struct Set<'a> {
     tokens: &'a [f64],
@@ -105,7 +106,7 @@
     holders: Vec<Vec<usize>>,
     paces: &'a [f64],
     loads: Vec<f64>,
-    /// Experts that each rank has loaded of this set.
+    /// Number of experts that each rank has loaded in this set.
     loaded: Vec<usize>,
 }
 
@@ -113,12 +114,12 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Change {
     gain: f64,
-    /// Rank that loads an expert.
+    /// Rank that loads an expert, if any.
     loads_on: Option<usize>,
     edits: Vec<Edit>,
 }
 
-/// One place that is filled or cleared.
+/// Adds a replica to a rank or drops one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Edit {
     Add { expert: u16, rank: usize },
@@ -156,7 +157,7 @@
         self.paces.get(rank).copied().unwrap_or(1.0)
     }
 
-    /// Load that an expert puts on each rank that holds it, at its usual pace.
+    /// Load that an expert puts on each rank that holds it, without slowdown.
     fn share(&self, expert: u16) -> f64 {
         let expert = usize::from(expert);
         self.tokens[expert] * self.scale / self.holders[expert].len().max(1) as f64
@@ -193,7 +194,7 @@
         held
     }
 
-    /// Ways to take load of `expert` off rank `hot`.
+    /// Changes that take load of `expert` off rank `source`.
     fn changes(&self, expert: u16, hot: usize, loaded: &[usize], bounds: Bounds) -> Vec<Change> {
         let change = |loads_on, edits| Change {
             gain: 0.0,
@@ -233,7 +234,7 @@
         ranks
     }
 
-    /// The expert on `rank` whose loss moves least load, of those that others hold too.
+    /// The expert on `rank` with the smallest load, of those that have other replicas.
     fn lightest_copy(&self, rank: usize) -> Option<u16> {
         let copies = self.ranks[rank]
             .iter()
@@ -242,7 +243,7 @@
         copies.min_by(|left, right| self.share(*left).total_cmp(&self.share(*right)))
     }
 
-    /// Loads after `edits`, from the present ones: only holders of the experts that move are touched.
+    /// Loads after `edits`; only holders of the experts that move are updated.
     fn loads_after(&self, edits: &[Edit]) -> Vec<f64> {
         let mut loads = self.loads.clone();
         let mut experts: Vec<u16> = edits.iter().map(|edit| edit.expert()).collect();
@@ -295,7 +296,7 @@
     }
 }
 
-/// A smooth stand-in for the largest of `loads`: their 16-norm, which also rewards lowering those that are nearly
+/// A smooth approximation of the largest of `loads`: their 16-norm, which also rewards lowering those that are nearly
 /// largest.
 fn norm(loads: &[f64]) -> f64 {
     let largest = loads.iter().copied().fold(0.0, f64::max);
--- a/crates/sparscale_place/src/search.rs
+++ b/crates/sparscale_place/src/search.rs
@@ -1,20 +1,21 @@
-//! Local search in one layer: the one change of the present map that helps most.
+//! Local search in one layer: finds the single change of the current placement that helps most, again and again.
 
 use crate::load::rank_loads;
 use crate::map::Layer;
 
-/// Exponent of the norm that stands for the largest rank load; it also rewards lowering ranks that are nearly largest.
+/// Exponent of the norm that approximates the largest rank load; it also rewards lowering ranks that are nearly
+/// largest.
 const NORM: i32 = 16;
 /// Share of the norm by which a change must lower it; less is noise.
 const MIN_GAIN: f64 = 5e-4;
-/// Experts of the most loaded rank that are looked at.
+/// Heaviest experts of the most loaded rank that are tried.
 const EXPERTS: usize = 8;
-/// Most loaded ranks that are looked at, one after the other, until one can be helped.
+/// Most loaded ranks that are tried, one after the other, until a change helps one.
 const HOT_RANKS: usize = 1;
-/// Least loaded ranks that are looked at.
+/// Least loaded ranks that are tried as destinations.
 const RANKS: usize = 4;
 
-/// One layer with what the search needs to know about it.
+/// One layer with the loads and holders that the search keeps up to date.
 #[derive(Debug, Clone)]
 pub(crate) struct LayerSearch<'a> {
     layer: Layer,
@@ -30,27 +31,27 @@
 pub(crate) struct Change {
     /// Expert that gets another replica.
     expert: u16,
-    /// Rank that it is loaded on.
+    /// Rank that loads it.
     to: usize,
-    /// What happens to the slot that it takes.
+    /// How the expert gets a slot on that rank.
     slot: Slot,
-    /// Whether the replica on the most loaded rank goes, and from where.
+    /// Rank that drops its replica of the expert, if the expert is moved rather than copied.
     leaves: Option<usize>,
-    /// By how much the norm of the loads falls, in tokens.
+    /// Decrease of the norm of the rank loads, in tokens.
     gain: f64,
     /// Replicas that have to be loaded.
     loads: u32,
 }
 
-/// Changes of one layer, one after the other, and where each leads.
+/// Successive changes of one layer and the point that each leads to.
 #[derive(Debug, Clone)]
 pub(crate) struct Path {
     changes: Vec<Change>,
-    /// Loads spent and largest rank load, before the first change and after each.
+    /// Points before the first change and after each one.
     pub(crate) points: Vec<Point>,
 }
 
-/// A place on a path.
+/// State of a layer along a path.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Point {
     /// Replicas loaded so far.
@@ -61,11 +62,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Slot {
-    /// It is free.
+    /// The slot is free.
     Free,
-    /// A replica of this expert goes; others are left.
+    /// This expert is dropped; it has other replicas.
     Evict(u16),
-    /// This expert takes the place that the moved one leaves.
+    /// This expert moves to the slot that the moved expert leaves.
     Swap(u16),
 }
 
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Follows the best change, again and again, until none helps, the largest load is down to `goal`, or `budget`
-    /// loads are spent.
+    /// Applies the best change again and again, until none helps, the largest load is down to `goal`, or `budget`
+    /// replicas are loaded.
     pub(crate) fn path(mut self, goal: f64, budget: u32) -> Path {
         let mut loads = 0;
         let mut path = Path {
@@ -129,7 +130,7 @@
         Point { loads, largest }
     }
 
-    /// The change with the largest gain for each load, if any gains.
+    /// The change with the largest gain per replica load, if any gains.
     fn best(&self) -> Option<Change> {
         let before = norm(&self.loads);
         let hottest = self.hottest();
@@ -156,7 +157,7 @@
         best
     }
 
-    /// Carries `change` out.
+    /// Applies `change` and updates loads and holders.
     fn apply(&mut self, change: Change) {
         self.loads = self.loads_after(change);
         self.edit(change);
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Rank loads after `change`, from the present ones: only holders of the experts that move are touched.
+    /// Rank loads after `change`; only holders of the experts that move are updated.
     fn loads_after(&self, change: Change) -> Vec<f64> {
         let mut loads = self.loads.clone();
         self.shift(&mut loads, change.expert, Some(change.to), change.leaves);
@@ -200,7 +201,7 @@
         loads
     }
 
-    /// Moves the share of `expert` when one rank gets it and another loses it.
+    /// Redistributes the tokens of `expert` when a rank gains a replica, another loses one, or both.
     fn shift(&self, loads: &mut [f64], expert: u16, gets: Option<usize>, loses: Option<usize>) {
         let expert = usize::from(expert);
         let holders = &self.holders[expert];
@@ -239,7 +240,8 @@
         ranks
     }
 
-    /// Ways to bring `expert` from `hot` to `to`: another replica, or a move in exchange for a lighter expert.
+    /// Changes that bring `expert` from rank `source` to `destination`: another replica, or a move, if need be in
+    /// exchange for a lighter expert.
     fn changes(&self, expert: u16, hot: usize, to: usize) -> Vec<Change> {
         let change = |slot, leaves, loads| Change {
             expert,
@@ -286,7 +288,7 @@
     holders
 }
 
-/// A smooth stand-in for the largest of `loads`.
+/// A smooth approximation of the largest of `loads`.
 fn norm(loads: &[f64]) -> f64 {
     let largest = loads.iter().copied().fold(0.0, f64::max);
     if largest <= 0.0 {
--- a/crates/sparscale_place/src/switch/conductor.rs
+++ b/crates/sparscale_place/src/switch/coordinator.rs
@@ -1,62 +1,63 @@
-//! The placer's side of a switch: from the ranks' latest reports to the next orders.
+//! The placer side of a map switch: turns the ranks' latest reports into the next orders.
 
 use super::{Act, Change, Order, Plan, Report};
 
-/// Steps between the highest step reported and the step that ranks are armed for.
+/// Steps between the highest reported step and the step that ranks are armed for.
 ///
-/// Large enough that orders reach all ranks before the step comes up, small enough to keep a switch short.
+/// Large enough that orders reach all ranks before the step begins, small enough to keep a switch short.
 const LEAD_STEPS: u64 = 40;
 
-/// How far a switch has come.
+/// Phase of a switch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// Not every rank has answered under this fence.
     Enlisting,
     /// Some rank has no plan yet.
     Joining,
-    /// Weights are loading.
+    /// Ranks are loading weights.
     Staging,
     /// Ranks are being armed.
     Arming,
-    /// Ranks are being disarmed, to try again at a later step.
+    /// Ranks are being disarmed before an attempt at a later step.
     Disarming,
     /// The change is decided; ranks are being released.
     Releasing,
-    /// Every rank is released; the step has not come up everywhere.
+    /// Every rank is released; some have not begun the step of the change.
     Switching,
-    /// Every rank runs the goal.
+    /// Every rank runs the goal map.
     Done,
     /// A rank has seen a higher fence: another placer has taken over.
     Overtaken,
-    /// Every rank is new, and orders under this fence may still be on their way: only a higher fence helps.
+    /// No rank has a plan, and orders to join with different plans may still arrive under this fence: only a higher
+    /// fence helps.
     Stuck,
 }
 
-/// Drives the ranks of one group to one map under one fence.
+/// Drives all ranks of one group to one map under one fence.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Conductor {
     fence: u64,
     goal: u64,
     reports: Vec<Option<Report>>,
-    /// The change that ranks are being armed for; a step is never tried twice.
+    /// The change that ranks are being armed for. No step is attempted twice.
     attempt: Option<Change>,
-    /// Highest step that was ever tried under this fence.
+    /// Highest step of all attempts under this fence.
     tried: u64,
-    /// The change that some rank was told to run: it is never taken back, whatever late reports say.
+    /// The change that some rank was ordered to run: it is never undone, whatever late reports show.
     released: Option<Change>,
-    /// Plans that ranks were told to join with under this fence.
+    /// Plans that ranks were ordered to join with under this fence.
     joined: Vec<Plan>,
     lead: u64,
     overtaken: bool,
 }
 
 impl Conductor {
-    /// A conductor of `ranks` ranks towards map `goal`.
+    /// A coordinator that drives `ranks` ranks to map `goal`.
     pub fn new(fence: u64, ranks: usize, goal: u64) -> Self {
         Self::with_lead(fence, ranks, goal, LEAD_STEPS)
     }
 
-    /// The same with another lead, in steps.
+    /// Like `new`, with another lead.
     pub fn with_lead(fence: u64, ranks: usize, goal: u64, lead: u64) -> Self {
         Self {
             fence,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes in a rank's answer.
+    /// Records a rank's report; reports under a lower fence are ignored.
     pub fn reported(&mut self, rank: usize, report: Report) {
         if report.fence > self.fence {
             self.overtaken = true;
@@ -81,17 +82,17 @@
         }
     }
 
-    /// Takes in that a rank did not answer or was replaced: what it said before counts no more.
+    /// Discards the report of a rank that did not answer or was replaced.
     pub fn lost(&mut self, rank: usize) {
         self.reports[rank] = None;
     }
 
-    /// Gives up the attempt to arm, for example because a rank stays unreachable.
+    /// Abandons the attempt to arm, for example because a rank stays unreachable.
     pub fn abandon_attempt(&mut self) {
         self.attempt = None;
     }
 
-    /// How far the switch has come.
+    /// Phase of the switch.
     pub fn progress(&self) -> Progress {
         if self.overtaken {
             return Progress::Overtaken;
@@ -123,7 +124,7 @@
         Progress::Staging
     }
 
-    /// The next order for each rank; ranks that have nothing to do are asked to report.
+    /// The next order for each rank; a rank with nothing to do is asked for its state.
     pub fn orders(&mut self) -> Vec<Order> {
         let progress = self.progress();
         if progress == Progress::Arming && self.attempt.is_none() {
@@ -140,7 +141,7 @@
     fn remember(&mut self, act: Act) {
         match act {
             Act::Release(change) => self.released = Some(change),
-            // A rank that was told to disarm may do so late: that step must never be released.
+            // A rank may carry out an order to disarm late, so this step must never be released.
             Act::Disarm(change) if self.attempt == Some(change) => self.attempt = None,
             Act::Join { plan, .. } if !self.joined.contains(&plan) => self.joined.push(plan),
             _ => {}
@@ -168,10 +169,10 @@
         wanted.unwrap_or(Act::Enlist)
     }
 
-    /// While a rank is out of reach, the others must not stay held for an attempt that was given up.
+    /// Disarms ranks of an abandoned attempt, so that they do not stay held while another rank is unreachable.
     ///
-    /// An attempt of this conductor is made only after all ranks had answered under its fence and none was released;
-    /// so if it has released nobody, nobody has, and taking its own promises back is safe.
+    /// This coordinator begins an attempt only after all ranks have answered under its fence and none was released. So
+    /// if it has released no rank, none is released, and cancelling its own attempts is safe.
     fn disarm_abandoned(&self, report: &Report) -> Option<Act> {
         let armed = report.armed?;
         let own = armed.at <= self.tried && armed.number == self.goal;
@@ -194,8 +195,8 @@
         (report.armed != Some(attempt)).then_some(Act::Arm(attempt))
     }
 
-    /// A new rank is given the plan of the others. While nothing is decided, armed ranks are disarmed first, so
-    /// that the plan it is given is the one that the others will follow.
+    /// Gives a new rank the plan of the others. While no change is decided, armed ranks are disarmed first, so that the
+    /// others follow the plan that the new rank is given.
     fn join_or_disarm(&self, report: &Report) -> Option<Act> {
         let reports = self.complete()?;
         let undecided = self.decided(&reports).is_none();
@@ -207,9 +208,9 @@
         report.plan.is_none().then_some(Act::Join { plan, incarnation })
     }
 
-    /// The plan that a new rank has to follow to run every coming step like the others.
+    /// The plan under which a new rank runs every coming step on the same map as the others.
     ///
-    /// If every rank is new, any plan will do, but an earlier order to join may still be on its way: its plan it is.
+    /// If every rank is new, any plan will do, but an earlier order to join may still arrive, so its plan is used.
     fn common_plan(&self, reports: &[Report]) -> Plan {
         let plans = || reports.iter().filter_map(|report| report.plan);
         let pending = plans().find(|plan| plan.next.is_some());
@@ -222,9 +223,9 @@
         })
     }
 
-    /// The change that some rank was released for: from then on every rank must be.
+    /// The change that some rank was released for; every rank must then be released for it.
     fn decided(&self, reports: &[Report]) -> Option<Change> {
-        // While a rank is not there yet, a change that was ordered stands, whatever a late report says.
+        // Until every rank runs an ordered change, that change stays decided, whatever a late report shows.
         let arrived = |report: &Report, change: Change| {
             report
                 .plan
@@ -253,7 +254,7 @@
         reports.iter().all(armed)
     }
 
-    /// Whether a rank is armed for something else than the present attempt, or cannot be armed for it any more.
+    /// Whether a rank is armed for a change other than the current attempt.
     fn is_stray(&self, report: &Report) -> bool {
         match (report.armed, self.attempt) {
             (Some(armed), Some(attempt)) => armed != attempt,
@@ -270,7 +271,7 @@
         self.attempt = Some(Change { number: self.goal, at });
     }
 
-    /// Drops the attempt if a rank has reached its step unarmed: it would refuse to be armed.
+    /// Abandons the attempt if a rank has reached its step unarmed: that rank would refuse to be armed.
     pub fn drop_missed_attempt(&mut self) {
         let Some(attempt) = self.attempt else { return };
         let missed = |report: &Report| report.armed != Some(attempt) && report.step >= attempt.at;
@@ -291,13 +292,13 @@
     Progress::Switching
 }
 
-/// The change that a report shows as released.
+/// The change that the reports show as released.
 fn decided_by(reports: &[Report]) -> Option<Change> {
     let pending = reports.iter().find_map(|report| report.plan.and_then(|plan| plan.next));
     if pending.is_some() {
         return pending;
     }
-    // A rank that runs the map already has no change pending; another may still be armed for it.
+    // A rank that already runs the map has no pending change, while another may still be armed for it.
     let armed = reports.iter().find_map(|report| report.armed)?;
     let runs = |report: &Report| report.plan.is_some_and(|plan| plan.number == armed.number);
     reports.iter().any(runs).then_some(armed)
--- a/crates/sparscale_place/src/switch/mod.rs
+++ b/crates/sparscale_place/src/switch/mod.rs
@@ -1,37 +1,38 @@
-//! How all ranks of a group change to another expert map in one step.
+//! Switches all ranks of a group to another expert map at the same step, for engines that ask their rank before each
+//! step.
 //!
-//! The placer stages the map on every rank, arms every rank for a step `at` (the rank promises not to begin that
-//! step before a word), and releases them only when all are armed. [`Rank`] is the rank's side, [`Conductor`] the
-//! placer's. Both are pure; every message may be lost, late, doubled or out of order.
+//! The placer stages the map on every rank and arms every rank for a step `at`; an armed rank does not begin that step
+//! before it is released or disarmed. Ranks are released only when all of them are armed. [`Rank`] is the rank side,
+//! the coordinator is the placer side. Both are pure; every message may be lost, delayed, duplicated or reordered.
 
-mod conductor;
+mod coordinator;
 mod rank;
 
-pub use conductor::{Conductor, Progress};
+pub use coordinator::{Conductor, Progress};
 pub use rank::Rank;
 
 use serde::{Deserialize, Serialize};
 
-/// A change of map that happens at one step.
+/// A change of map that takes effect at one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// Number of the new map.
     pub number: u64,
-    /// First step that runs on it.
+    /// First step that runs on the new map.
     pub at: u64,
 }
 
-/// Which map a rank uses in which step.
+/// Which map a rank uses at which step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Number of the map in use.
+    /// Number of the active map.
     pub number: u64,
-    /// Released change that has not come due.
+    /// Released change whose step has not begun yet.
     pub next: Option<Change>,
 }
 
 impl Plan {
-    /// Number of the map that step `step` runs on.
+    /// Number of the map that `step` runs on.
     pub fn at(&self, step: u64) -> u64 {
         match self.next {
             Some(change) if step >= change.at => change.number,
@@ -43,52 +44,52 @@
 /// An order to one rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Fence of the placer; a rank refuses orders below the highest it has seen.
+    /// Fence of the placer; a rank refuses orders below the highest fence that it has seen.
     pub fence: u64,
-    /// What to do.
+    /// Action to carry out.
     pub act: Act,
 }
 
-/// What a rank is told to do.
+/// Action that an order requests from a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Act {
-    /// Only report, and refuse older fences from now on.
+    /// Report the state, and refuse lower fences from now on.
     Enlist,
-    /// Load what map `number` needs beside the present one.
+    /// Load what map `number` needs beside the active map.
     Stage {
         /// Number of the map.
         number: u64,
     },
-    /// Promise not to begin step `at` before a word.
+    /// Do not begin step `at` before the change is released or disarmed.
     Arm(Change),
     /// Run step `at` on the armed map.
     Release(Change),
-    /// Take the promise back.
+    /// Cancel the armed change.
     Disarm(Change),
-    /// Start with this plan; only for a rank that has none, and only for this incarnation of it: a late copy must
-    /// not give a later incarnation a plan that the others have left.
+    /// Start with this plan. Only for a rank without a plan, and only for this incarnation of it: a delayed duplicate
+    /// must not give a later incarnation a plan that the other ranks no longer follow.
     Join {
         /// Plan of the other ranks.
         plan: Plan,
-        /// Incarnation of the rank that is meant.
+        /// Incarnation of the rank that the order is for.
         incarnation: u64,
     },
 }
 
-/// A rank's state, in answer to an order.
+/// State of a rank, in answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// Incarnation of the rank.
     pub incarnation: u64,
     /// Highest fence that the rank has seen.
     pub fence: u64,
-    /// Whether the order was carried out, now or before.
+    /// Whether the order was carried out, now or earlier.
     pub done: bool,
     /// Highest step that the rank has begun.
     pub step: u64,
-    /// Its plan; none for a rank that is new in its group.
+    /// Plan of the rank; none for a rank that is new in its group.
     pub plan: Option<Plan>,
-    /// Number of the map that is loaded beside the present one.
+    /// Number of the map that is loaded beside the active one.
     pub staged: Option<u64>,
     /// Change that the rank is armed for.
     pub armed: Option<Change>,
--- a/crates/sparscale_place/src/switch/rank.rs
+++ b/crates/sparscale_place/src/switch/rank.rs
@@ -1,10 +1,10 @@
-//! The rank's side of a switch.
+//! The rank side of a map switch.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Act, Change, Order, Plan, Report};
 
-/// State of one rank. The engine asks it before each step.
+/// Switch state of one rank. The engine asks it before each step.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rank {
     incarnation: u64,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A rank that is new in a group that runs already: it begins no step before it is told the group's plan.
+    /// A rank that joins a running group: it begins no step before it receives the group's plan.
     pub fn joining(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -41,8 +41,8 @@
         self.fence = self.fence.max(fence);
     }
 
-    /// Carries out `order` if its fence holds and the state allows it. `loaded` tells whether the weights of the
-    /// map that a [`Act::Stage`] names are in memory already.
+    /// Carries out `order` if its fence is high enough and the state allows it. `loaded` says whether the weights of
+    /// the map in an [`Act::Stage`] are already in memory.
     pub fn order(&mut self, order: &Order, loaded: bool) -> Report {
         if order.fence < self.fence {
             return self.report(false);
@@ -59,7 +59,7 @@
         self.report(done)
     }
 
-    /// Asks to begin `step`: the number of the map to run it on, or none if the rank has to hold.
+    /// Begins `step` and returns the number of the map to run it on, or none if the rank has to wait.
     pub fn begin(&mut self, step: u64) -> Option<u64> {
         let plan = self.plan?;
         if self.armed.is_some_and(|armed| step >= armed.at) {
@@ -74,7 +74,7 @@
         Some(number)
     }
 
-    /// The map that [`Rank::begin`] would give for `step`, without beginning it.
+    /// The number of the map that `step` would run on, without beginning the step.
     pub fn peek(&self, step: u64) -> Option<u64> {
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
@@ -82,7 +82,7 @@
         self.plan.map(|plan| plan.at(step))
     }
 
-    /// The state as reported.
+    /// The state as a report; `done` says whether the order was carried out.
     pub fn report(&self, done: bool) -> Report {
         Report {
             incarnation: self.incarnation,
@@ -102,7 +102,7 @@
         if in_use || self.armed.is_some() {
             return false;
         }
-        // While weights load, what was staged before is overwritten and must not be armed.
+        // Loading overwrites the map that was staged before, so that map must not be armed any more.
         self.staged = loaded.then_some(number);
         loaded
     }
@@ -111,7 +111,7 @@
         let Some(plan) = self.plan else { return false };
         let too_late = self.step >= change.at;
         let not_ready = self.staged != Some(change.number) || plan.next.is_some();
-        // An order that was overtaken by a later one must not bring the older step back.
+        // A delayed order to arm for an earlier step must not replace a later one.
         let overtaken = self.armed.is_some_and(|armed| armed.at > change.at);
         if too_late || not_ready || overtaken {
             return false;
