--- a/crates/sparscale_place/src/barrier/coordinator.rs
+++ b/crates/sparscale_place/src/barrier/coordinator.rs
@@ -33,34 +33,34 @@
 struct Guard {
     rank: usize,
     step: u64,
-    placed: bool,
+    is_placed: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
     /// Every rank's state has to be read once.
     Survey {
-        looked: Vec<bool>,
+        observed: Vec<bool>,
     },
     /// Guard holds are being placed; then every rank is disarmed and all holds are released.
     Guard {
         guards: Vec<Guard>,
     },
     /// Every rank has to be disarmed under the current fence.
-    Undo {
-        fenced: Vec<bool>,
+    DisarmAll {
+        disarmed: Vec<bool>,
     },
     /// All holds are being released.
-    Open,
+    ReleaseAll,
     /// A hold that may have been placed is being released; no rank was armed for it.
-    Lift {
-        looked: bool,
+    ReleaseStray {
+        observed: bool,
     },
     Idle,
     /// Ranks that have not acknowledged the order to load the map are sent it.
     Stage {
         number: u64,
-        begun: Vec<bool>,
+        acknowledged: Vec<bool>,
     },
     Hold {
         number: u64,
@@ -88,45 +88,45 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Conductor {
     /// Rank beside the coordinator; it places the hold of a change.
-    own: usize,
+    own_rank: usize,
     /// Steps between the highest step seen and the step to hold.
-    lead: u64,
+    lead_steps: u64,
     epoch: u64,
     fence: u64,
     serial: u64,
     members: Vec<Member>,
     phase: Phase,
-    /// Steps of this coordinator's holds that may still be placed late, because the order got no answer.
-    strays: Vec<u64>,
+    /// Steps of abandoned holds of this coordinator that may still be placed late.
+    unconfirmed_holds: Vec<u64>,
     /// Whether the last change was undone, or lost when the group re-formed.
-    failed: bool,
+    change_failed: bool,
     overtaken: bool,
     /// Number of surveys begun.
-    surveys: u64,
+    survey_count: u64,
     /// Whether a rank is unresponsive; a hold placed now might last until it responds.
-    silent: bool,
+    has_unresponsive_rank: bool,
 }
 
 impl Conductor {
     /// A coordinator for `ranks` ranks that runs beside rank `own_rank`. `fence` is its first fence: it must exceed the
     /// fences of all earlier coordinators, and the first fence of each later one must leave room for two fences per
     /// change.
-    pub fn new(ranks: usize, own: usize, fence: u64) -> Self {
+    pub fn new(ranks: usize, own_rank: usize, fence: u64) -> Self {
         Self {
-            own,
-            lead: 1,
+            own_rank,
+            lead_steps: 1,
             epoch: 0,
             fence,
             serial: 0,
             members: vec![Member::default(); ranks],
             phase: Phase::Survey {
-                looked: vec![false; ranks],
+                observed: vec![false; ranks],
             },
-            strays: Vec::new(),
-            failed: false,
+            unconfirmed_holds: Vec::new(),
+            change_failed: false,
             overtaken: false,
-            surveys: 1,
-            silent: false,
+            survey_count: 1,
+            has_unresponsive_rank: false,
         }
     }
 
@@ -138,7 +138,7 @@
         match &self.phase {
             Phase::Survey { .. } => Progress::Surveying,
             Phase::Guard { .. } => Progress::Recovering,
-            Phase::Undo { .. } | Phase::Open | Phase::Lift { .. } => Progress::Undoing,
+            Phase::DisarmAll { .. } | Phase::ReleaseAll | Phase::ReleaseStray { .. } => Progress::Undoing,
             Phase::Idle => Progress::Idle,
             Phase::Stage { .. } => Progress::Staging,
             Phase::Hold { .. } => Progress::Holding,
@@ -169,26 +169,28 @@
 
     /// Number of surveys begun; many in a row mean that the ranks' states do not agree.
     pub fn surveys(&self) -> u64 {
-        self.surveys
+        self.survey_count
     }
 
     /// Ranks that the current phase still waits for.
     pub fn awaited(&self) -> Vec<usize> {
-        let missing = |done: &dyn Fn(usize) -> bool| (0..self.members.len()).filter(|rank| !done(*rank)).collect();
-        let shows = |test: &dyn Fn(&View) -> bool| missing(&|rank| self.view(rank).as_ref().is_some_and(test));
+        let ranks_not_done =
+            |done: &dyn Fn(usize) -> bool| (0..self.members.len()).filter(|rank| !done(*rank)).collect();
+        let ranks_without =
+            |test: &dyn Fn(&View) -> bool| ranks_not_done(&|rank| self.view(rank).as_ref().is_some_and(test));
         match &self.phase {
-            Phase::Survey { looked } => missing(&|rank| looked[rank]),
-            Phase::Undo { fenced } => missing(&|rank| fenced[rank]),
+            Phase::Survey { observed } => ranks_not_done(&|rank| observed[rank]),
+            Phase::DisarmAll { disarmed } => ranks_not_done(&|rank| disarmed[rank]),
             Phase::Guard { guards } => guards
                 .iter()
-                .filter(|guard| !guard.placed)
+                .filter(|guard| !guard.is_placed)
                 .map(|guard| guard.rank)
                 .collect(),
-            Phase::Open => shows(&|view| view.held.is_none()),
-            Phase::Stage { number, .. } => shows(&|view| view.staged == Some(*number)),
-            Phase::Arm { change } => shows(&|view| view.armed == Some(*change)),
-            Phase::Settle { change } => shows(&|view| view.map == change.number),
-            Phase::Lift { .. } | Phase::Hold { .. } | Phase::Release { .. } => vec![self.own],
+            Phase::ReleaseAll => ranks_without(&|view| view.held.is_none()),
+            Phase::Stage { number, .. } => ranks_without(&|view| view.staged == Some(*number)),
+            Phase::Arm { change } => ranks_without(&|view| view.armed == Some(*change)),
+            Phase::Settle { change } => ranks_without(&|view| view.map == change.number),
+            Phase::ReleaseStray { .. } | Phase::Hold { .. } | Phase::Release { .. } => vec![self.own_rank],
             Phase::Idle => Vec::new(),
         }
     }
@@ -206,7 +208,7 @@
 
     /// Whether the last change was undone, or lost when the group re-formed; reading clears the flag.
     pub fn take_failure(&mut self) -> bool {
-        std::mem::take(&mut self.failed)
+        std::mem::take(&mut self.change_failed)
     }
 
     /// Number of the map that all ranks use, if no change is under way.
@@ -217,15 +219,15 @@
     }
 
     /// Sets the number of steps (at least 1) between the highest step seen and the step to hold.
-    pub fn set_lead(&mut self, lead: u64) {
-        self.lead = lead.max(1);
+    pub fn set_lead_steps(&mut self, lead_steps: u64) {
+        self.lead_steps = lead_steps.max(1);
     }
 
     /// Records whether a rank is unresponsive. No hold is begun while one is: a rank that is armed, or may be, and does
     /// not respond keeps the whole group held until it does.
-    pub fn set_silent(&mut self, silent: bool) {
-        if self.silent != silent {
-            self.silent = silent;
+    pub fn set_silent(&mut self, unresponsive: bool) {
+        if self.has_unresponsive_rank != unresponsive {
+            self.has_unresponsive_rank = unresponsive;
             self.advance();
         }
     }
@@ -233,25 +235,25 @@
     /// Starts a change to map `number`, which no rank has staged before in this epoch. Returns false if a change is
     /// under way or a rank holds the group.
     pub fn begin(&mut self, number: u64) -> bool {
-        if self.phase != Phase::Idle || self.overtaken || self.any(|view| view.held.is_some()) {
+        if self.phase != Phase::Idle || self.overtaken || self.any_view(|view| view.held.is_some()) {
             return false;
         }
         self.fence += 1;
-        let begun = vec![false; self.members.len()];
-        self.phase = Phase::Stage { number, begun };
+        let acknowledged = vec![false; self.members.len()];
+        self.phase = Phase::Stage { number, acknowledged };
         true
     }
 
     /// Abandons the change under way, unless it can no longer be undone.
     pub fn abandon(&mut self) {
         match &self.phase {
-            Phase::Stage { .. } => self.fail(Phase::Idle),
+            Phase::Stage { .. } => self.fail_change(Phase::Idle),
             Phase::Hold { step, .. } => {
                 // No rank has been ordered to arm yet, so only the hold has to be undone, even if it is placed late.
-                self.strays.push(*step);
-                self.fail(Phase::Lift { looked: false });
+                self.unconfirmed_holds.push(*step);
+                self.fail_change(Phase::ReleaseStray { observed: false });
             }
-            Phase::Arm { .. } => self.undo(),
+            Phase::Arm { .. } => self.undo_change(),
             _ => {}
         }
     }
@@ -266,7 +268,7 @@
             if self.members[rank].pending.is_some() {
                 continue;
             }
-            let Some(act) = self.wanted(rank) else { continue };
+            let Some(act) = self.next_act(rank) else { continue };
             self.serial += 1;
             let order = Order {
                 serial: self.serial,
@@ -306,7 +308,7 @@
         let pending = member.pending.filter(|order| order.serial == report.serial);
         if let (Some(order), Some(answer)) = (pending, report.answer) {
             member.pending = None;
-            self.answered(rank, order, answer, report.view);
+            self.handle_answer(rank, order, answer, report.view);
         }
         self.advance();
     }
@@ -316,97 +318,101 @@
         let Some(order) = self.members.get_mut(rank).and_then(|member| member.pending.take()) else {
             return;
         };
-        self.answered(rank, order, Answer::Silent, None);
+        self.handle_answer(rank, order, Answer::Silent, None);
         self.advance();
     }
 
-    fn wanted(&self, rank: usize) -> Option<Act> {
+    fn next_act(&self, rank: usize) -> Option<Act> {
         let view = self.members[rank].view;
         match &self.phase {
-            Phase::Survey { looked } => (!looked[rank]).then_some(Act::Look),
+            Phase::Survey { observed } => (!observed[rank]).then_some(Act::Look),
             Phase::Guard { guards } => guards
                 .iter()
-                .find(|guard| guard.rank == rank && !guard.placed)
+                .find(|guard| guard.rank == rank && !guard.is_placed)
                 .map(|guard| Act::Hold { step: guard.step }),
-            Phase::Undo { fenced } => (!fenced[rank]).then(|| Act::Disarm {
+            Phase::DisarmAll { disarmed } => (!disarmed[rank]).then(|| Act::Disarm {
                 number: view
                     .and_then(|view| view.armed)
                     .map_or(self.fence, |armed| armed.number),
             }),
-            Phase::Open => view?.held.map(|step| Act::Release { step }),
-            Phase::Lift { looked } if rank == self.own => {
-                if *looked {
-                    self.lift(view)
+            Phase::ReleaseAll => view?.held.map(|step| Act::Release { step }),
+            Phase::ReleaseStray { observed } if rank == self.own_rank => {
+                if *observed {
+                    self.release_stray_hold(view)
                 } else {
                     Some(Act::Look)
                 }
             }
-            Phase::Idle | Phase::Settle { .. } => self.lift(view),
-            Phase::Stage { number, begun } => {
-                let wanted = !begun[rank] && view?.staged != Some(*number);
-                let stage = wanted.then_some(Act::Stage { number: *number });
-                self.lift(view).or(stage)
+            Phase::Idle | Phase::Settle { .. } => self.release_stray_hold(view),
+            Phase::Stage { number, acknowledged } => {
+                let needs_order = !acknowledged[rank] && view?.staged != Some(*number);
+                let stage = needs_order.then_some(Act::Stage { number: *number });
+                self.release_stray_hold(view).or(stage)
             }
-            Phase::Hold { step, .. } if rank == self.own => match view?.held {
-                Some(held) if held != *step => Some(Act::Release { step: held }),
+            Phase::Hold { step, .. } if rank == self.own_rank => match view?.held {
+                Some(held_step) if held_step != *step => Some(Act::Release { step: held_step }),
                 _ => Some(Act::Hold { step: *step }),
             },
-            Phase::Hold { .. } | Phase::Lift { .. } => None,
+            Phase::Hold { .. } | Phase::ReleaseStray { .. } => None,
             Phase::Arm { change } => (view?.armed != Some(*change)).then_some(Act::Arm(*change)),
-            Phase::Release { change } => (rank == self.own).then_some(Act::Release { step: change.at }),
+            Phase::Release { change } => (rank == self.own_rank).then_some(Act::Release { step: change.at }),
         }
     }
 
     /// Releases a late hold of an earlier attempt once the rank's state shows it.
-    fn lift(&self, view: Option<View>) -> Option<Act> {
-        let held = view?.held.filter(|step| self.strays.contains(step))?;
-        Some(Act::Release { step: held })
+    fn release_stray_hold(&self, view: Option<View>) -> Option<Act> {
+        let held_step = view?.held.filter(|step| self.unconfirmed_holds.contains(step))?;
+        Some(Act::Release { step: held_step })
     }
 
-    fn answered(&mut self, rank: usize, order: Order, answer: Answer, view: Option<View>) {
+    fn handle_answer(&mut self, rank: usize, order: Order, answer: Answer, view: Option<View>) {
         if answer == Answer::Fenced {
             self.overtaken = true;
             return;
         }
-        let certain = answer != Answer::Silent;
-        let own = rank == self.own;
-        let armed = view.is_some_and(|view| view.armed.is_some());
+        let was_answered = answer != Answer::Silent;
+        let is_own = rank == self.own_rank;
+        let is_armed = view.is_some_and(|view| view.armed.is_some());
         match (&mut self.phase, order.act) {
-            (Phase::Survey { looked }, Act::Look) => looked[rank] = view.is_some(),
-            (Phase::Lift { looked }, Act::Look) => *looked = view.is_some(),
+            (Phase::Survey { observed }, Act::Look) => observed[rank] = view.is_some(),
+            (Phase::ReleaseStray { observed }, Act::Look) => *observed = view.is_some(),
             (Phase::Guard { guards }, Act::Hold { step }) => {
                 let guard = guards.iter_mut().find(|guard| guard.rank == rank && guard.step == step);
                 match (guard, answer) {
-                    (Some(guard), Answer::Done) => guard.placed = true,
-                    (_, Answer::Refused) => self.survey(),
+                    (Some(guard), Answer::Done) => guard.is_placed = true,
+                    (_, Answer::Refused) => self.start_survey(),
                     _ => {}
                 }
             }
             // Only an answer under the current fence counts, and the state must show that the rank is not armed.
-            (Phase::Undo { fenced }, Act::Disarm { .. }) if order.fence == self.fence => {
-                fenced[rank] = certain && view.is_some() && !armed;
+            (Phase::DisarmAll { disarmed }, Act::Disarm { .. }) if order.fence == self.fence => {
+                disarmed[rank] = was_answered && view.is_some() && !is_armed;
             }
             // An answer to an order of an abandoned change says nothing about the current one.
-            (Phase::Stage { number, begun }, Act::Stage { number: ordered }) if ordered == *number => {
+            (Phase::Stage { number, acknowledged }, Act::Stage { number: ordered_number })
+                if ordered_number == *number =>
+            {
                 if answer == Answer::Refused {
-                    self.fail(Phase::Idle);
+                    self.fail_change(Phase::Idle);
                 } else {
-                    begun[rank] = certain;
+                    acknowledged[rank] = was_answered;
                 }
             }
-            (Phase::Hold { number, step }, Act::Hold { step: ordered }) if own && ordered == *step => {
+            (Phase::Hold { number, step }, Act::Hold { step: ordered_step }) if is_own && ordered_step == *step => {
                 let change = Change {
                     number: *number,
                     at: *step,
                 };
-                self.held(change, answer, view);
+                self.handle_hold_answer(change, answer, view);
             }
-            (Phase::Arm { change }, Act::Arm(ordered)) if ordered == *change && answer == Answer::Refused => {
-                self.undo();
+            (Phase::Arm { change }, Act::Arm(ordered_change))
+                if ordered_change == *change && answer == Answer::Refused =>
+            {
+                self.undo_change();
             }
-            (Phase::Release { change }, Act::Release { step }) if own && step == change.at => {
-                let released = view.is_some_and(|view| view.held != Some(step));
-                if certain && released {
+            (Phase::Release { change }, Act::Release { step }) if is_own && step == change.at => {
+                let is_released = view.is_some_and(|view| view.held != Some(step));
+                if was_answered && is_released {
                     self.phase = Phase::Settle { change: *change };
                 }
             }
@@ -415,17 +421,17 @@
     }
 
     /// Handles the answer to the order to hold the group before the step of a change.
-    fn held(&mut self, change: Change, answer: Answer, view: Option<View>) {
-        let stands = view.is_some_and(|view| view.held == Some(change.at));
-        if stands || answer == Answer::Done {
+    fn handle_hold_answer(&mut self, change: Change, answer: Answer, view: Option<View>) {
+        let in_place = view.is_some_and(|view| view.held == Some(change.at));
+        if in_place || answer == Answer::Done {
             self.phase = Phase::Arm { change };
             return;
         }
         if answer == Answer::Silent {
-            self.strays.push(change.at);
+            self.unconfirmed_holds.push(change.at);
         }
         // The step has begun, or the hold may be placed late: try a later step.
-        if let Some(step) = self.next_step() {
+        if let Some(step) = self.next_hold_step() {
             self.phase = Phase::Hold {
                 number: change.number,
                 step: step.max(change.at + 1),
@@ -439,13 +445,13 @@
             return;
         }
         if self.epoch_changed() {
-            self.failed |= !matches!(self.phase, Phase::Idle | Phase::Survey { .. });
-            self.survey();
+            self.change_failed |= !matches!(self.phase, Phase::Idle | Phase::Survey { .. });
+            self.start_survey();
         }
         loop {
-            let before = self.phase.clone();
+            let previous = self.phase.clone();
             self.advance_once();
-            if self.phase == before {
+            if self.phase == previous {
                 return;
             }
         }
@@ -453,32 +459,34 @@
 
     fn advance_once(&mut self) {
         match &self.phase {
-            Phase::Survey { looked } if looked.iter().all(|looked| *looked) => self.weigh(),
-            Phase::Guard { guards } if guards.iter().all(|guard| guard.placed) => self.undo(),
-            Phase::Undo { fenced } if fenced.iter().all(|fenced| *fenced) => self.phase = Phase::Open,
-            Phase::Open if self.all(|view| view.held.is_none()) => self.survey(),
-            Phase::Lift { looked: true } if self.lift(self.members[self.own].view).is_none() => {
+            Phase::Survey { observed } if observed.iter().all(|observed| *observed) => self.evaluate_survey(),
+            Phase::Guard { guards } if guards.iter().all(|guard| guard.is_placed) => self.undo_change(),
+            Phase::DisarmAll { disarmed } if disarmed.iter().all(|done| *done) => self.phase = Phase::ReleaseAll,
+            Phase::ReleaseAll if self.all_views(|view| view.held.is_none()) => self.start_survey(),
+            Phase::ReleaseStray { observed: true }
+                if self.release_stray_hold(self.members[self.own_rank].view).is_none() =>
+            {
                 self.phase = Phase::Idle;
             }
-            Phase::Idle if self.any(|view| self.is_left_over(view)) => self.survey(),
+            Phase::Idle if self.any_view(|view| self.is_leftover(view)) => self.start_survey(),
             Phase::Stage { number, .. } => {
                 let number = *number;
-                if !self.silent
-                    && self.all(|view| view.staged == Some(number))
-                    && let Some(step) = self.next_step()
+                if !self.has_unresponsive_rank
+                    && self.all_views(|view| view.staged == Some(number))
+                    && let Some(step) = self.next_hold_step()
                 {
                     self.phase = Phase::Hold { number, step };
                 }
             }
             Phase::Arm { change } => {
                 let change = *change;
-                if self.all(|view| view.armed == Some(change)) {
+                if self.all_views(|view| view.armed == Some(change)) {
                     self.phase = Phase::Release { change };
                 }
             }
             Phase::Settle { change } => {
                 let change = *change;
-                if self.all(|view| view.map == change.number) {
+                if self.all_views(|view| view.map == change.number) {
                     self.phase = Phase::Idle;
                 }
             }
@@ -487,106 +495,106 @@
     }
 
     /// Decides from the state of every rank whether anything has to be undone.
-    fn weigh(&mut self) {
+    fn evaluate_survey(&mut self) {
         let Some(epoch) = self.common_epoch() else {
-            self.survey();
+            self.start_survey();
             return;
         };
         self.epoch = epoch;
         let views = self.views();
         let change = views.iter().find_map(|view| view.armed);
-        let held = views.iter().any(|view| view.held.is_some());
+        let any_held = views.iter().any(|view| view.held.is_some());
         // All ranks are armed for the same change and none holds the group: the hold was released and the step is about
         // to begin. Nothing may be undone now.
         if let Some(change) = change
-            && !held
+            && !any_held
             && views.iter().all(|view| view.armed == Some(change))
         {
             self.phase = Phase::Settle { change };
             return;
         }
-        let guards = self.guards(&views);
+        let guards = self.plan_guards(&views);
         if !guards.is_empty() {
             self.phase = Phase::Guard { guards };
         } else if views.iter().all(|view| view.map == views[0].map) {
             self.phase = Phase::Idle;
         } else {
             // The states were read while a step began: some show the old map, others the new one.
-            self.survey();
+            self.start_survey();
         }
     }
 
     /// One guard for each step that a rank is armed or held for, on a rank that already holds that step or else on one
     /// without a hold.
-    fn guards(&self, views: &[View]) -> Vec<Guard> {
+    fn plan_guards(&self, views: &[View]) -> Vec<Guard> {
         let armed = views.iter().filter_map(|view| view.armed.map(|armed| armed.at));
         let mut steps: Vec<u64> = armed.chain(views.iter().filter_map(|view| view.held)).collect();
         steps.sort_unstable();
         steps.dedup();
         let mut guards: Vec<Guard> = Vec::new();
         for step in steps {
-            let ranks = std::iter::once(self.own).chain(0..views.len());
-            let mut free = ranks.filter(|rank| guards.iter().all(|guard| guard.rank != *rank));
-            let holds = (0..views.len()).find(|rank| views[*rank].held == Some(step));
-            let rank = holds.or_else(|| free.find(|rank| views[*rank].held.is_none()));
+            let ranks = std::iter::once(self.own_rank).chain(0..views.len());
+            let mut available = ranks.filter(|rank| guards.iter().all(|guard| guard.rank != *rank));
+            let holder = (0..views.len()).find(|rank| views[*rank].held == Some(step));
+            let rank = holder.or_else(|| available.find(|rank| views[*rank].held.is_none()));
             if let Some(rank) = rank {
-                let placed = false;
-                guards.push(Guard { rank, step, placed });
+                let is_placed = false;
+                guards.push(Guard { rank, step, is_placed });
             }
         }
         guards
     }
 
     /// Whether a state shows an armed change or a hold that this coordinator did not leave there.
-    fn is_left_over(&self, view: &View) -> bool {
-        let held = view.held.is_some_and(|step| !self.strays.contains(&step));
-        view.armed.is_some() || held
+    fn is_leftover(&self, view: &View) -> bool {
+        let unexpected_hold = view.held.is_some_and(|step| !self.unconfirmed_holds.contains(&step));
+        view.armed.is_some() || unexpected_hold
     }
 
-    fn survey(&mut self) {
-        self.surveys += 1;
-        let looked = vec![false; self.members.len()];
-        self.phase = Phase::Survey { looked };
+    fn start_survey(&mut self) {
+        self.survey_count += 1;
+        let observed = vec![false; self.members.len()];
+        self.phase = Phase::Survey { observed };
     }
 
-    fn undo(&mut self) {
+    fn undo_change(&mut self) {
         self.fence += 1;
-        let fenced = vec![false; self.members.len()];
-        self.fail(Phase::Undo { fenced });
+        let disarmed = vec![false; self.members.len()];
+        self.fail_change(Phase::DisarmAll { disarmed });
     }
 
-    fn fail(&mut self, next: Phase) {
-        self.failed = true;
+    fn fail_change(&mut self, next: Phase) {
+        self.change_failed = true;
         self.phase = next;
     }
 
     fn epoch_changed(&self) -> bool {
-        self.any(|view| view.epoch != self.epoch || !view.open) && !matches!(self.phase, Phase::Survey { .. })
+        self.any_view(|view| view.epoch != self.epoch || !view.open) && !matches!(self.phase, Phase::Survey { .. })
     }
 
     fn common_epoch(&self) -> Option<u64> {
         let views = self.views();
         let first = views.first()?.epoch;
-        let common = views.len() == self.members.len() && views.iter().all(|view| view.epoch == first && view.open);
-        common.then_some(first)
+        let is_common = views.len() == self.members.len() && views.iter().all(|view| view.epoch == first && view.open);
+        is_common.then_some(first)
     }
 
-    fn next_step(&self) -> Option<u64> {
+    fn next_hold_step(&self) -> Option<u64> {
         let highest = self.views().iter().map(|view| view.step).max()?;
-        Some(highest + self.lead)
+        Some(highest + self.lead_steps)
     }
 
     fn views(&self) -> Vec<View> {
         self.members.iter().filter_map(|member| member.view).collect()
     }
 
-    fn all(&self, test: impl Fn(&View) -> bool) -> bool {
+    fn all_views(&self, test: impl Fn(&View) -> bool) -> bool {
         self.members
             .iter()
             .all(|member| member.view.as_ref().is_some_and(&test))
     }
 
-    fn any(&self, test: impl Fn(&View) -> bool) -> bool {
+    fn any_view(&self, test: impl Fn(&View) -> bool) -> bool {
         self.members.iter().filter_map(|member| member.view.as_ref()).any(test)
     }
 }
--- a/crates/sparscale_place/src/baseline.rs
+++ b/crates/sparscale_place/src/baseline.rs
@@ -15,60 +15,64 @@
 
 /// One layer of [`greedy_from_scratch`].
 pub(crate) fn greedy_layer(tokens: &[f64], ranks: usize, slots: usize) -> Layer {
-    let replicas = replicate(tokens, ranks, slots);
-    let mut pieces: Vec<(f64, u16)> = Vec::new();
-    for (expert, count) in replicas.iter().enumerate() {
+    let replica_counts = count_replicas(tokens, ranks, slots);
+    let mut shares: Vec<(f64, u16)> = Vec::new();
+    for (expert, count) in replica_counts.iter().enumerate() {
         let share = tokens[expert] / *count as f64;
-        pieces.extend(std::iter::repeat_n((share, expert as u16), *count));
+        shares.extend(std::iter::repeat_n((share, expert as u16), *count));
     }
-    pieces.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
-    pack(&pieces, ranks, slots)
+    shares.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
+    pack(&shares, ranks, slots)
 }
 
 /// Number of replicas of each expert when all slots are used.
-fn replicate(tokens: &[f64], ranks: usize, slots: usize) -> Vec<usize> {
-    let mut replicas = vec![1; tokens.len()];
+fn count_replicas(tokens: &[f64], ranks: usize, slots: usize) -> Vec<usize> {
+    let mut replica_counts = vec![1; tokens.len()];
     for _ in tokens.len()..ranks * slots {
-        let share = |expert: &usize| tokens[*expert] / replicas[*expert] as f64;
-        let candidates = (0..tokens.len()).filter(|expert| replicas[*expert] < ranks);
-        let hottest = candidates.max_by(|left, right| share(left).total_cmp(&share(right)));
-        let Some(hottest) = hottest else { break };
-        replicas[hottest] += 1;
+        let share = |expert: &usize| tokens[*expert] / replica_counts[*expert] as f64;
+        let candidates = (0..tokens.len()).filter(|expert| replica_counts[*expert] < ranks);
+        let most_loaded = candidates.max_by(|left, right| share(left).total_cmp(&share(right)));
+        let Some(most_loaded) = most_loaded else { break };
+        replica_counts[most_loaded] += 1;
     }
-    replicas
+    replica_counts
 }
 
-fn pack(pieces: &[(f64, u16)], ranks: usize, slots: usize) -> Layer {
-    let mut held: Vec<Vec<u16>> = vec![Vec::new(); ranks];
-    let mut loads = vec![0.0_f64; ranks];
-    for (share, expert) in pieces {
-        let fits = |rank: &usize| held[*rank].len() < slots && !held[*rank].contains(expert);
+fn pack(shares: &[(f64, u16)], ranks: usize, slots: usize) -> Layer {
+    let mut experts_by_rank: Vec<Vec<u16>> = vec![Vec::new(); ranks];
+    let mut rank_loads = vec![0.0_f64; ranks];
+    for (share, expert) in shares {
+        let fits = |rank: &usize| experts_by_rank[*rank].len() < slots && !experts_by_rank[*rank].contains(expert);
         let rank = (0..ranks)
             .filter(fits)
-            .min_by(|left, right| loads[*left].total_cmp(&loads[*right]));
+            .min_by(|left, right| rank_loads[*left].total_cmp(&rank_loads[*right]));
         // A replica that fits on no rank is left out. It may be the first one of its expert, so a second pass places
         // experts that are missing.
         let Some(rank) = rank else { continue };
-        held[rank].push(*expert);
-        loads[rank] += share;
+        experts_by_rank[rank].push(*expert);
+        rank_loads[rank] += share;
     }
-    place_missing(pieces, &mut held);
-    Layer { ranks: held }
+    place_missing_experts(shares, &mut experts_by_rank);
+    Layer { ranks: experts_by_rank }
 }
 
 /// Gives each expert without a replica the slot of an expert that has more than one.
-fn place_missing(pieces: &[(f64, u16)], held: &mut [Vec<u16>]) {
-    for (_, expert) in pieces {
-        if held.iter().any(|rank| rank.contains(expert)) {
+fn place_missing_experts(shares: &[(f64, u16)], experts_by_rank: &mut [Vec<u16>]) {
+    for (_, expert) in shares {
+        if experts_by_rank.iter().any(|rank| rank.contains(expert)) {
             continue;
         }
-        let copies = |held: &[Vec<u16>], other: u16| held.iter().filter(|rank| rank.contains(&other)).count();
-        let place = (0..held.len()).find_map(|rank| {
-            let spare = held[rank].iter().position(|other| copies(held, *other) > 1)?;
-            Some((rank, spare))
+        let replica_count = |experts_by_rank: &[Vec<u16>], other: u16| {
+            experts_by_rank.iter().filter(|rank| rank.contains(&other)).count()
+        };
+        let slot = (0..experts_by_rank.len()).find_map(|rank| {
+            let position = experts_by_rank[rank]
+                .iter()
+                .position(|other| replica_count(experts_by_rank, *other) > 1)?;
+            Some((rank, position))
         });
-        if let Some((rank, spare)) = place {
-            held[rank][spare] = *expert;
+        if let Some((rank, position)) = slot {
+            experts_by_rank[rank][position] = *expert;
         }
     }
 }
--- a/crates/sparscale_place/src/counts.rs
+++ b/crates/sparscale_place/src/counts.rs
@@ -24,14 +24,14 @@
 
     /// Decays the counts by `elapsed`, then adds `tokens`: layer by layer, one number for each expert. A list of
     /// another length comes from a target of another shape and is ignored.
-    pub fn observe(&mut self, tokens: &[f64], passed: Duration) {
+    pub fn observe(&mut self, tokens: &[f64], elapsed: Duration) {
         if tokens.len() != self.tokens.len() {
             return;
         }
-        let half_lives = passed.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE);
-        let keep = 0.5_f64.powf(half_lives);
+        let half_lives = elapsed.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE);
+        let decay_factor = 0.5_f64.powf(half_lives);
         for (count, new) in self.tokens.iter_mut().zip(tokens) {
-            *count = *count * keep + new;
+            *count = *count * decay_factor + new;
         }
     }
 
--- a/crates/sparscale_place/src/decide.rs
+++ b/crates/sparscale_place/src/decide.rs
@@ -7,12 +7,12 @@
 use crate::counts::Counts;
 use crate::load::{rank_loads, skew};
 use crate::map::{Layer, Map};
-use crate::search::{LayerSearch, Path, Point};
+use crate::search::{LayerSearch, PathPoint, SearchPath};
 
 /// Smallest decrease of the skew for which a map is changed at all.
-const HYSTERESIS: f64 = 0.02;
+const HYSTERESIS_SKEW: f64 = 0.02;
 /// Tokens per expert and layer below which the counts are too few to decide on.
-const MIN_TOKENS: f64 = 10.0;
+const MIN_TOKENS_PER_EXPERT: f64 = 10.0;
 
 /// Costs that a decision compares.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -67,8 +67,8 @@
 }
 
 /// Decides whether the group's map changes from `current`, and to which.
-pub fn decide(counts: &Counts, present: &Map, costs: &Costs) -> Decision {
-    let skew_now = skew(present, counts);
+pub fn decide(counts: &Counts, current: &Map, costs: &Costs) -> Decision {
+    let skew_now = skew(current, counts);
     let stay = |reason| Decision {
         next: None,
         reason,
@@ -79,21 +79,21 @@
         cost_move: f64::INFINITY,
     };
     let shape = counts.shape();
-    if counts.total() < MIN_TOKENS * (shape.layers * shape.experts) as f64 {
+    if counts.total() < MIN_TOKENS_PER_EXPERT * (shape.layers * shape.experts) as f64 {
         return stay(Reason::TooFewTokens);
     }
     if costs.quiet {
         return stay(Reason::QuietHours);
     }
-    let next = improve(counts, present, costs);
-    let loads = present.loads_of(&next) as u32;
+    let next = improve_map(counts, current, costs);
+    let loads = current.loads_of(&next) as u32;
     if loads == 0 {
         return stay(Reason::TooDear);
     }
     let skew_next = skew(&next, counts);
-    let cost_move = costs.weight_skew * (skew_next - 1.0) + f64::from(loads) * load_cost(costs);
+    let cost_move = costs.weight_skew * (skew_next - 1.0) + f64::from(loads) * replica_load_cost(costs);
     let cost_stay = costs.weight_skew * (skew_now - 1.0);
-    let reason = if skew_now - skew_next < HYSTERESIS {
+    let reason = if skew_now - skew_next < HYSTERESIS_SKEW {
         Reason::TooSmall
     } else if cost_move >= cost_stay {
         Reason::TooDear
@@ -111,7 +111,7 @@
     }
 }
 
-fn load_cost(costs: &Costs) -> f64 {
+fn replica_load_cost(costs: &Costs) -> f64 {
     costs.weight_move * costs.seconds_per_load * (1.0 + costs.slowed)
 }
 
@@ -120,38 +120,41 @@
 /// Packing from scratch splits the load into more and smaller replicas, which single changes never reach. Its ranks are
 /// matched to the current ones first, so that it loads as few replicas as it can.
 struct Candidate<'a> {
-    layer: usize,
+    layer_index: usize,
     search: LayerSearch<'a>,
-    path: Path,
-    fresh: Layer,
-    fresh_point: Point,
+    path: SearchPath,
+    packed: Layer,
+    packed_point: PathPoint,
 }
 
 /// How a candidate changes.
 #[derive(Clone, Copy, PartialEq)]
 enum Choice {
     /// The first changes of the path.
-    Steps(usize),
+    PathSteps(usize),
     /// The layer packed from scratch.
-    Fresh,
+    Packed,
 }
 
 impl<'a> Candidate<'a> {
-    fn new(layer: usize, present: &Layer, search: LayerSearch<'a>, budget: u32) -> Self {
-        let fresh = relabel(
-            &greedy_layer(search.tokens(), present.ranks.len(), search.slots()),
-            present,
+    fn new(layer_index: usize, current: &Layer, search: LayerSearch<'a>, budget: u32) -> Self {
+        let packed = match_ranks(
+            &greedy_layer(search.tokens(), current.ranks.len(), search.slots()),
+            current,
         );
-        let largest = rank_loads(&fresh, search.tokens()).into_iter().fold(0.0, f64::max);
-        let loads = present.loads_of(&fresh) as u32;
+        let max_rank_load = rank_loads(&packed, search.tokens()).into_iter().fold(0.0, f64::max);
+        let replica_loads = current.replicas_to_load(&packed) as u32;
         Self {
-            layer,
+            layer_index,
             // Changes that load more than the layer packed from scratch, or go below its largest load, cannot be the
             // better choice.
-            path: search.clone().path(largest, budget.min(loads)),
+            path: search.clone().path(max_rank_load, budget.min(replica_loads)),
             search,
-            fresh,
-            fresh_point: Point { loads, largest },
+            packed,
+            packed_point: PathPoint {
+                replica_loads,
+                max_rank_load,
+            },
         }
     }
 
@@ -160,50 +163,51 @@
     ///
     /// All points of the path are compared, not one change at a time: where many ranks are equally loaded, the first
     /// changes gain next to nothing and only all of them together pay.
-    fn choose(&self, price: f64) -> (Choice, Point) {
+    fn choose(&self, price: f64) -> (Choice, PathPoint) {
         let start = self.path.points[0];
-        let value = |point: Point| start.largest - point.largest - f64::from(point.loads) * price;
-        let steps = self
+        let value =
+            |point: PathPoint| start.max_rank_load - point.max_rank_load - f64::from(point.replica_loads) * price;
+        let path_choices = self
             .path
             .points
             .iter()
             .enumerate()
-            .map(|(count, point)| (Choice::Steps(count), *point));
-        let all = steps.chain([(Choice::Fresh, self.fresh_point)]);
-        let best = all.max_by(|(_, left), (_, right)| value(*left).total_cmp(&value(*right)));
+            .map(|(count, point)| (Choice::PathSteps(count), *point));
+        let choices = path_choices.chain([(Choice::Packed, self.packed_point)]);
+        let best = choices.max_by(|(_, left), (_, right)| value(*left).total_cmp(&value(*right)));
         best.filter(|(_, point)| value(*point) > 0.0)
-            .unwrap_or((Choice::Steps(0), start))
+            .unwrap_or((Choice::PathSteps(0), start))
     }
 
-    fn carry_out(self, choice: Choice) -> Layer {
+    fn into_layer(self, choice: Choice) -> Layer {
         match choice {
-            Choice::Steps(count) => self.search.follow(&self.path, count),
-            Choice::Fresh => self.fresh,
+            Choice::PathSteps(count) => self.search.follow(&self.path, count),
+            Choice::Packed => self.packed,
         }
     }
 }
 
-/// Reorders the ranks of the layer `packed` so that they share as many experts as possible with those of `current`.
-fn relabel(fresh: &Layer, present: &Layer) -> Layer {
+/// Reorders the ranks of the layer `packed`, greedily, so that they share many experts with those of `current`.
+fn match_ranks(packed: &Layer, current: &Layer) -> Layer {
     let shared = |old: &[u16], new: &[u16]| new.iter().filter(|expert| old.contains(expert)).count();
-    let count = present.ranks.len();
+    let count = current.ranks.len();
     let mut pairs: Vec<(usize, usize, usize)> = Vec::with_capacity(count * count);
-    for (old, held) in present.ranks.iter().enumerate() {
+    for (old, old_experts) in current.ranks.iter().enumerate() {
         pairs.extend(
-            fresh
+            packed
                 .ranks
                 .iter()
                 .enumerate()
-                .map(|(new, packed)| (shared(held, packed), old, new)),
+                .map(|(new, new_experts)| (shared(old_experts, new_experts), old, new)),
         );
     }
     pairs.sort_unstable_by_key(|(shared, old, new)| (std::cmp::Reverse(*shared), *old, *new));
     let mut ranks: Vec<Option<Vec<u16>>> = vec![None; count];
-    let mut used = vec![false; count];
+    let mut is_used = vec![false; count];
     for (_, old, new) in pairs {
-        if ranks[old].is_none() && !used[new] {
-            used[new] = true;
-            ranks[old] = Some(fresh.ranks[new].clone());
+        if ranks[old].is_none() && !is_used[new] {
+            is_used[new] = true;
+            ranks[old] = Some(packed.ranks[new].clone());
         }
     }
     Layer {
@@ -213,52 +217,52 @@
 
 /// Changes each layer as far as that pays. If this exceeds the budget, the price of a replica load is raised until it
 /// does not.
-fn improve(counts: &Counts, present: &Map, costs: &Costs) -> Map {
-    const RAISES: usize = 32;
-    let mean = counts.total() / counts.shape().ranks as f64;
+fn improve_map(counts: &Counts, current: &Map, costs: &Costs) -> Map {
+    const PRICE_SEARCH_STEPS: usize = 32;
+    let mean_rank_load = counts.total() / counts.shape().ranks as f64;
     // Tokens by which the largest rank loads have to fall for one replica load to be worth its cost.
-    let price = load_cost(costs) / costs.weight_skew.max(f64::MIN_POSITIVE) * mean;
-    let candidates = candidates(counts, present, costs, price);
-    let total = |price: f64| {
+    let price = replica_load_cost(costs) / costs.weight_skew.max(f64::MIN_POSITIVE) * mean_rank_load;
+    let candidates = candidates(counts, current, costs, price);
+    let total_loads = |price: f64| {
         candidates
             .iter()
-            .map(|candidate| candidate.choose(price).1.loads)
+            .map(|candidate| candidate.choose(price).1.replica_loads)
             .sum::<u32>()
     };
-    let mut paid = price;
-    if total(price) > costs.move_budget {
+    let mut final_price = price;
+    if total_loads(price) > costs.move_budget {
         // No replica load is worth more tokens than were counted.
         let (mut low, mut high) = (price, counts.total());
-        for _ in 0..RAISES {
+        for _ in 0..PRICE_SEARCH_STEPS {
             let middle = f64::midpoint(low, high);
-            if total(middle) > costs.move_budget {
+            if total_loads(middle) > costs.move_budget {
                 low = middle;
             } else {
                 high = middle;
             }
         }
-        paid = high;
+        final_price = high;
     }
-    let mut layers: Vec<Layer> = present.layers.clone();
+    let mut layers: Vec<Layer> = current.layers.clone();
     for candidate in candidates {
-        let (choice, _) = candidate.choose(paid);
-        let layer = candidate.layer;
-        layers[layer] = candidate.carry_out(choice);
+        let (choice, _) = candidate.choose(final_price);
+        let layer_index = candidate.layer_index;
+        layers[layer_index] = candidate.into_layer(choice);
     }
     Map { layers }
 }
 
 /// Layers in which at least one replica load could pay.
-fn candidates<'a>(counts: &'a Counts, present: &Map, costs: &Costs, price: f64) -> Vec<Candidate<'a>> {
+fn candidates<'a>(counts: &'a Counts, current: &Map, costs: &Costs, price: f64) -> Vec<Candidate<'a>> {
     let shape = counts.shape();
-    let search = |(layer, held): (usize, &Layer)| {
-        let tokens = counts.layer(layer);
-        let search = LayerSearch::new(held, tokens, shape.slots);
-        let mean = tokens.iter().sum::<f64>() / shape.ranks as f64;
-        if search.largest() - mean <= price {
+    let candidate = |(layer_index, layer): (usize, &Layer)| {
+        let tokens = counts.layer(layer_index);
+        let search = LayerSearch::new(layer, tokens, shape.slots);
+        let mean_rank_load = tokens.iter().sum::<f64>() / shape.ranks as f64;
+        if search.max_rank_load() - mean_rank_load <= price {
             return None;
         }
-        Some(Candidate::new(layer, held, search, costs.move_budget))
+        Some(Candidate::new(layer_index, layer, search, costs.move_budget))
     };
-    present.layers.iter().enumerate().filter_map(search).collect()
+    current.layers.iter().enumerate().filter_map(candidate).collect()
 }
--- a/crates/sparscale_place/src/map.rs
+++ b/crates/sparscale_place/src/map.rs
@@ -60,37 +60,37 @@
         const PRIME: u64 = 0x0100_0000_01b3;
         let mix = |hash: u64, number: u64| (hash ^ number).wrapping_mul(PRIME);
         let ranks = self.layers.iter().flat_map(|layer| &layer.ranks);
-        ranks.fold(OFFSET, |hash, held| {
-            let hash = mix(hash, held.len() as u64);
-            held.iter().fold(hash, |hash, expert| mix(hash, u64::from(*expert)))
+        ranks.fold(OFFSET, |hash, experts| {
+            let hash = mix(hash, experts.len() as u64);
+            experts.iter().fold(hash, |hash, expert| mix(hash, u64::from(*expert)))
         })
     }
 
     /// Number of replicas to load for a switch to `next`: those that `next` holds and this map does not.
     pub fn loads_of(&self, next: &Self) -> usize {
         let pairs = self.layers.iter().zip(&next.layers);
-        pairs.map(|(old, new)| old.loads_of(new)).sum()
+        pairs.map(|(old, new)| old.replicas_to_load(new)).sum()
     }
 }
 
 impl Layer {
     fn fits(&self, shape: Shape) -> bool {
-        let mut held = vec![false; shape.experts];
+        let mut has_replica = vec![false; shape.experts];
         for rank in &self.ranks {
             for expert in rank {
-                let Some(seen) = held.get_mut(usize::from(*expert)) else {
+                let Some(flag) = has_replica.get_mut(usize::from(*expert)) else {
                     return false;
                 };
-                *seen = true;
+                *flag = true;
             }
         }
         self.ranks.len() == shape.ranks
             && self.ranks.iter().all(|rank| rank.len() <= shape.slots)
-            && held.into_iter().all(|seen| seen)
+            && has_replica.into_iter().all(|flag| flag)
     }
 
     /// Number of replicas that the ranks of this layer have to load for a switch to `next`.
-    pub fn loads_of(&self, next: &Self) -> usize {
+    pub fn replicas_to_load(&self, next: &Self) -> usize {
         let pairs = self.ranks.iter().zip(&next.ranks);
         pairs
             .map(|(old, new)| new.iter().filter(|expert| !old.contains(expert)).count())
--- a/crates/sparscale_place/src/popularity.rs
+++ b/crates/sparscale_place/src/popularity.rs
@@ -7,26 +7,26 @@
 
 /// Distance between two distributions, from 0 to 2, above which demand has shifted. A shift moves most of the demand;
 /// chance and the mix of running requests move a few hundredths.
-const SHIFTED: f64 = 0.35;
+const SHIFT_DISTANCE: f64 = 0.35;
 /// Selections in a sample below which its distance means nothing.
-const MIN_SAMPLE: f64 = 1_000.0;
+const MIN_SAMPLE_SELECTIONS: f64 = 1_000.0;
 
 /// Most selected experts of a set that are checked for how much of a sample was recorded before a shift.
-const MOST_WANTED: usize = 5;
+const MOST_SELECTED_EXPERTS: usize = 5;
 /// Smallest share of a sample that is worth subtracting as recorded before a shift: rarely selected experts keep as
 /// much by chance.
-const MIN_OLD_PART: f64 = 0.1;
+const MIN_OLD_SHARE: f64 = 0.1;
 /// Largest share of a sample that is taken to be recorded before a shift.
-const MAX_OLD_PART: f64 = 0.8;
+const MAX_OLD_SHARE: f64 = 0.8;
 
 /// Decayed selection counts of each expert in each set of layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Popularity {
     experts: usize,
     half_life: Duration,
-    picks: Vec<f64>,
+    selections: Vec<f64>,
     /// Samples recorded since the last shift.
-    samples: u32,
+    sample_count: u32,
 }
 
 /// How a sample compares with the earlier ones.
@@ -46,92 +46,96 @@
         Self {
             experts,
             half_life,
-            picks: vec![0.0; sets * experts],
-            samples: 0,
+            selections: vec![0.0; sets * experts],
+            sample_count: 0,
         }
     }
 
     /// Records the selection counts of the last `span`, set by set. A sample of another shape is ignored.
     pub fn observe(&mut self, sample: &[f64], span: Duration) -> Trend {
-        if sample.len() != self.picks.len() {
+        if sample.len() != self.selections.len() {
             return Trend::Small;
         }
-        let picks: f64 = sample.iter().sum();
-        if picks < MIN_SAMPLE {
+        let total: f64 = sample.iter().sum();
+        if total < MIN_SAMPLE_SELECTIONS {
             return Trend::Small;
         }
-        if self.samples > 0 && self.distance(sample) > SHIFTED {
-            self.picks = self.since_shift(sample);
-            self.samples = 1;
+        if self.sample_count > 0 && self.mean_distance(sample) > SHIFT_DISTANCE {
+            self.selections = self.part_after_shift(sample);
+            self.sample_count = 1;
             return Trend::Shifted;
         }
-        let keep = 0.5_f64.powf(span.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE));
-        for (count, new) in self.picks.iter_mut().zip(sample) {
-            *count = *count * keep + new;
+        let decay_factor = 0.5_f64.powf(span.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE));
+        for (count, new) in self.selections.iter_mut().zip(sample) {
+            *count = *count * decay_factor + new;
         }
-        self.samples += 1;
+        self.sample_count += 1;
         Trend::Steady
     }
 
     /// Selection counts of one set, one for each expert.
-    pub fn set(&self, set: usize) -> &[f64] {
-        &self.picks[set * self.experts..(set + 1) * self.experts]
+    pub fn counts_of_set(&self, set: usize) -> &[f64] {
+        &self.selections[set * self.experts..(set + 1) * self.experts]
     }
 
     /// Number of samples since the last shift.
     pub fn samples(&self) -> u32 {
-        self.samples
+        self.sample_count
     }
 
     /// Sum of all selection counts.
     pub fn total(&self) -> f64 {
-        self.picks.iter().sum()
+        self.selections.iter().sum()
     }
 
     /// Number of sets.
-    pub fn sets(&self) -> usize {
-        self.picks.len() / self.experts.max(1)
+    pub fn set_count(&self) -> usize {
+        self.selections.len() / self.experts.max(1)
     }
 
     /// The part of `sample` that was recorded after a shift within its span. Experts that lost their demand were
     /// selected only before the shift, so the share that they kept shows how much of the sample is older than it. Maps
-    /// decided on unfiltered samples left a skew of 1.44 where 1.22 was expected, on the mean of 52 changes.
-    fn since_shift(&self, sample: &[f64]) -> Vec<f64> {
-        let pairs = || self.picks.chunks(self.experts).zip(sample.chunks(self.experts));
-        let mut parts: Vec<f64> = pairs().map(|(old, new)| old_part(old, new)).collect();
-        parts.sort_by(f64::total_cmp);
-        let part = parts.get(parts.len() / 2).copied().unwrap_or(0.0).min(MAX_OLD_PART);
-        if part < MIN_OLD_PART {
+    /// decided on unfiltered samples left a skew of 1.44 where 1.22 was expected, averaged over 52 changes.
+    fn part_after_shift(&self, sample: &[f64]) -> Vec<f64> {
+        let pairs = || self.selections.chunks(self.experts).zip(sample.chunks(self.experts));
+        let mut old_shares: Vec<f64> = pairs().map(|(old, new)| kept_share(old, new)).collect();
+        old_shares.sort_by(f64::total_cmp);
+        let old_share = old_shares
+            .get(old_shares.len() / 2)
+            .copied()
+            .unwrap_or(0.0)
+            .min(MAX_OLD_SHARE);
+        if old_share < MIN_OLD_SHARE {
             return sample.to_vec();
         }
-        let left = pairs().flat_map(|(old, new)| {
-            let scale = part * new.iter().sum::<f64>() / old.iter().sum::<f64>().max(1.0);
+        let remaining = pairs().flat_map(|(old, new)| {
+            let scale = old_share * new.iter().sum::<f64>() / old.iter().sum::<f64>().max(1.0);
             old.iter().zip(new).map(move |(old, new)| (new - old * scale).max(0.0))
         });
-        left.collect()
+        remaining.collect()
     }
 
     /// Distance between the distribution of `sample` and that of the earlier samples, as the mean over the sets.
-    fn distance(&self, sample: &[f64]) -> f64 {
-        let sets = self.sets().max(1);
-        let pairs = self.picks.chunks(self.experts).zip(sample.chunks(self.experts));
+    fn mean_distance(&self, sample: &[f64]) -> f64 {
+        let set_count = self.set_count().max(1);
+        let pairs = self.selections.chunks(self.experts).zip(sample.chunks(self.experts));
         let total: f64 = pairs.map(|(old, new)| distance(old, new)).sum();
-        total / sets as f64
+        total / set_count as f64
     }
 }
 
 /// Share of `new` that may still follow the distribution `old`: the smallest fraction of its share in `old` that one of
 /// the most selected experts of `old` kept.
-fn old_part(old: &[f64], new: &[f64]) -> f64 {
+fn kept_share(old: &[f64], new: &[f64]) -> f64 {
     let (old_sum, new_sum): (f64, f64) = (old.iter().sum(), new.iter().sum());
     if old_sum <= 0.0 || new_sum <= 0.0 {
         return 0.0;
     }
-    let mut wanted: Vec<(f64, f64)> = old.iter().copied().zip(new.iter().copied()).collect();
-    wanted.sort_by(|left, right| right.0.total_cmp(&left.0));
-    let kept = wanted.iter().take(MOST_WANTED);
-    let kept = kept.map(|(old, new)| (new / new_sum) / (old / old_sum).max(f64::MIN_POSITIVE));
-    kept.fold(1.0, f64::min)
+    let mut by_demand: Vec<(f64, f64)> = old.iter().copied().zip(new.iter().copied()).collect();
+    by_demand.sort_by(|left, right| right.0.total_cmp(&left.0));
+    let kept_shares = by_demand.iter().take(MOST_SELECTED_EXPERTS);
+    let kept_shares = kept_shares.map(|(old, new)| (new / new_sum) / (old / old_sum).max(f64::MIN_POSITIVE));
+    kept_shares.fold(1.0, f64::min)
 }
 
 fn distance(old: &[f64], new: &[f64]) -> f64 {
--- a/crates/sparscale_place/src/refine.rs
+++ b/crates/sparscale_place/src/refine.rs
@@ -8,11 +8,11 @@
 use crate::popularity::Popularity;
 
 /// Heaviest experts of the most loaded rank that are tried.
-const EXPERTS: usize = 6;
+const MAX_EXPERTS_TRIED: usize = 6;
 /// Least loaded ranks that are tried as destinations.
-const RANKS: usize = 4;
+const MAX_DESTINATIONS_TRIED: usize = 4;
 /// Share of a set's smooth largest load by which a change must lower it; less is noise.
-const MIN_GAIN: f64 = 0.004;
+const MIN_GAIN_SHARE: f64 = 0.004;
 
 /// Limits on what one change may load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,29 +40,35 @@
 
 /// Improves `map` within `limits`. `slowdowns` has a factor for each rank, 1 if nominal: a straggler gets
 /// proportionally less load.
-pub fn refine(popularity: &Popularity, map: &Map, shape: Shape, bounds: Bounds, paces: &[f64]) -> Refined {
-    let mut sets: Vec<Set> = (0..shape.layers)
-        .map(|set| Set::new(&map.layers[set], popularity.set(set), shape.slots, paces))
+pub fn refine(popularity: &Popularity, map: &Map, shape: Shape, limits: Bounds, slowdowns: &[f64]) -> Refined {
+    let mut sets: Vec<LayerSet> = (0..shape.layers)
+        .map(|set| LayerSet::new(&map.layers[set], popularity.counts_of_set(set), shape.slots, slowdowns))
         .collect();
-    let before = mean_skew(&sets);
-    let mut loaded = vec![0_usize; shape.ranks];
+    let before = mean_set_skew(&sets);
+    let mut load_counts = vec![0_usize; shape.ranks];
     let mut loads = 0;
-    let mut bests: Vec<Option<Change>> = sets.iter().map(|set| set.best(&loaded, bounds)).collect();
-    while let Some(index) = best_of(&bests) {
-        let Some(change) = bests[index].take() else { break };
-        if change.loads_on.is_some_and(|rank| loaded[rank] >= bounds.per_rank) {
+    let mut best_changes: Vec<Option<SetChange>> =
+        sets.iter().map(|set| set.best_change(&load_counts, limits)).collect();
+    while let Some(index) = index_of_best(&best_changes) {
+        let Some(change) = best_changes[index].take() else {
+            break;
+        };
+        if change
+            .loading_rank
+            .is_some_and(|rank| load_counts[rank] >= limits.per_rank)
+        {
             // Changes of other sets have used up the limit of this rank.
-            bests[index] = sets[index].best(&loaded, bounds);
+            best_changes[index] = sets[index].best_change(&load_counts, limits);
             continue;
         }
         sets[index].apply(&change);
-        if let Some(rank) = change.loads_on {
-            loaded[rank] += 1;
+        if let Some(rank) = change.loading_rank {
+            load_counts[rank] += 1;
             loads += 1;
         }
-        bests[index] = sets[index].best(&loaded, bounds);
+        best_changes[index] = sets[index].best_change(&load_counts, limits);
     }
-    let after = mean_skew(&sets);
+    let after = mean_set_skew(&sets);
     let mut map = Map {
         layers: sets.into_iter().map(|set| Layer { ranks: set.ranks }).collect(),
     };
@@ -71,51 +77,52 @@
         after,
         before,
         loads,
-        deepest: loaded.iter().copied().max().unwrap_or(0) as u32,
+        deepest: load_counts.iter().copied().max().unwrap_or(0) as u32,
         map,
     }
 }
 
 /// Skew of `map`: the mean over the sets of the largest rank load divided by the mean rank load.
-pub fn skew_now(popularity: &Popularity, map: &Map, shape: Shape, paces: &[f64]) -> f64 {
-    let sets = (0..shape.layers).map(|set| Set::new(&map.layers[set], popularity.set(set), shape.slots, paces));
-    mean_skew(&sets.collect::<Vec<_>>())
+pub fn skew_now(popularity: &Popularity, map: &Map, shape: Shape, slowdowns: &[f64]) -> f64 {
+    let sets = (0..shape.layers)
+        .map(|set| LayerSet::new(&map.layers[set], popularity.counts_of_set(set), shape.slots, slowdowns));
+    mean_set_skew(&sets.collect::<Vec<_>>())
 }
 
-fn best_of(bests: &[Option<Change>]) -> Option<usize> {
-    let gains = bests.iter().enumerate();
+fn index_of_best(best_changes: &[Option<SetChange>]) -> Option<usize> {
+    let gains = best_changes.iter().enumerate();
     let gains = gains.filter_map(|(index, change)| change.as_ref().map(|change| (index, change.gain)));
     gains
         .max_by(|left, right| left.1.total_cmp(&right.1))
         .map(|(index, _)| index)
 }
 
-fn mean_skew(sets: &[Set<'_>]) -> f64 {
-    let total: f64 = sets.iter().map(Set::skew).sum();
+fn mean_set_skew(sets: &[LayerSet<'_>]) -> f64 {
+    let total: f64 = sets.iter().map(LayerSet::skew).sum();
     total / sets.len().max(1) as f64
 }
 
 /// One set of layers during refinement. Loads are times, relative to the mean of ranks without slowdown.
 #[derive(Debug, Clone)]
-struct Set<'a> {
+struct LayerSet<'a> {
     tokens: &'a [f64],
     /// Factor from tokens to loads.
     scale: f64,
     slots: usize,
     ranks: Vec<Vec<u16>>,
     holders: Vec<Vec<usize>>,
-    paces: &'a [f64],
+    slowdowns: &'a [f64],
     loads: Vec<f64>,
     /// Number of experts that each rank has loaded in this set.
-    loaded: Vec<usize>,
+    load_counts: Vec<usize>,
 }
 
 /// A change of one set.
 #[derive(Debug, Clone, PartialEq)]
-struct Change {
+struct SetChange {
     gain: f64,
     /// Rank that loads an expert, if any.
-    loads_on: Option<usize>,
+    loading_rank: Option<usize>,
     edits: Vec<Edit>,
 }
 
@@ -126,11 +133,11 @@
     Drop { expert: u16, rank: usize },
 }
 
-impl<'a> Set<'a> {
-    fn new(layer: &Layer, tokens: &'a [f64], slots: usize, paces: &'a [f64]) -> Self {
+impl<'a> LayerSet<'a> {
+    fn new(layer: &Layer, tokens: &'a [f64], slots: usize, slowdowns: &'a [f64]) -> Self {
         let mut holders = vec![Vec::new(); tokens.len()];
-        for (rank, held) in layer.ranks.iter().enumerate() {
-            for expert in held {
+        for (rank, experts) in layer.ranks.iter().enumerate() {
+            for expert in experts {
                 holders[usize::from(*expert)].push(rank);
             }
         }
@@ -140,21 +147,21 @@
             tokens,
             scale,
             slots,
-            paces,
+            slowdowns,
             loads: vec![0.0; layer.ranks.len()],
-            loaded: vec![0; layer.ranks.len()],
+            load_counts: vec![0; layer.ranks.len()],
             ranks: layer.ranks.clone(),
             holders,
         };
         for rank in 0..set.ranks.len() {
             let tokens: f64 = set.ranks[rank].iter().map(|expert| set.share(*expert)).sum();
-            set.loads[rank] = tokens * set.pace(rank);
+            set.loads[rank] = tokens * set.slowdown(rank);
         }
         set
     }
 
-    fn pace(&self, rank: usize) -> f64 {
-        self.paces.get(rank).copied().unwrap_or(1.0)
+    fn slowdown(&self, rank: usize) -> f64 {
+        self.slowdowns.get(rank).copied().unwrap_or(1.0)
     }
 
     /// Load that an expert puts on each rank that holds it, without slowdown.
@@ -171,76 +178,84 @@
     }
 
     /// The change that lowers the smooth largest load most.
-    fn best(&self, loaded: &[usize], bounds: Bounds) -> Option<Change> {
-        let before = norm(&self.loads);
-        let hot = (0..self.loads.len()).max_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]))?;
-        let mut best: Option<Change> = None;
-        for expert in self.heaviest_on(hot) {
-            for change in self.changes(expert, hot, loaded, bounds) {
-                let gain = before - norm(&self.loads_after(&change.edits));
-                let better = best.as_ref().is_none_or(|best| gain > best.gain);
-                if gain > before * MIN_GAIN && better {
-                    best = Some(Change { gain, ..change });
+    fn best_change(&self, load_counts: &[usize], limits: Bounds) -> Option<SetChange> {
+        let norm_before = smooth_max(&self.loads);
+        let source = (0..self.loads.len()).max_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]))?;
+        let mut best: Option<SetChange> = None;
+        for expert in self.heaviest_experts(source) {
+            for change in self.changes(expert, source, load_counts, limits) {
+                let gain = norm_before - smooth_max(&self.loads_after(&change.edits));
+                let is_better = best.as_ref().is_none_or(|best| gain > best.gain);
+                if gain > norm_before * MIN_GAIN_SHARE && is_better {
+                    best = Some(SetChange { gain, ..change });
                 }
             }
         }
         best
     }
 
-    fn heaviest_on(&self, rank: usize) -> Vec<u16> {
-        let mut held = self.ranks[rank].clone();
-        held.sort_by(|left, right| self.share(*right).total_cmp(&self.share(*left)));
-        held.truncate(EXPERTS);
-        held
+    fn heaviest_experts(&self, rank: usize) -> Vec<u16> {
+        let mut experts = self.ranks[rank].clone();
+        experts.sort_by(|left, right| self.share(*right).total_cmp(&self.share(*left)));
+        experts.truncate(MAX_EXPERTS_TRIED);
+        experts
     }
 
     /// Changes that take load of `expert` off rank `source`.
-    fn changes(&self, expert: u16, hot: usize, loaded: &[usize], bounds: Bounds) -> Vec<Change> {
-        let change = |loads_on, edits| Change {
+    fn changes(&self, expert: u16, source: usize, load_counts: &[usize], limits: Bounds) -> Vec<SetChange> {
+        let change = |loading_rank, edits| SetChange {
             gain: 0.0,
-            loads_on,
+            loading_rank,
             edits,
         };
-        let leave = Edit::Drop { expert, rank: hot };
+        let drop_from_source = Edit::Drop { expert, rank: source };
         let mut found = Vec::new();
         if self.holders[usize::from(expert)].len() > 1 {
-            found.push(change(None, vec![leave]));
+            found.push(change(None, vec![drop_from_source]));
         }
-        for to in self.coolest(expert, loaded, bounds) {
-            let add = Edit::Add { expert, rank: to };
+        for destination in self.least_loaded_ranks(expert, load_counts, limits) {
+            let add = Edit::Add {
+                expert,
+                rank: destination,
+            };
             let mut edits = Vec::new();
-            if self.ranks[to].len() >= self.slots {
-                let Some(gone) = self.lightest_copy(to) else { continue };
-                edits.push(Edit::Drop { expert: gone, rank: to });
+            if self.ranks[destination].len() >= self.slots {
+                let Some(dropped) = self.lightest_replicated_expert(destination) else {
+                    continue;
+                };
+                edits.push(Edit::Drop {
+                    expert: dropped,
+                    rank: destination,
+                });
             }
             edits.push(add);
-            found.push(change(Some(to), edits.clone()));
-            edits.push(leave);
-            found.push(change(Some(to), edits));
+            found.push(change(Some(destination), edits.clone()));
+            edits.push(drop_from_source);
+            found.push(change(Some(destination), edits));
         }
         found
     }
 
     /// Least loaded ranks that may load `expert`.
-    fn coolest(&self, expert: u16, loaded: &[usize], bounds: Bounds) -> Vec<usize> {
-        let may = |rank: &usize| {
-            loaded[*rank] < bounds.per_rank
-                && self.loaded[*rank] < bounds.per_set
+    fn least_loaded_ranks(&self, expert: u16, load_counts: &[usize], limits: Bounds) -> Vec<usize> {
+        let may_load = |rank: &usize| {
+            load_counts[*rank] < limits.per_rank
+                && self.load_counts[*rank] < limits.per_set
                 && !self.ranks[*rank].contains(&expert)
         };
-        let mut ranks: Vec<usize> = (0..self.loads.len()).filter(may).collect();
+        let mut ranks: Vec<usize> = (0..self.loads.len()).filter(may_load).collect();
         ranks.sort_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]));
-        ranks.truncate(RANKS);
+        ranks.truncate(MAX_DESTINATIONS_TRIED);
         ranks
     }
 
     /// The expert on `rank` with the smallest load, of those that have other replicas.
-    fn lightest_copy(&self, rank: usize) -> Option<u16> {
-        let copies = self.ranks[rank]
+    fn lightest_replicated_expert(&self, rank: usize) -> Option<u16> {
+        let replicated = self.ranks[rank]
             .iter()
             .copied()
             .filter(|expert| self.holders[usize::from(*expert)].len() > 1);
-        copies.min_by(|left, right| self.share(*left).total_cmp(&self.share(*right)))
+        replicated.min_by(|left, right| self.share(*left).total_cmp(&self.share(*right)))
     }
 
     /// Loads after `edits`; only holders of the experts that move are updated.
@@ -252,31 +267,31 @@
             let mut holders = self.holders[usize::from(expert)].clone();
             let share = self.share(expert);
             for holder in &holders {
-                loads[*holder] -= share * self.pace(*holder);
+                loads[*holder] -= share * self.slowdown(*holder);
             }
             for edit in edits.iter().filter(|edit| edit.expert() == expert) {
-                edit.carry_out(&mut holders);
+                edit.apply_to(&mut holders);
             }
             let total = self.tokens[usize::from(expert)] * self.scale;
             let share = total / holders.len().max(1) as f64;
             for holder in &holders {
-                loads[*holder] += share * self.pace(*holder);
+                loads[*holder] += share * self.slowdown(*holder);
             }
         }
         loads
     }
 
-    fn apply(&mut self, change: &Change) {
+    fn apply(&mut self, change: &SetChange) {
         self.loads = self.loads_after(&change.edits);
         for edit in &change.edits {
-            edit.carry_out(&mut self.holders[usize::from(edit.expert())]);
+            edit.apply_to(&mut self.holders[usize::from(edit.expert())]);
             match edit {
                 Edit::Add { expert, rank } => self.ranks[*rank].push(*expert),
-                Edit::Drop { expert, rank } => self.ranks[*rank].retain(|held| held != expert),
+                Edit::Drop { expert, rank } => self.ranks[*rank].retain(|other| other != expert),
             }
         }
-        if let Some(rank) = change.loads_on {
-            self.loaded[rank] += 1;
+        if let Some(rank) = change.loading_rank {
+            self.load_counts[rank] += 1;
         }
     }
 }
@@ -288,7 +303,7 @@
         }
     }
 
-    fn carry_out(self, holders: &mut Vec<usize>) {
+    fn apply_to(self, holders: &mut Vec<usize>) {
         match self {
             Self::Add { rank, .. } => holders.push(rank),
             Self::Drop { rank, .. } => holders.retain(|holder| *holder != rank),
@@ -298,7 +313,7 @@
 
 /// A smooth approximation of the largest of `loads`: their 16-norm, which also rewards lowering those that are nearly
 /// largest.
-fn norm(loads: &[f64]) -> f64 {
+fn smooth_max(loads: &[f64]) -> f64 {
     let largest = loads.iter().copied().fold(0.0, f64::max);
     if largest <= 0.0 {
         return 0.0;
--- a/crates/sparscale_place/src/search.rs
+++ b/crates/sparscale_place/src/search.rs
@@ -5,15 +5,15 @@
 
 /// Exponent of the norm that approximates the largest rank load; it also rewards lowering ranks that are nearly
 /// largest.
-const NORM: i32 = 16;
+const NORM_EXPONENT: i32 = 16;
 /// Share of the norm by which a change must lower it; less is noise.
-const MIN_GAIN: f64 = 5e-4;
+const MIN_GAIN_SHARE: f64 = 5e-4;
 /// Heaviest experts of the most loaded rank that are tried.
-const EXPERTS: usize = 8;
+const MAX_EXPERTS_TRIED: usize = 8;
 /// Most loaded ranks that are tried, one after the other, until a change helps one.
-const HOT_RANKS: usize = 1;
+const MAX_SOURCES_TRIED: usize = 1;
 /// Least loaded ranks that are tried as destinations.
-const RANKS: usize = 4;
+const MAX_DESTINATIONS_TRIED: usize = 4;
 
 /// One layer with the loads and holders that the search keeps up to date.
 #[derive(Debug, Clone)]
@@ -23,45 +23,45 @@
     slots: usize,
     /// Ranks that hold each expert.
     holders: Vec<Vec<usize>>,
-    loads: Vec<f64>,
+    rank_loads: Vec<f64>,
 }
 
 /// A change of one layer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Change {
+pub(crate) struct LayerChange {
     /// Expert that gets another replica.
     expert: u16,
     /// Rank that loads it.
-    to: usize,
+    to_rank: usize,
     /// How the expert gets a slot on that rank.
-    slot: Slot,
+    slot: SlotUse,
     /// Rank that drops its replica of the expert, if the expert is moved rather than copied.
-    leaves: Option<usize>,
+    dropped_from: Option<usize>,
     /// Decrease of the norm of the rank loads, in tokens.
     gain: f64,
     /// Replicas that have to be loaded.
-    loads: u32,
+    replica_loads: u32,
 }
 
 /// Successive changes of one layer and the point that each leads to.
 #[derive(Debug, Clone)]
-pub(crate) struct Path {
-    changes: Vec<Change>,
+pub(crate) struct SearchPath {
+    changes: Vec<LayerChange>,
     /// Points before the first change and after each one.
-    pub(crate) points: Vec<Point>,
+    pub(crate) points: Vec<PathPoint>,
 }
 
 /// State of a layer along a path.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Point {
+pub(crate) struct PathPoint {
     /// Replicas loaded so far.
-    pub(crate) loads: u32,
+    pub(crate) replica_loads: u32,
     /// Largest rank load, in tokens.
-    pub(crate) largest: f64,
+    pub(crate) max_rank_load: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Slot {
+enum SlotUse {
     /// The slot is free.
     Free,
     /// This expert is dropped; it has other replicas.
@@ -73,8 +73,8 @@
 impl<'a> LayerSearch<'a> {
     pub(crate) fn new(layer: &Layer, tokens: &'a [f64], slots: usize) -> Self {
         Self {
-            holders: holders(layer, tokens.len()),
-            loads: rank_loads(layer, tokens),
+            holders: ranks_by_expert(layer, tokens.len()),
+            rank_loads: rank_loads(layer, tokens),
             layer: layer.clone(),
             tokens,
             slots,
@@ -83,21 +83,21 @@
 
     /// Applies the best change again and again, until none helps, the largest load is down to `goal`, or `budget`
     /// replicas are loaded.
-    pub(crate) fn path(mut self, goal: f64, budget: u32) -> Path {
-        let mut loads = 0;
-        let mut path = Path {
+    pub(crate) fn path(mut self, goal: f64, budget: u32) -> SearchPath {
+        let mut replica_loads = 0;
+        let mut path = SearchPath {
             changes: Vec::new(),
             points: vec![self.point(0)],
         };
-        while let Some(change) = self.best() {
-            loads += change.loads;
-            if loads > budget {
+        while let Some(change) = self.best_change() {
+            replica_loads += change.replica_loads;
+            if replica_loads > budget {
                 return path;
             }
             self.apply(change);
             path.changes.push(change);
-            path.points.push(self.point(loads));
-            if self.largest() <= goal {
+            path.points.push(self.point(replica_loads));
+            if self.max_rank_load() <= goal {
                 return path;
             }
         }
@@ -105,9 +105,9 @@
     }
 
     /// The layer after the first `count` changes of `path`.
-    pub(crate) fn follow(mut self, path: &Path, count: usize) -> Layer {
+    pub(crate) fn follow(mut self, path: &SearchPath, count: usize) -> Layer {
         for change in &path.changes[..count] {
-            self.edit(*change);
+            self.edit_ranks(*change);
         }
         self.layer
     }
@@ -121,35 +121,41 @@
     }
 
     /// Largest rank load, in tokens.
-    pub(crate) fn largest(&self) -> f64 {
-        self.loads.iter().copied().fold(0.0, f64::max)
+    pub(crate) fn max_rank_load(&self) -> f64 {
+        self.rank_loads.iter().copied().fold(0.0, f64::max)
     }
 
-    fn point(&self, loads: u32) -> Point {
-        let largest = self.largest();
-        Point { loads, largest }
+    fn point(&self, replica_loads: u32) -> PathPoint {
+        let max_rank_load = self.max_rank_load();
+        PathPoint {
+            replica_loads,
+            max_rank_load,
+        }
     }
 
     /// The change with the largest gain per replica load, if any gains.
-    fn best(&self) -> Option<Change> {
-        let before = norm(&self.loads);
-        let hottest = self.hottest();
-        hottest.into_iter().find_map(|hot| self.best_from(hot, before))
+    fn best_change(&self) -> Option<LayerChange> {
+        let norm_before = smooth_max(&self.rank_loads);
+        let sources = self.most_loaded_ranks();
+        sources
+            .into_iter()
+            .find_map(|source| self.best_change_from(source, norm_before))
     }
 
-    fn best_from(&self, hot: usize, before: f64) -> Option<Change> {
-        let mut best: Option<Change> = None;
-        for expert in self.heaviest_on(hot) {
-            for to in self.coolest(hot) {
-                if self.layer.ranks[to].contains(&expert) {
+    fn best_change_from(&self, source: usize, norm_before: f64) -> Option<LayerChange> {
+        let mut best: Option<LayerChange> = None;
+        for expert in self.heaviest_experts(source) {
+            for to_rank in self.least_loaded_ranks(source) {
+                if self.layer.ranks[to_rank].contains(&expert) {
                     continue;
                 }
-                for change in self.changes(expert, hot, to) {
-                    let gain = before - norm(&self.loads_after(change));
-                    let better =
-                        best.is_none_or(|best| gain / f64::from(change.loads) > best.gain / f64::from(best.loads));
-                    if gain > before * MIN_GAIN && better {
-                        best = Some(Change { gain, ..change });
+                for change in self.changes(expert, source, to_rank) {
+                    let gain = norm_before - smooth_max(&self.loads_after(change));
+                    let is_better = best.is_none_or(|best| {
+                        gain / f64::from(change.replica_loads) > best.gain / f64::from(best.replica_loads)
+                    });
+                    if gain > norm_before * MIN_GAIN_SHARE && is_better {
+                        best = Some(LayerChange { gain, ..change });
                     }
                 }
             }
@@ -158,118 +164,123 @@
     }
 
     /// Applies `change` and updates loads and holders.
-    fn apply(&mut self, change: Change) {
-        self.loads = self.loads_after(change);
-        self.edit(change);
-        self.move_holder(change.expert, Some(change.to), change.leaves);
+    fn apply(&mut self, change: LayerChange) {
+        self.rank_loads = self.loads_after(change);
+        self.edit_ranks(change);
+        self.update_holders(change.expert, Some(change.to_rank), change.dropped_from);
         match change.slot {
-            Slot::Free => {}
-            Slot::Evict(gone) => self.move_holder(gone, None, Some(change.to)),
-            Slot::Swap(back) => self.move_holder(back, change.leaves, Some(change.to)),
+            SlotUse::Free => {}
+            SlotUse::Evict(old) => self.update_holders(old, None, Some(change.to_rank)),
+            SlotUse::Swap(old) => self.update_holders(old, change.dropped_from, Some(change.to_rank)),
         }
     }
 
-    fn move_holder(&mut self, expert: u16, gets: Option<usize>, loses: Option<usize>) {
+    fn update_holders(&mut self, expert: u16, added_to: Option<usize>, removed_from: Option<usize>) {
         let holders = &mut self.holders[usize::from(expert)];
-        holders.retain(|rank| Some(*rank) != loses);
-        holders.extend(gets);
+        holders.retain(|rank| Some(*rank) != removed_from);
+        holders.extend(added_to);
     }
 
-    fn edit(&mut self, change: Change) {
+    fn edit_ranks(&mut self, change: LayerChange) {
         match change.slot {
-            Slot::Free => {}
-            Slot::Evict(gone) | Slot::Swap(gone) => self.layer.ranks[change.to].retain(|held| *held != gone),
+            SlotUse::Free => {}
+            SlotUse::Evict(old) | SlotUse::Swap(old) => self.layer.ranks[change.to_rank].retain(|held| *held != old),
         }
-        self.layer.ranks[change.to].push(change.expert);
-        if let Some(from) = change.leaves {
-            self.layer.ranks[from].retain(|held| *held != change.expert);
-            if let Slot::Swap(expert) = change.slot {
-                self.layer.ranks[from].push(expert);
+        self.layer.ranks[change.to_rank].push(change.expert);
+        if let Some(source) = change.dropped_from {
+            self.layer.ranks[source].retain(|expert| *expert != change.expert);
+            if let SlotUse::Swap(expert) = change.slot {
+                self.layer.ranks[source].push(expert);
             }
         }
     }
 
     /// Rank loads after `change`; only holders of the experts that move are updated.
-    fn loads_after(&self, change: Change) -> Vec<f64> {
-        let mut loads = self.loads.clone();
-        self.shift(&mut loads, change.expert, Some(change.to), change.leaves);
+    fn loads_after(&self, change: LayerChange) -> Vec<f64> {
+        let mut rank_loads = self.rank_loads.clone();
+        self.shift_load(
+            &mut rank_loads,
+            change.expert,
+            Some(change.to_rank),
+            change.dropped_from,
+        );
         match change.slot {
-            Slot::Free => {}
-            Slot::Evict(gone) => self.shift(&mut loads, gone, None, Some(change.to)),
-            Slot::Swap(back) => self.shift(&mut loads, back, change.leaves, Some(change.to)),
+            SlotUse::Free => {}
+            SlotUse::Evict(old) => self.shift_load(&mut rank_loads, old, None, Some(change.to_rank)),
+            SlotUse::Swap(old) => self.shift_load(&mut rank_loads, old, change.dropped_from, Some(change.to_rank)),
         }
-        loads
+        rank_loads
     }
 
     /// Redistributes the tokens of `expert` when a rank gains a replica, another loses one, or both.
-    fn shift(&self, loads: &mut [f64], expert: u16, gets: Option<usize>, loses: Option<usize>) {
+    fn shift_load(&self, rank_loads: &mut [f64], expert: u16, added_to: Option<usize>, removed_from: Option<usize>) {
         let expert = usize::from(expert);
         let holders = &self.holders[expert];
-        let count = holders.len() + usize::from(gets.is_some()) - usize::from(loses.is_some());
-        let before = self.tokens[expert] / holders.len().max(1) as f64;
-        let after = self.tokens[expert] / count.max(1) as f64;
+        let replica_count = holders.len() + usize::from(added_to.is_some()) - usize::from(removed_from.is_some());
+        let share_before = self.tokens[expert] / holders.len().max(1) as f64;
+        let share_after = self.tokens[expert] / replica_count.max(1) as f64;
         for holder in holders {
-            loads[*holder] -= before;
-            if Some(*holder) != loses {
-                loads[*holder] += after;
+            rank_loads[*holder] -= share_before;
+            if Some(*holder) != removed_from {
+                rank_loads[*holder] += share_after;
             }
         }
-        if let Some(rank) = gets {
-            loads[rank] += after;
+        if let Some(rank) = added_to {
+            rank_loads[rank] += share_after;
         }
     }
 
-    fn hottest(&self) -> Vec<usize> {
-        let mut ranks: Vec<usize> = (0..self.loads.len()).collect();
-        ranks.sort_by(|left, right| self.loads[*right].total_cmp(&self.loads[*left]));
-        ranks.truncate(HOT_RANKS);
+    fn most_loaded_ranks(&self) -> Vec<usize> {
+        let mut ranks: Vec<usize> = (0..self.rank_loads.len()).collect();
+        ranks.sort_by(|left, right| self.rank_loads[*right].total_cmp(&self.rank_loads[*left]));
+        ranks.truncate(MAX_SOURCES_TRIED);
         ranks
     }
 
-    fn heaviest_on(&self, rank: usize) -> Vec<u16> {
-        let mut held = self.layer.ranks[rank].clone();
-        held.sort_by(|left, right| self.share(*right).total_cmp(&self.share(*left)));
-        held.truncate(EXPERTS);
-        held
+    fn heaviest_experts(&self, rank: usize) -> Vec<u16> {
+        let mut experts = self.layer.ranks[rank].clone();
+        experts.sort_by(|left, right| self.share(*right).total_cmp(&self.share(*left)));
+        experts.truncate(MAX_EXPERTS_TRIED);
+        experts
     }
 
-    fn coolest(&self, not: usize) -> Vec<usize> {
-        let mut ranks: Vec<usize> = (0..self.loads.len()).filter(|rank| *rank != not).collect();
-        ranks.sort_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]));
-        ranks.truncate(RANKS);
+    fn least_loaded_ranks(&self, excluded: usize) -> Vec<usize> {
+        let mut ranks: Vec<usize> = (0..self.rank_loads.len()).filter(|rank| *rank != excluded).collect();
+        ranks.sort_by(|left, right| self.rank_loads[*left].total_cmp(&self.rank_loads[*right]));
+        ranks.truncate(MAX_DESTINATIONS_TRIED);
         ranks
     }
 
-    /// Changes that bring `expert` from rank `source` to `destination`: another replica, or a move, if need be in
+    /// Changes that bring `expert` from rank `source` to `to_rank`: another replica, or a move, if need be in
     /// exchange for a lighter expert.
-    fn changes(&self, expert: u16, hot: usize, to: usize) -> Vec<Change> {
-        let change = |slot, leaves, loads| Change {
+    fn changes(&self, expert: u16, source: usize, to_rank: usize) -> Vec<LayerChange> {
+        let change = |slot, dropped_from, replica_loads| LayerChange {
             expert,
-            to,
+            to_rank,
             slot,
-            leaves,
+            dropped_from,
             gain: 0.0,
-            loads,
+            replica_loads,
         };
-        let held = &self.layer.ranks[to];
+        let experts = &self.layer.ranks[to_rank];
         let mut found = Vec::new();
-        if held.len() < self.slots {
-            found.push(change(Slot::Free, None, 1));
-            found.push(change(Slot::Free, Some(hot), 1));
+        if experts.len() < self.slots {
+            found.push(change(SlotUse::Free, None, 1));
+            found.push(change(SlotUse::Free, Some(source), 1));
         }
-        if let Some(spare) = self.lightest(to, |other| self.holders[usize::from(other)].len() > 1) {
-            found.push(change(Slot::Evict(spare), None, 1));
+        if let Some(replicated) = self.lightest_expert(to_rank, |other| self.holders[usize::from(other)].len() > 1) {
+            found.push(change(SlotUse::Evict(replicated), None, 1));
         }
-        let fits_back = |other: u16| !self.layer.ranks[hot].contains(&other);
-        if let Some(light) = self.lightest(to, fits_back) {
-            found.push(change(Slot::Swap(light), Some(hot), 2));
+        let fits_on_source = |other: u16| !self.layer.ranks[source].contains(&other);
+        if let Some(lighter) = self.lightest_expert(to_rank, fits_on_source) {
+            found.push(change(SlotUse::Swap(lighter), Some(source), 2));
         }
         found
     }
 
-    fn lightest(&self, rank: usize, allowed: impl Fn(u16) -> bool) -> Option<u16> {
-        let held = self.layer.ranks[rank].iter().copied().filter(|expert| allowed(*expert));
-        held.min_by(|left, right| self.share(*left).total_cmp(&self.share(*right)))
+    fn lightest_expert(&self, rank: usize, allowed: impl Fn(u16) -> bool) -> Option<u16> {
+        let allowed_experts = self.layer.ranks[rank].iter().copied().filter(|expert| allowed(*expert));
+        allowed_experts.min_by(|left, right| self.share(*left).total_cmp(&self.share(*right)))
     }
 
     fn share(&self, expert: u16) -> f64 {
@@ -278,10 +289,10 @@
     }
 }
 
-fn holders(layer: &Layer, experts: usize) -> Vec<Vec<usize>> {
+fn ranks_by_expert(layer: &Layer, experts: usize) -> Vec<Vec<usize>> {
     let mut holders = vec![Vec::new(); experts];
-    for (rank, held) in layer.ranks.iter().enumerate() {
-        for expert in held {
+    for (rank, rank_experts) in layer.ranks.iter().enumerate() {
+        for expert in rank_experts {
             holders[usize::from(*expert)].push(rank);
         }
     }
@@ -289,11 +300,11 @@
 }
 
 /// A smooth approximation of the largest of `loads`.
-fn norm(loads: &[f64]) -> f64 {
+fn smooth_max(loads: &[f64]) -> f64 {
     let largest = loads.iter().copied().fold(0.0, f64::max);
     if largest <= 0.0 {
         return 0.0;
     }
-    let sum: f64 = loads.iter().map(|load| (load / largest).powi(NORM)).sum();
-    largest * sum.powf(1.0 / f64::from(NORM))
+    let sum: f64 = loads.iter().map(|load| (load / largest).powi(NORM_EXPONENT)).sum();
+    largest * sum.powf(1.0 / f64::from(NORM_EXPONENT))
 }
--- a/crates/sparscale_place/src/switch/mod.rs
+++ b/crates/sparscale_place/src/switch/mod.rs
@@ -33,7 +33,7 @@
 
 impl Plan {
     /// Number of the map that `step` runs on.
-    pub fn at(&self, step: u64) -> u64 {
+    pub fn map_at(&self, step: u64) -> u64 {
         match self.next {
             Some(change) if step >= change.at => change.number,
             _ => self.number,
--- a/crates/sparscale_place/src/switch/rank.rs
+++ b/crates/sparscale_place/src/switch/rank.rs
@@ -66,7 +66,7 @@
             return None;
         }
         self.step = self.step.max(step);
-        let number = plan.at(step);
+        let number = plan.map_at(step);
         if number != plan.number {
             self.plan = Some(Plan { number, next: None });
             self.staged = None;
@@ -79,7 +79,7 @@
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
         }
-        self.plan.map(|plan| plan.at(step))
+        self.plan.map(|plan| plan.map_at(step))
     }
 
     /// The state as a report; `done` says whether the order was carried out.
@@ -112,8 +112,8 @@
         let too_late = self.step >= change.at;
         let not_ready = self.staged != Some(change.number) || plan.next.is_some();
         // A delayed order to arm for an earlier step must not replace a later one.
-        let overtaken = self.armed.is_some_and(|armed| armed.at > change.at);
-        if too_late || not_ready || overtaken {
+        let is_outdated = self.armed.is_some_and(|armed| armed.at > change.at);
+        if too_late || not_ready || is_outdated {
             return false;
         }
         self.armed = Some(change);
--- a/crates/sparscale_place/tests/barrier_switch/group.rs
+++ b/crates/sparscale_place/tests/barrier_switch/group.rs
@@ -1,4 +1,4 @@
-//! The engines of a group in memory.
+//! The engines of a group, in memory.
 
 use sparscale_place::barrier::{Act, Answer, Change, Order, View};
 
@@ -8,19 +8,19 @@
 pub struct Rank {
     pub map: u64,
     pub staged: Option<u64>,
-    pub highest: u64,
+    pub highest_staged: u64,
     pub armed: Option<Change>,
     pub held: Option<u64>,
     pub fence: u64,
 }
 
-/// The engines of a group, as the platform describes them.
+/// The engines of a group, with the hold and arm semantics of the platform.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Group {
     pub epoch: u64,
     pub step: u64,
     pub ranks: Vec<Rank>,
-    pub mixed: bool,
+    pub has_mixed_maps: bool,
 }
 
 impl Group {
@@ -29,7 +29,7 @@
             epoch: 1,
             step: 0,
             ranks: vec![Rank::default(); RANKS],
-            mixed: false,
+            has_mixed_maps: false,
         }
     }
 
@@ -46,7 +46,7 @@
                 rank.staged = None;
             }
         }
-        self.mixed |= self.ranks.iter().any(|rank| rank.map != self.ranks[0].map);
+        self.has_mixed_maps |= self.ranks.iter().any(|rank| rank.map != self.ranks[0].map);
         true
     }
 
@@ -90,33 +90,33 @@
             Act::Look => true,
             Act::Stage { number } if state.staged == Some(number) => true,
             Act::Stage { number } => {
-                let fits = number > state.highest && state.armed.is_none();
-                if fits {
-                    state.highest = number;
+                let is_allowed = number > state.highest_staged && state.armed.is_none();
+                if is_allowed {
+                    state.highest_staged = number;
                     state.staged = Some(number);
                 }
-                fits
+                is_allowed
             }
-            Act::Hold { step: held } => {
-                let fits = state.held == Some(held) || (state.held.is_none() && held > step);
-                if fits {
-                    state.held = Some(held);
+            Act::Hold { step: held_step } => {
+                let is_allowed = state.held == Some(held_step) || (state.held.is_none() && held_step > step);
+                if is_allowed {
+                    state.held = Some(held_step);
                 }
-                fits
+                is_allowed
             }
             Act::Arm(change) => {
-                let fits = state.staged == Some(change.number) && change.at > step;
-                if fits {
+                let is_allowed = state.staged == Some(change.number) && change.at > step;
+                if is_allowed {
                     state.armed = Some(change);
                 }
-                fits
+                is_allowed
             }
             Act::Disarm { number } => {
                 state.armed = state.armed.filter(|armed| armed.number != number);
                 state.map != number
             }
-            Act::Release { step: held } => {
-                state.held = state.held.filter(|step| *step != held);
+            Act::Release { step: held_step } => {
+                state.held = state.held.filter(|step| *step != held_step);
                 true
             }
         };
--- a/crates/sparscale_place/tests/barrier_switch/late_answers.rs
+++ b/crates/sparscale_place/tests/barrier_switch/late_answers.rs
@@ -1,17 +1,18 @@
-//! An answer to an order of a change that was given up says nothing about the change that followed.
+//! A late answer to an order of an abandoned change says nothing about the next change.
 //!
-//! Boxes that stood still answer, as they wake, the order to load the map before. If that counted for the next one, a refusal
-//! would end it, and a rank that has answered would never be told to load it, and be waited for in vain.
+//! Boxes that were suspended answer the order to load the previous map when they resume. If that counted for the next
+//! map, a refusal would end its change, and a rank that has answered would never be ordered to load it while the change
+//! waits for that rank.
 
 use sparscale_place::barrier::{Act, Answer, Conductor, Order, Progress, Report};
 
-use crate::silent_rank::view;
+use crate::unresponsive_rank::view;
 
 const RANKS: usize = 3;
 /// The rank that answers late.
-const LATE: usize = 2;
-const FIRST: u64 = 7;
-const NEXT: u64 = 8;
+const LATE_RANK: usize = 2;
+const FIRST_MAP: u64 = 7;
+const NEXT_MAP: u64 = 8;
 
 fn report(order: Order, answer: Answer, staged: Option<u64>) -> Report {
     Report {
@@ -21,50 +22,52 @@
     }
 }
 
-/// A conductor that gave a first change up and began the next one, and the order to load the first map that one rank has not
-/// answered.
-fn begun_anew() -> (Conductor, Order) {
-    let mut conductor = Conductor::new(RANKS, 0, 100);
-    for (rank, order) in conductor.orders() {
-        conductor.report(rank, report(order, Answer::Done, None));
+/// A coordinator that abandoned a first change and began the next one, and the order to load the first map that one
+/// rank has not answered.
+fn second_change() -> (Conductor, Order) {
+    let mut coordinator = Conductor::new(RANKS, 0, 100);
+    for (rank, order) in coordinator.orders() {
+        coordinator.report(rank, report(order, Answer::Done, None));
     }
-    assert!(conductor.begin(FIRST));
+    assert!(coordinator.begin(FIRST_MAP));
     let mut unanswered = None;
-    for (rank, order) in conductor.orders() {
-        if rank == LATE {
+    for (rank, order) in coordinator.orders() {
+        if rank == LATE_RANK {
             unanswered = Some(order);
         } else {
-            conductor.report(rank, report(order, Answer::Done, Some(FIRST)));
+            coordinator.report(rank, report(order, Answer::Done, Some(FIRST_MAP)));
         }
     }
-    conductor.abandon();
-    assert!(conductor.begin(NEXT));
-    for (rank, order) in conductor.orders() {
-        conductor.report(rank, report(order, Answer::Done, Some(NEXT)));
+    coordinator.abandon();
+    assert!(coordinator.begin(NEXT_MAP));
+    for (rank, order) in coordinator.orders() {
+        coordinator.report(rank, report(order, Answer::Done, Some(NEXT_MAP)));
     }
-    (conductor, unanswered.expect("one order was not answered"))
+    (coordinator, unanswered.expect("one order is unanswered"))
 }
 
-fn is_told_next(conductor: &mut Conductor) -> bool {
-    let told = Act::Stage { number: NEXT };
-    let orders = conductor.orders();
-    orders.iter().any(|(rank, order)| *rank == LATE && order.act == told)
+fn is_ordered_to_load_next(coordinator: &mut Conductor) -> bool {
+    let stage = Act::Stage { number: NEXT_MAP };
+    let orders = coordinator.orders();
+    orders
+        .iter()
+        .any(|(rank, order)| *rank == LATE_RANK && order.act == stage)
 }
 
 #[test]
-fn done_before() {
-    let (mut conductor, unanswered) = begun_anew();
-    conductor.report(LATE, report(unanswered, Answer::Done, Some(FIRST)));
+fn late_done() {
+    let (mut coordinator, unanswered) = second_change();
+    coordinator.report(LATE_RANK, report(unanswered, Answer::Done, Some(FIRST_MAP)));
     assert!(
-        is_told_next(&mut conductor),
-        "it has not been told to load the next map"
+        is_ordered_to_load_next(&mut coordinator),
+        "the rank was not ordered to load the next map"
     );
 }
 
 #[test]
-fn refused_before() {
-    let (mut conductor, unanswered) = begun_anew();
-    conductor.report(LATE, report(unanswered, Answer::Refused, None));
-    assert_eq!(conductor.progress(), Progress::Staging);
-    assert!(is_told_next(&mut conductor));
+fn late_refusal() {
+    let (mut coordinator, unanswered) = second_change();
+    coordinator.report(LATE_RANK, report(unanswered, Answer::Refused, None));
+    assert_eq!(coordinator.progress(), Progress::Staging);
+    assert!(is_ordered_to_load_next(&mut coordinator));
 }
--- a/crates/sparscale_place/tests/barrier_switch/main.rs
+++ b/crates/sparscale_place/tests/barrier_switch/main.rs
@@ -1,10 +1,10 @@
-//! No step ever begins on two maps where the group is held for a change: two conductors, orders that are answered
-//! late, never or carried out seconds later, groups that re-form, conductors that die or wake.
+//! No step begins on two maps when the group is held for a change: with two coordinators, orders that are answered late
+//! or never or carried out seconds later, groups that re-form, and coordinators that die or resume.
 
-mod forgotten_claims;
 mod group;
 mod late_answers;
-mod silent_rank;
+mod restored_claims;
+mod unresponsive_rank;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_place::barrier::{Answer, Conductor, Order, Progress, Report};
@@ -12,22 +12,22 @@
 use crate::group::Group;
 
 const RANKS: usize = 3;
-/// Fences of one claim.
-const CLAIM: u64 = 1 << 10;
-/// Claims in one walk.
+/// Fences that belong to one claim.
+const FENCES_PER_CLAIM: u64 = 1 << 10;
+/// Largest number of claims in one walk.
 const MAX_CLAIMS: u64 = 4;
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Sent {
-    conductor: usize,
+struct SentOrder {
+    coordinator: usize,
     claim: u64,
     rank: usize,
     order: Order,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Told {
-    conductor: usize,
+struct SentReport {
+    coordinator: usize,
     claim: u64,
     rank: usize,
     report: Report,
@@ -36,47 +36,47 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
     group: Group,
-    conductors: Vec<Option<(u64, Conductor)>>,
-    /// Claims that were made.
-    claims: u64,
-    list: List,
-    numbers: u64,
-    orders: Vec<Sent>,
-    /// Orders that were not answered and may be carried out at any time.
-    late: Vec<Sent>,
-    reports: Vec<Told>,
+    coordinators: Vec<Option<(u64, Conductor)>>,
+    /// Number of claims made.
+    claim_count: u64,
+    list: ClaimList,
+    last_map_number: u64,
+    sent_orders: Vec<SentOrder>,
+    /// Orders that got no answer and may be carried out at any time.
+    late_orders: Vec<SentOrder>,
+    sent_reports: Vec<SentReport>,
 }
 
-/// The list of claims, which may come back from an older copy.
+/// The list of claims, which may be restored from an older snapshot.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct List {
+struct ClaimList {
     era: u64,
     end: u64,
-    numbers: Numbers,
+    numbering: ClaimNumbering,
 }
 
 /// How claims are numbered.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Numbers {
+enum ClaimNumbering {
     /// By era, then by offset.
-    ByPlace,
-    /// By offset alone, which a restored list gives out again.
+    ByPosition,
+    /// By offset alone; a restored list assigns the same offsets again.
     ByOffset,
 }
 
-impl List {
-    /// Claims at the end of the list; tells the number of the claim.
+impl ClaimList {
+    /// Appends a claim to the list and returns its number.
     fn claim(&mut self) -> u64 {
         let offset = self.end;
         self.end += 1;
-        match self.numbers {
-            Numbers::ByPlace => self.era * MAX_CLAIMS * 2 + offset + 1,
-            Numbers::ByOffset => offset + 1,
+        match self.numbering {
+            ClaimNumbering::ByPosition => self.era * MAX_CLAIMS * 2 + offset + 1,
+            ClaimNumbering::ByOffset => offset + 1,
         }
     }
 
-    /// Comes back without its last claim.
-    fn forget(&mut self) {
+    /// Restores the list without its last claim.
+    fn restore(&mut self) {
         self.era += 1;
         self.end = self.end.saturating_sub(1);
     }
@@ -89,39 +89,39 @@
     Tick(usize),
     Deliver(usize),
     /// The order gets no answer and may be carried out later.
-    Silence(usize),
-    Late(usize),
-    Report(usize),
-    /// The link to the rank breaks while an order is on its way.
-    Lose(usize),
-    Push(usize, usize),
+    LeaveUnanswered(usize),
+    DeliverLate(usize),
+    DeliverReport(usize),
+    /// The link to the rank breaks while a report is in flight.
+    LoseReport(usize),
+    PushState(usize, usize),
     Claim(usize),
-    /// The list of claims comes back from an older copy.
-    Forget,
-    Begin(usize),
-    Abandon(usize),
+    /// The list of claims is restored from an older snapshot.
+    RestoreClaims,
+    BeginChange(usize),
+    AbandonChange(usize),
 }
 
 impl World {
     fn new() -> Self {
-        Self::numbered(Numbers::ByPlace)
+        Self::with_numbering(ClaimNumbering::ByPosition)
     }
 
-    fn numbered(numbers: Numbers) -> Self {
-        let list = List {
+    fn with_numbering(numbering: ClaimNumbering) -> Self {
+        let list = ClaimList {
             era: 0,
             end: 0,
-            numbers,
+            numbering,
         };
         let mut world = Self {
             list,
             group: Group::new(),
-            conductors: vec![None, None],
-            claims: 0,
-            numbers: 0,
-            orders: Vec::new(),
-            late: Vec::new(),
-            reports: Vec::new(),
+            coordinators: vec![None, None],
+            claim_count: 0,
+            last_map_number: 0,
+            sent_orders: Vec::new(),
+            late_orders: Vec::new(),
+            sent_reports: Vec::new(),
         };
         world.act(Action::Claim(0));
         world
@@ -134,73 +134,75 @@
                 self.group.reform();
                 true
             }
-            Action::Tick(conductor) => self.tick(conductor),
+            Action::Tick(coordinator) => self.tick(coordinator),
             Action::Deliver(index) => self.deliver(index),
-            Action::Silence(index) => self.silence(index),
-            Action::Late(index) => {
-                if index >= self.late.len() {
+            Action::LeaveUnanswered(index) => self.leave_unanswered(index),
+            Action::DeliverLate(index) => {
+                if index >= self.late_orders.len() {
                     return false;
                 }
-                let sent = self.late.remove(index);
+                let sent = self.late_orders.remove(index);
                 self.group.order(sent.rank, &sent.order);
                 true
             }
-            Action::Report(index) => {
-                if index >= self.reports.len() {
+            Action::DeliverReport(index) => {
+                if index >= self.sent_reports.len() {
                     return false;
                 }
-                let told = self.reports.remove(index);
-                self.tell(told);
+                let sent = self.sent_reports.remove(index);
+                self.deliver_report(sent);
                 true
             }
-            Action::Lose(index) => self.lose(index),
-            Action::Push(conductor, rank) => self.push(conductor, rank),
-            Action::Claim(conductor) => self.claim(conductor),
-            Action::Forget => {
-                self.list.forget();
+            Action::LoseReport(index) => self.lose_report(index),
+            Action::PushState(coordinator, rank) => self.push_state(coordinator, rank),
+            Action::Claim(coordinator) => self.claim(coordinator),
+            Action::RestoreClaims => {
+                self.list.restore();
                 true
             }
-            Action::Begin(conductor) => {
-                self.numbers += 1;
-                let number = self.numbers;
-                self.of(conductor).is_some_and(|conductor| conductor.begin(number))
+            Action::BeginChange(coordinator) => {
+                self.last_map_number += 1;
+                let number = self.last_map_number;
+                self.coordinator(coordinator)
+                    .is_some_and(|coordinator| coordinator.begin(number))
             }
-            Action::Abandon(conductor) => self.of(conductor).is_some_and(|conductor| {
-                conductor.abandon();
+            Action::AbandonChange(coordinator) => self.coordinator(coordinator).is_some_and(|coordinator| {
+                coordinator.abandon();
                 true
             }),
         }
     }
 
-    fn of(&mut self, conductor: usize) -> Option<&mut Conductor> {
-        self.conductors[conductor].as_mut().map(|(_, conductor)| conductor)
+    fn coordinator(&mut self, index: usize) -> Option<&mut Conductor> {
+        self.coordinators[index].as_mut().map(|(_, coordinator)| coordinator)
     }
 
     fn tick(&mut self, index: usize) -> bool {
-        let Some((claim, conductor)) = &mut self.conductors[index] else {
+        let Some((claim, coordinator)) = &mut self.coordinators[index] else {
             return false;
         };
         let claim = *claim;
-        let orders = conductor.orders();
-        let sent = !orders.is_empty();
-        self.orders.extend(orders.into_iter().map(|(rank, order)| Sent {
-            conductor: index,
-            claim,
-            rank,
-            order,
-        }));
-        sent
+        let orders = coordinator.orders();
+        let any_sent = !orders.is_empty();
+        self.sent_orders
+            .extend(orders.into_iter().map(|(rank, order)| SentOrder {
+                coordinator: index,
+                claim,
+                rank,
+                order,
+            }));
+        any_sent
     }
 
-    /// The conductor asks a rank for its state, whatever it is doing.
-    fn look(&mut self, index: usize, rank: usize) {
-        let Some((claim, conductor)) = &mut self.conductors[index] else {
+    /// The coordinator queries a rank's state, whatever phase it is in.
+    fn query_rank(&mut self, index: usize, rank: usize) {
+        let Some((claim, coordinator)) = &mut self.coordinators[index] else {
             return;
         };
         let claim = *claim;
-        let order = conductor.look_at(rank);
-        self.orders.extend(order.map(|order| Sent {
-            conductor: index,
+        let order = coordinator.look_at(rank);
+        self.sent_orders.extend(order.map(|order| SentOrder {
+            coordinator: index,
             claim,
             rank,
             order,
@@ -208,29 +210,29 @@
     }
 
     fn deliver(&mut self, index: usize) -> bool {
-        if index >= self.orders.len() {
+        if index >= self.sent_orders.len() {
             return false;
         }
-        let sent = self.orders.remove(index);
+        let sent = self.sent_orders.remove(index);
         let answer = self.group.order(sent.rank, &sent.order);
-        self.answer(sent, answer);
+        self.send_report(sent, answer);
         true
     }
 
-    fn silence(&mut self, index: usize) -> bool {
-        if index >= self.orders.len() {
+    fn leave_unanswered(&mut self, index: usize) -> bool {
+        if index >= self.sent_orders.len() {
             return false;
         }
-        let sent = self.orders.remove(index);
-        self.late.push(sent);
-        self.answer(sent, Answer::Silent);
+        let sent = self.sent_orders.remove(index);
+        self.late_orders.push(sent);
+        self.send_report(sent, Answer::Silent);
         true
     }
 
-    fn answer(&mut self, sent: Sent, answer: Answer) {
+    fn send_report(&mut self, sent: SentOrder, answer: Answer) {
         let view = self.group.view(sent.rank);
-        self.reports.push(Told {
-            conductor: sent.conductor,
+        self.sent_reports.push(SentReport {
+            coordinator: sent.coordinator,
             claim: sent.claim,
             rank: sent.rank,
             report: Report {
@@ -241,36 +243,36 @@
         });
     }
 
-    fn tell(&mut self, told: Told) {
-        if let Some((claim, conductor)) = &mut self.conductors[told.conductor]
-            && *claim == told.claim
+    fn deliver_report(&mut self, sent: SentReport) {
+        if let Some((claim, coordinator)) = &mut self.coordinators[sent.coordinator]
+            && *claim == sent.claim
         {
-            conductor.report(told.rank, told.report);
+            coordinator.report(sent.rank, sent.report);
         }
     }
 
-    /// The report of an order is lost with the link it would have come on.
-    fn lose(&mut self, index: usize) -> bool {
-        if index >= self.reports.len() {
+    /// The report of an order is lost with the link that carries it.
+    fn lose_report(&mut self, index: usize) -> bool {
+        if index >= self.sent_reports.len() {
             return false;
         }
-        let told = self.reports.remove(index);
-        if let Some((claim, conductor)) = &mut self.conductors[told.conductor]
-            && *claim == told.claim
+        let sent = self.sent_reports.remove(index);
+        if let Some((claim, coordinator)) = &mut self.coordinators[sent.coordinator]
+            && *claim == sent.claim
         {
-            conductor.lost(told.rank);
+            coordinator.lost(sent.rank);
         }
         true
     }
 
-    fn push(&mut self, conductor: usize, rank: usize) -> bool {
-        // What is told unasked comes in order behind the reports of the same rank.
-        let waiting = |told: &Told| told.conductor == conductor && told.rank == rank;
+    fn push_state(&mut self, coordinator: usize, rank: usize) -> bool {
+        // A state sent without a query arrives in order, after the reports of the same rank.
+        let is_earlier = |sent: &SentReport| sent.coordinator == coordinator && sent.rank == rank;
         let view = Some(self.group.view(rank));
-        let Some((claim, _)) = &self.conductors[conductor] else {
+        let Some((claim, _)) = &self.coordinators[coordinator] else {
             return false;
         };
-        if self.reports.iter().any(waiting) {
+        if self.sent_reports.iter().any(is_earlier) {
             return false;
         }
         let report = Report {
@@ -279,8 +281,8 @@
             view,
         };
         let claim = *claim;
-        self.tell(Told {
-            conductor,
+        self.deliver_report(SentReport {
+            coordinator,
             claim,
             rank,
             report,
@@ -289,41 +291,42 @@
     }
 
     fn claim(&mut self, index: usize) -> bool {
-        if self.claims >= MAX_CLAIMS {
+        if self.claim_count >= MAX_CLAIMS {
             return false;
         }
-        self.claims += 1;
+        self.claim_count += 1;
         let claim = self.list.claim();
-        let conductor = Conductor::new(RANKS, index, claim * CLAIM);
-        self.conductors[index] = Some((claim, conductor));
+        let coordinator = Conductor::new(RANKS, index, claim * FENCES_PER_CLAIM);
+        self.coordinators[index] = Some((claim, coordinator));
         true
     }
 
-    /// From here on everything arrives; the conductor claimed last leads.
+    /// Replaces the coordinators by a new one and delivers all messages from here on. Returns whether the group reaches a
+    /// new map and is released.
     fn settle(&mut self) -> bool {
-        self.orders.clear();
-        self.reports.clear();
+        self.sent_orders.clear();
+        self.sent_reports.clear();
         let claim = self.list.claim();
-        let conductor = Conductor::new(RANKS, 0, claim * CLAIM);
-        self.conductors = vec![Some((claim, conductor)), None];
-        self.numbers += 1;
-        let goal = self.numbers;
+        let coordinator = Conductor::new(RANKS, 0, claim * FENCES_PER_CLAIM);
+        self.coordinators = vec![Some((claim, coordinator)), None];
+        self.last_map_number += 1;
+        let goal = self.last_map_number;
         for _ in 0..400 {
-            self.act(Action::Begin(0));
-            self.numbers = goal;
+            self.act(Action::BeginChange(0));
+            self.last_map_number = goal;
             while self.tick(0) {
                 while self.deliver(0) {}
-                while self.act(Action::Report(0)) {}
+                while self.act(Action::DeliverReport(0)) {}
             }
             for rank in 0..RANKS {
-                self.push(0, rank);
+                self.push_state(0, rank);
             }
             self.group.step();
-            let settled = self
-                .of(0)
-                .is_some_and(|conductor| conductor.progress() == Progress::Idle);
-            let on_goal = self.group.ranks.iter().all(|rank| rank.map >= goal);
-            if settled && on_goal && self.group.ranks.iter().all(|rank| rank.held.is_none()) {
+            let is_settled = self
+                .coordinator(0)
+                .is_some_and(|coordinator| coordinator.progress() == Progress::Idle);
+            let uses_goal_map = self.group.ranks.iter().all(|rank| rank.map >= goal);
+            if is_settled && uses_goal_map && self.group.ranks.iter().all(|rank| rank.held.is_none()) {
                 return true;
             }
         }
@@ -336,10 +339,10 @@
 
 impl Arbitrary for Walk {
     fn arbitrary(g: &mut Gen) -> Self {
-        // Most walks are gentle, so that many of them get far; some are all trouble.
-        let trouble = *g.choose(&[1_u8, 4, 16]).expect("not empty");
+        // Most walks have few faults, so that many of them get far; some have many.
+        let fault_rate = *g.choose(&[1_u8, 4, 16]).expect("not empty");
         let length = usize::from(u8::arbitrary(g)) * 2 + 100;
-        Self((0..length).map(|_| action(g, trouble)).collect())
+        Self((0..length).map(|_| random_action(g, fault_rate)).collect())
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -367,38 +370,38 @@
     }
 }
 
-fn action(g: &mut Gen, trouble: u8) -> Action {
-    let conductor = usize::from(bool::arbitrary(g));
+fn random_action(g: &mut Gen, fault_rate: u8) -> Action {
+    let coordinator = usize::from(bool::arbitrary(g));
     let small = usize::from(u8::arbitrary(g) % 4);
     let rank = small % RANKS;
-    if u8::arbitrary(g) % 64 < trouble {
+    if u8::arbitrary(g) % 64 < fault_rate {
         return match u8::arbitrary(g) % 9 {
-            8 => Action::Forget,
+            8 => Action::RestoreClaims,
             0 => Action::Reform,
-            1 | 2 => Action::Claim(conductor),
-            3 => Action::Abandon(conductor),
-            4 => Action::Lose(small),
-            _ => Action::Silence(small),
+            1 | 2 => Action::Claim(coordinator),
+            3 => Action::AbandonChange(coordinator),
+            4 => Action::LoseReport(small),
+            _ => Action::LeaveUnanswered(small),
         };
     }
     match u8::arbitrary(g) % 16 {
         0 => Action::Step,
-        1 => Action::Late(small),
-        2 => Action::Push(conductor, rank),
-        3 | 4 => Action::Begin(conductor),
-        5..=7 => Action::Tick(conductor),
+        1 => Action::DeliverLate(small),
+        2 => Action::PushState(coordinator, rank),
+        3 | 4 => Action::BeginChange(coordinator),
+        5..=7 => Action::Tick(coordinator),
         8..=11 => Action::Deliver(small),
-        _ => Action::Report(small),
+        _ => Action::DeliverReport(small),
     }
 }
 
 #[test]
-fn never_mixed() {
-    fn holds(walk: Walk) -> bool {
+fn never_mixes_maps() {
+    fn never_mixes(walk: Walk) -> bool {
         let mut world = World::new();
         for action in walk.0 {
             world.act(action);
-            if world.group.mixed {
+            if world.group.has_mixed_maps {
                 return false;
             }
         }
@@ -408,17 +411,17 @@
         .rng(Gen::from_size_and_seed(100, 51))
         .tests(30_000)
         .max_tests(30_000)
-        .quickcheck(holds as fn(Walk) -> bool);
+        .quickcheck(never_mixes as fn(Walk) -> bool);
 }
 
 #[test]
-fn goes_on() {
+fn settles_after_any_walk() {
     fn settles(walk: Walk) -> bool {
         let mut world = World::new();
         for action in walk.0 {
             world.act(action);
         }
-        world.settle() && !world.group.mixed
+        world.settle() && !world.group.has_mixed_maps
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 52))
@@ -427,25 +430,25 @@
         .quickcheck(settles as fn(Walk) -> bool);
 }
 
-/// Looks at ranks that nobody tells of, between any two things that happen: they mix no maps, and the group goes on.
+/// State queries between any two actions, for ranks that send no reports: no step mixes maps, and the group goes on.
 #[test]
-fn looks_between() {
-    fn holds(walk: Walk) -> bool {
+fn queries_between_actions() {
+    fn never_mixes(walk: Walk) -> bool {
         let mut world = World::new();
         for (index, action) in walk.0.into_iter().enumerate() {
             world.act(action);
-            world.look(index % 2, index / 2 % RANKS);
-            if world.group.mixed {
+            world.query_rank(index % 2, index / 2 % RANKS);
+            if world.group.has_mixed_maps {
                 return false;
             }
         }
-        world.settle() && !world.group.mixed
+        world.settle() && !world.group.has_mixed_maps
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 53))
         .tests(6_000)
         .max_tests(6_000)
-        .quickcheck(holds as fn(Walk) -> bool);
+        .quickcheck(never_mixes as fn(Walk) -> bool);
 }
 
 #[test]
@@ -453,86 +456,91 @@
     let mut world = World::new();
     assert!(world.settle());
     let maps: Vec<u64> = world.group.ranks.iter().map(|rank| rank.map).collect();
-    assert_eq!(maps, [world.numbers + 1; RANKS]);
+    assert_eq!(maps, [world.last_map_number + 1; RANKS]);
 }
 
-/// An order to arm that is carried out after its try was taken back.
+/// An order to arm that is carried out after its attempt was undone.
 #[test]
-fn late_arm() {
+fn late_arm_order() {
     let mut world = World::new();
-    drive(&mut world, Progress::Arming);
+    drive_to(&mut world, Progress::Arming);
     world.act(Action::Tick(0));
-    world.silence(2);
+    world.leave_unanswered(2);
     while world.deliver(0) {}
-    while world.act(Action::Report(0)) {}
-    world.act(Action::Abandon(0));
-    drive(&mut world, Progress::Surveying);
+    while world.act(Action::DeliverReport(0)) {}
+    world.act(Action::AbandonChange(0));
+    drive_to(&mut world, Progress::Surveying);
     assert!(world.group.ranks.iter().all(|rank| rank.held.is_none()));
-    assert!(world.act(Action::Late(0)));
+    assert!(world.act(Action::DeliverLate(0)));
     for _ in 0..3 {
         world.group.step();
     }
-    assert!(!world.group.mixed, "{world:?}");
+    assert!(!world.group.has_mixed_maps, "{world:?}");
 }
 
-/// A conductor stops when it has just seen that all are armed, another takes over, and the first one wakes at any
-/// moment of that.
+/// A coordinator is suspended when it has just seen that all ranks are armed, another one takes over, and the first
+/// resumes at any point of that.
 #[test]
-fn woken_conductor() {
+fn resumed_coordinator() {
     let mut world = World::new();
-    drive(&mut world, Progress::Arming);
+    drive_to(&mut world, Progress::Arming);
     world.act(Action::Tick(0));
     while world.deliver(0) {}
-    while world.act(Action::Report(0)) {}
+    while world.act(Action::DeliverReport(0)) {}
     assert_eq!(
-        world.of(0).map(|conductor| conductor.progress()),
+        world.coordinator(0).map(|coordinator| coordinator.progress()),
         Some(Progress::Releasing)
     );
     world.act(Action::Tick(0));
-    let release = world.orders.remove(0);
+    let release = world.sent_orders.remove(0);
     world.act(Action::Claim(1));
-    let steady = [Action::Tick(1), Action::Deliver(0), Action::Report(0), Action::Step];
+    let coordinator_actions = [
+        Action::Tick(1),
+        Action::Deliver(0),
+        Action::DeliverReport(0),
+        Action::Step,
+    ];
     let mut seen = std::collections::HashSet::new();
-    let mut edge = vec![world];
-    while let Some(world) = edge.pop() {
-        assert!(!world.group.mixed, "{world:?}");
-        let mut woken = world.clone();
-        woken.group.order(release.rank, &release.order);
-        let steps = steady.into_iter().filter_map(|action| {
+    let mut frontier = vec![world];
+    while let Some(world) = frontier.pop() {
+        assert!(!world.group.has_mixed_maps, "{world:?}");
+        let mut resumed = world.clone();
+        resumed.group.order(release.rank, &release.order);
+        let steps = coordinator_actions.into_iter().filter_map(|action| {
             let mut after = world.clone();
             after.act(action).then_some(after)
         });
-        for after in steps.chain([woken]) {
-            // The group is watched for a few steps; looks go on for ever.
-            let fence = after.conductors[1]
+        for after in steps.chain([resumed]) {
+            // The group is observed for a few steps only, because state queries go on without end.
+            let fence = after.coordinators[1]
                 .as_ref()
-                .map_or(0, |(_, conductor)| conductor.fence());
-            let bounded = after.group.step < 6 && fence < 3 * CLAIM;
-            if bounded && seen.len() < 300_000 && seen.insert(after.clone()) {
-                edge.push(after);
+                .map_or(0, |(_, coordinator)| coordinator.fence());
+            let is_in_range = after.group.step < 6 && fence < 3 * FENCES_PER_CLAIM;
+            if is_in_range && seen.len() < 300_000 && seen.insert(after.clone()) {
+                frontier.push(after);
             }
         }
     }
     assert!(seen.len() > 1_000);
 }
 
-/// Every order of a few actions from a group that is being armed.
+/// Every sequence of a few actions from a group that is being armed.
 #[test]
 fn every_interleaving() {
     let mut start = World::new();
-    drive(&mut start, Progress::Arming);
+    drive_to(&mut start, Progress::Arming);
     start.act(Action::Tick(0));
     let mut seen = std::collections::HashSet::new();
-    let mut edge = vec![start];
+    let mut frontier = vec![start];
     for _ in 0..7 {
         let mut next = Vec::new();
-        for world in edge {
-            for action in everything() {
+        for world in frontier {
+            for action in all_actions() {
                 let mut after = world.clone();
                 if !after.act(action) {
                     continue;
                 }
-                assert!(!after.group.mixed, "{after:?}");
+                assert!(!after.group.has_mixed_maps, "{after:?}");
                 if seen.insert(after.clone()) {
                     next.push(after);
                 }
@@ -541,34 +549,39 @@
                 return;
             }
         }
-        edge = next;
+        frontier = next;
     }
 }
 
-fn drive(world: &mut World, goal: Progress) {
+fn drive_to(world: &mut World, goal: Progress) {
     for _ in 0..50 {
-        if world.of(0).map(|conductor| conductor.progress()) == Some(goal) {
+        if world.coordinator(0).map(|coordinator| coordinator.progress()) == Some(goal) {
             return;
         }
-        world.act(Action::Begin(0));
+        world.act(Action::BeginChange(0));
         world.act(Action::Tick(0));
         while world.deliver(0) {}
-        while world.act(Action::Report(0)) {}
+        while world.act(Action::DeliverReport(0)) {}
     }
-    panic!("never came to {goal:?}");
+    panic!("never reached {goal:?}");
 }
 
-fn everything() -> Vec<Action> {
-    let mut all = vec![Action::Step, Action::Claim(1), Action::Forget, Action::Abandon(0)];
-    for conductor in 0..2 {
-        all.push(Action::Tick(conductor));
+fn all_actions() -> Vec<Action> {
+    let mut all = vec![
+        Action::Step,
+        Action::Claim(1),
+        Action::RestoreClaims,
+        Action::AbandonChange(0),
+    ];
+    for coordinator in 0..2 {
+        all.push(Action::Tick(coordinator));
     }
     for index in 0..RANKS {
         all.extend([
             Action::Deliver(index),
-            Action::Silence(index),
-            Action::Late(index),
-            Action::Report(index),
+            Action::LeaveUnanswered(index),
+            Action::DeliverLate(index),
+            Action::DeliverReport(index),
         ]);
     }
     all
--- a/crates/sparscale_place/tests/expert_placement.rs
+++ b/crates/sparscale_place/tests/expert_placement.rs
@@ -1,4 +1,4 @@
-//! Decisions fit the group, keep to their budget and pay for themselves.
+//! Placement decisions fit the group, stay within the budget and cost less than staying.
 #![expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
     quiet: false,
 };
 
-/// A group and popularity counts with a heavy tail.
+/// A group with heavy-tailed token counts.
 #[derive(Clone, Debug)]
 struct Case {
     shape: Shape,
@@ -34,8 +34,8 @@
             experts,
             slots: experts.div_ceil(ranks) + usize::arbitrary(g) % 3,
         };
-        let heavy = |g: &mut Gen| 1_000.0 / (1.0 + f64::from(u8::arbitrary(g)));
-        let tokens = (0..shape.layers * shape.experts).map(|_| heavy(g)).collect();
+        let heavy_tailed = |g: &mut Gen| 1_000.0 / (1.0 + f64::from(u8::arbitrary(g)));
+        let tokens = (0..shape.layers * shape.experts).map(|_| heavy_tailed(g)).collect();
         let budget = u32::arbitrary(g) % 20;
         Self { shape, tokens, budget }
     }
@@ -47,7 +47,7 @@
     counts
 }
 
-fn check(property: fn(Case) -> bool, seed: u64) {
+fn check_property(property: fn(Case) -> bool, seed: u64) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(50, seed))
         .tests(2_000)
@@ -56,64 +56,64 @@
 
 #[test]
 fn decisions_fit() {
-    fn fit(case: Case) -> bool {
+    fn fits_and_pays(case: Case) -> bool {
         let counts = counts(&case);
-        let present = Map::initial(case.shape);
+        let current = Map::initial(case.shape);
         let costs = Costs {
             move_budget: case.budget,
             ..COSTS
         };
-        let decision = decide(&counts, &present, &costs);
+        let decision = decide(&counts, &current, &costs);
         let Some(next) = &decision.next else {
             return decision.reason != Reason::Pays;
         };
-        let loads = present.loads_of(next) as u32;
-        let same_again = decide(&counts, &present, &costs) == decision;
+        let loads = current.loads_of(next) as u32;
+        let is_repeatable = decide(&counts, &current, &costs) == decision;
         next.fits(case.shape)
             && loads == decision.loads
             && loads <= case.budget
             && (skew(next, &counts) - decision.skew_next).abs() < 1e-9
             && decision.skew_next < decision.skew_now
             && decision.cost_move < decision.cost_stay
-            && same_again
+            && is_repeatable
     }
-    check(fit, 51);
+    check_property(fits_and_pays, 51);
 }
 
 #[test]
 fn greedy_fits() {
-    check(|case| greedy_from_scratch(&counts(&case)).fits(case.shape), 52);
+    check_property(|case| greedy_from_scratch(&counts(&case)).fits(case.shape), 52);
 }
 
 #[test]
-fn something_moves() {
-    // Guards the property above: if nothing ever moved, it would prove nothing.
+fn most_groups_move() {
+    // Without any move, the property tested by `decisions_fit` would hold trivially.
     let mut g = Gen::from_size_and_seed(50, 53);
-    let moved = (0..200).filter(|_| {
+    let moves = (0..200).filter(|_| {
         let case = Case::arbitrary(&mut g);
         decide(&counts(&case), &Map::initial(case.shape), &COSTS).next.is_some()
     });
-    let moved = moved.count();
-    assert!(moved > 150, "only {moved} of 200 groups moved an expert");
+    let moved_count = moves.count();
+    assert!(moved_count > 150, "only {moved_count} of 200 groups moved an expert");
 }
 
 #[test]
-fn weights_decide() {
+fn costly_moves_load_less() {
     let mut g = Gen::from_size_and_seed(50, 54);
-    let (mut eager_loads, mut thrifty_loads) = (0, 0);
+    let (mut cheap_loads, mut costly_loads) = (0, 0);
     for _ in 0..200 {
         let case = Case::arbitrary(&mut g);
         let counts = counts(&case);
-        let present = Map::initial(case.shape);
-        let thrifty = Costs {
+        let current = Map::initial(case.shape);
+        let costly_moves = Costs {
             weight_move: 0.5,
             ..COSTS
         };
-        eager_loads += decide(&counts, &present, &COSTS).loads;
-        let decision = decide(&counts, &present, &thrifty);
-        thrifty_loads += if decision.next.is_some() { decision.loads } else { 0 };
+        cheap_loads += decide(&counts, &current, &COSTS).loads;
+        let decision = decide(&counts, &current, &costly_moves);
+        costly_loads += if decision.next.is_some() { decision.loads } else { 0 };
     }
-    assert!(thrifty_loads * 2 < eager_loads, "{thrifty_loads} against {eager_loads}");
+    assert!(costly_loads * 2 < cheap_loads, "{costly_loads} against {cheap_loads}");
 }
 
 #[test]
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn counts_fade() {
+fn counts_decay() {
     let shape = Shape {
         ranks: 1,
         layers: 1,
@@ -140,6 +140,6 @@
     counts.observe(&[1.0, 2.0], Duration::ZERO);
     assert!(
         (counts.total() - 50.0).abs() < 1e-9,
-        "a list of another shape is left out"
+        "tokens of another shape are ignored"
     );
 }
--- a/crates/sparscale_place/tests/map_patch.rs
+++ b/crates/sparscale_place/tests/map_patch.rs
@@ -1,4 +1,5 @@
-//! A patch turns exactly the map that it was made for into exactly the map that is meant.
+//! A patch turns the map that it was made for into exactly the intended map, and never turns another map into a wrong
+//! one.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_place::{Layer, Map, Patch, Shape};
@@ -11,14 +12,14 @@
 };
 
 #[derive(Debug, Clone)]
-struct Any(Map);
+struct AnyMap(Map);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyMap {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut rank = || {
-            let held: u16 = Arbitrary::arbitrary(g);
+            let expert_bits: u16 = Arbitrary::arbitrary(g);
             (0..SHAPE.experts as u16)
-                .filter(|expert| held >> expert & 1 == 1)
+                .filter(|expert| expert_bits >> expert & 1 == 1)
                 .collect()
         };
         let mut layer = || Layer {
@@ -30,23 +31,23 @@
     }
 }
 
-fn check(holds: fn(Any, Any, Any) -> bool) {
+fn check_property(property: fn(AnyMap, AnyMap, AnyMap) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 1))
         .tests(300)
-        .quickcheck(holds as fn(Any, Any, Any) -> bool);
+        .quickcheck(property as fn(AnyMap, AnyMap, AnyMap) -> bool);
 }
 
 #[test]
-fn makes_next() {
-    check(|Any(old), Any(new), _| Patch::between(&old, &new).apply(&old) == Ok(new));
+fn yields_new_map() {
+    check_property(|AnyMap(old), AnyMap(new), _| Patch::between(&old, &new).apply(&old) == Ok(new));
 }
 
 #[test]
-fn other_base() {
-    check(|Any(old), Any(new), Any(other)| {
-        let made = Patch::between(&old, &new).apply(&other);
-        made.is_err() || made == Ok(new)
+fn other_base_yields_no_wrong_map() {
+    check_property(|AnyMap(old), AnyMap(new), AnyMap(other)| {
+        let applied = Patch::between(&old, &new).apply(&other);
+        applied.is_err() || applied == Ok(new)
     });
 }
 
@@ -58,13 +59,13 @@
     new.sort();
     let patch = Patch::between(&old, &new);
     assert_eq!(patch.apply(&old), Ok(new));
-    assert_eq!(patch.places(), 1);
+    assert_eq!(patch.edit_count(), 1);
 }
 
-/// A change of a large group, two loads on each rank, goes to each of them in one packet.
+/// A change of a large group with two loads on each rank fits into one packet.
 #[test]
-fn one_packet() {
-    const PACKET: usize = 1_100;
+fn large_change_fits_one_packet() {
+    const PACKET_BYTES: usize = 1_100;
     let shape = Shape {
         ranks: 129,
         layers: 16,
@@ -75,12 +76,12 @@
     let mut new = old.clone();
     for rank in 0..shape.ranks {
         for load in 0..2 {
-            let held = &mut new.layers[(rank + load * 7) % shape.layers].ranks[rank];
-            held[0] = (held[0] + 100 + load as u16) % 258;
+            let experts = &mut new.layers[(rank + load * 7) % shape.layers].ranks[rank];
+            experts[0] = (experts[0] + 100 + load as u16) % 258;
         }
     }
     new.sort();
     let patch = Patch::between(&old, &new);
     assert_eq!(patch.apply(&old), Ok(new));
-    assert!(patch.bytes() < PACKET, "{} bytes", patch.bytes());
+    assert!(patch.bytes() < PACKET_BYTES, "{} bytes", patch.bytes());
 }
--- a/crates/sparscale_place/tests/map_switch.rs
+++ b/crates/sparscale_place/tests/map_switch.rs
@@ -1,5 +1,5 @@
-//! No step ever runs on two maps: exhaustively for two placers and three ranks in short histories, and by seeded
-//! random walks for longer ones, under loss, delay, duplication, reordering, pauses and death.
+//! No step ever runs on two maps: exhaustively for two placers and three ranks in short histories, and by seeded random
+//! walks for longer ones, under loss, delay, duplication, reordering, pauses and death of processes.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,8 +8,8 @@
 use sparscale_place::switch::{Act, Change, Conductor, Order, Plan, Progress, Rank, Report};
 
 const RANKS: usize = 3;
-const LEAD: u64 = 1;
-const GOAL: u64 = 7;
+const LEAD_STEPS: u64 = 1;
+const GOAL_MAP: u64 = 7;
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Message {
@@ -17,29 +17,29 @@
     Report { placer: usize, rank: usize, report: Report },
 }
 
-/// Everything that exists: ranks, placers, messages on their way, and which map each rank used in the open step.
+/// The whole system: ranks, placers, messages in flight, and the map that each rank used in the latest steps.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
     ranks: Vec<Rank>,
-    begun: Vec<u64>,
-    used: BTreeMap<(u64, usize), u64>,
+    latest_steps: Vec<u64>,
+    used_maps: BTreeMap<(u64, usize), u64>,
     placers: Vec<Option<Conductor>>,
-    /// Fence of the next placer; what the log's latest claim says.
-    claimed: u64,
+    /// Fence of the latest claim in the log; the next placer claims a higher one.
+    latest_claim: u64,
     network: Vec<Message>,
-    incarnations: u64,
+    last_incarnation: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    Begin(usize),
+    BeginStep(usize),
     Tick(usize),
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Drop(usize),
     Replace(usize),
     Claim(usize),
-    Abandon(usize),
+    AbandonAttempt(usize),
 }
 
 impl World {
@@ -47,61 +47,61 @@
         let ranks = (0..RANKS as u64).map(Rank::cold).collect();
         Self {
             ranks,
-            begun: vec![0; RANKS],
-            used: BTreeMap::new(),
-            placers: vec![Some(Conductor::with_lead(1, RANKS, GOAL, LEAD)), None],
-            claimed: 1,
+            latest_steps: vec![0; RANKS],
+            used_maps: BTreeMap::new(),
+            placers: vec![Some(Conductor::with_lead_steps(1, RANKS, GOAL_MAP, LEAD_STEPS)), None],
+            latest_claim: 1,
             network: Vec::new(),
-            incarnations: RANKS as u64,
+            last_incarnation: RANKS as u64,
         }
     }
 
-    /// Carries out `action`; false if it means nothing here.
+    /// Carries out `action`; false if it has no effect in this state.
     fn act(&mut self, action: Action) -> bool {
         match action {
-            Action::Begin(rank) => self.begin(rank),
+            Action::BeginStep(rank) => self.begin_step(rank),
             Action::Tick(placer) => self.tick(placer),
-            Action::Deliver(index) => self.take(index).is_some_and(|message| self.deliver(message)),
-            Action::Double(index) => match self.network.get(index).copied() {
+            Action::Deliver(index) => self.take_message(index).is_some_and(|message| self.deliver(message)),
+            Action::Duplicate(index) => match self.network.get(index).copied() {
                 Some(message) => self.deliver(message),
                 None => false,
             },
-            Action::Drop(index) => self.take(index).is_some(),
+            Action::Drop(index) => self.take_message(index).is_some(),
             Action::Replace(rank) => self.replace(rank),
             Action::Claim(placer) => self.claim(placer),
-            Action::Abandon(placer) => self.placers[placer].as_mut().is_some_and(|conductor| {
-                conductor.abandon_attempt();
+            Action::AbandonAttempt(placer) => self.placers[placer].as_mut().is_some_and(|coordinator| {
+                coordinator.abandon_attempt();
                 true
             }),
         }
     }
 
-    fn take(&mut self, index: usize) -> Option<Message> {
+    fn take_message(&mut self, index: usize) -> Option<Message> {
         (index < self.network.len()).then(|| self.network.remove(index))
     }
 
     /// A rank begins its next step once every rank has begun the one before.
-    fn begin(&mut self, rank: usize) -> bool {
-        let step = self.begun[rank] + 1;
-        if self.begun.iter().any(|begun| *begun + 1 < step) {
+    fn begin_step(&mut self, rank: usize) -> bool {
+        let step = self.latest_steps[rank] + 1;
+        if self.latest_steps.iter().any(|latest| *latest + 1 < step) {
             return false;
         }
         let Some(number) = self.ranks[rank].begin(step) else {
             return false;
         };
-        self.begun[rank] = step;
-        self.used.insert((step, rank), number);
-        let open = step.saturating_sub(2);
-        self.used.retain(|(old, _), _| *old >= open);
+        self.latest_steps[rank] = step;
+        self.used_maps.insert((step, rank), number);
+        let oldest_kept = step.saturating_sub(2);
+        self.used_maps.retain(|(old, _), _| *old >= oldest_kept);
         true
     }
 
     fn tick(&mut self, placer: usize) -> bool {
-        let Some(conductor) = &mut self.placers[placer] else {
+        let Some(coordinator) = &mut self.placers[placer] else {
             return false;
         };
-        conductor.drop_missed_attempt();
-        for (rank, order) in conductor.orders().into_iter().enumerate() {
+        coordinator.drop_missed_attempt();
+        for (rank, order) in coordinator.orders().into_iter().enumerate() {
             let message = Message::Order { placer, rank, order };
             if !self.network.contains(&message) {
                 self.network.push(message);
@@ -114,45 +114,50 @@
         match message {
             Message::Order { placer, rank, order } => {
                 let report = self.ranks[rank].order(&order, true);
-                let answer = Message::Report { placer, rank, report };
-                if !self.network.contains(&answer) {
-                    self.network.push(answer);
+                let message = Message::Report { placer, rank, report };
+                if !self.network.contains(&message) {
+                    self.network.push(message);
                 }
             }
             Message::Report { placer, rank, report } => {
-                if let Some(conductor) = &mut self.placers[placer] {
-                    conductor.reported(rank, report);
+                if let Some(coordinator) = &mut self.placers[placer] {
+                    coordinator.reported(rank, report);
                 }
             }
         }
         true
     }
 
-    /// A new process takes the rank's place. Its agent has folded the log, so it knows the latest claim; what the old
-    /// process did in the open step is void.
+    /// A new process replaces the rank. Its agent has read the log, so it knows the latest claim; what the old process
+    /// did in an incomplete step is void.
     fn replace(&mut self, rank: usize) -> bool {
-        self.incarnations += 1;
-        self.ranks[rank] = Rank::joining(self.incarnations);
-        self.ranks[rank].raise_fence(self.claimed);
-        let complete = self.begun.iter().copied().min().unwrap_or(0);
-        self.begun[rank] = complete;
-        self.used
-            .retain(|(step, used_by), _| *used_by != rank || *step <= complete);
+        self.last_incarnation += 1;
+        self.ranks[rank] = Rank::joining(self.last_incarnation);
+        self.ranks[rank].raise_fence(self.latest_claim);
+        let last_complete = self.latest_steps.iter().copied().min().unwrap_or(0);
+        self.latest_steps[rank] = last_complete;
+        self.used_maps
+            .retain(|(step, user), _| *user != rank || *step <= last_complete);
         true
     }
 
     fn claim(&mut self, placer: usize) -> bool {
-        if self.claimed >= 3 {
+        if self.latest_claim >= 3 {
             return false;
         }
-        self.claimed += 1;
-        self.placers[placer] = Some(Conductor::with_lead(self.claimed, RANKS, GOAL, LEAD));
+        self.latest_claim += 1;
+        self.placers[placer] = Some(Conductor::with_lead_steps(
+            self.latest_claim,
+            RANKS,
+            GOAL_MAP,
+            LEAD_STEPS,
+        ));
         true
     }
 
-    fn is_mixed(&self) -> bool {
+    fn has_mixed_step(&self) -> bool {
         let mut first: BTreeMap<u64, u64> = BTreeMap::new();
-        self.used
+        self.used_maps
             .iter()
             .any(|((step, _), number)| *first.entry(*step).or_insert(*number) != *number)
     }
@@ -164,19 +169,19 @@
     }
 }
 
-/// Every action that may mean something in `world`, faults counted against `faults`.
-fn actions(world: &World) -> Vec<Action> {
-    let mut found: Vec<Action> = (0..RANKS).map(Action::Begin).collect();
+/// Every action that may have an effect in `world`.
+fn possible_actions(world: &World) -> Vec<Action> {
+    let mut found: Vec<Action> = (0..RANKS).map(Action::BeginStep).collect();
     found.extend((0..2).map(Action::Tick));
     found.extend((0..world.network.len()).map(Action::Deliver));
-    found.extend((0..world.network.len()).map(Action::Double));
+    found.extend((0..world.network.len()).map(Action::Duplicate));
     found.extend((0..RANKS).map(Action::Replace));
     found.push(Action::Claim(1));
-    found.push(Action::Abandon(0));
+    found.push(Action::AbandonAttempt(0));
     found
 }
 
-fn enlist() -> Order {
+fn enlist_order() -> Order {
     Order {
         fence: 1,
         act: Act::Enlist,
@@ -200,26 +205,29 @@
 }
 
 #[test]
-fn overtaken_arm() {
+fn outdated_arm_order() {
     let arm = |at| Order {
         fence: 1,
-        act: Act::Arm(Change { number: GOAL, at }),
+        act: Act::Arm(Change { number: GOAL_MAP, at }),
     };
     let stage = Order {
         fence: 1,
-        act: Act::Stage { number: GOAL },
+        act: Act::Stage { number: GOAL_MAP },
     };
     let mut rank = Rank::cold(1);
     rank.order(&stage, true);
     assert!(rank.order(&arm(20), false).done);
     assert!(!rank.order(&arm(10), false).done);
-    assert_eq!(rank.order(&enlist(), false).armed.map(|change| change.at), Some(20));
+    assert_eq!(
+        rank.order(&enlist_order(), false).armed.map(|change| change.at),
+        Some(20)
+    );
 }
 
-/// Worlds that are reached from a switch in the middle, where all the danger is.
+/// A world in the middle of a switch, where faults are most dangerous.
 fn armed_world() -> World {
     let mut world = World::new();
-    // Until every rank is armed, everything arrives in order.
+    // Until every rank is armed, all messages arrive in order.
     for _ in 0..3 {
         world.act(Action::Tick(0));
         while !world.network.is_empty() {
@@ -234,14 +242,14 @@
     const DEPTH: usize = 6;
     let mut frontier = VecDeque::from([(armed_world(), 0)]);
     let mut seen = HashSet::new();
-    let mut switched = 0;
+    let mut switched_worlds = 0;
     while let Some((world, depth)) = frontier.pop_front() {
-        assert!(!world.is_mixed(), "mixed step in {world:?}");
-        switched += usize::from(world.used.values().any(|number| *number == GOAL));
+        assert!(!world.has_mixed_step(), "mixed step in {world:?}");
+        switched_worlds += usize::from(world.used_maps.values().any(|number| *number == GOAL_MAP));
         if depth == DEPTH {
             continue;
         }
-        for action in actions(&world) {
+        for action in possible_actions(&world) {
             let mut next = world.clone();
             if next.act(action) && seen.insert(next.digest()) {
                 frontier.push_back((next, depth + 1));
@@ -249,12 +257,12 @@
         }
     }
     assert!(
-        switched > 1_000,
-        "too few worlds reached the new map to prove anything: {switched}"
+        switched_worlds > 1_000,
+        "too few worlds reached the new map to prove anything: {switched_worlds}"
     );
 }
 
-/// A schedule: numbers that pick one action after the other.
+/// A schedule: pairs of numbers that select one action after the other.
 #[derive(Clone, Debug)]
 struct Schedule(Vec<(u8, u8)>);
 
@@ -269,32 +277,32 @@
     }
 }
 
-fn pick(world: &World, kind: u8, which: u8) -> Action {
+fn pick_action(world: &World, kind: u8, choice: u8) -> Action {
     let message = if world.network.is_empty() {
         0
     } else {
-        usize::from(which) % world.network.len()
+        usize::from(choice) % world.network.len()
     };
     match kind {
-        0..60 => Action::Begin(usize::from(which) % RANKS),
-        60..100 => Action::Tick(usize::from(which) % 2),
+        0..60 => Action::BeginStep(usize::from(choice) % RANKS),
+        60..100 => Action::Tick(usize::from(choice) % 2),
         100..220 => Action::Deliver(message),
-        220..232 => Action::Double(message),
+        220..232 => Action::Duplicate(message),
         232..244 => Action::Drop(message),
-        244..248 => Action::Replace(usize::from(which) % RANKS),
-        248..250 => Action::Claim(usize::from(which) % 2),
-        _ => Action::Abandon(usize::from(which) % 2),
+        244..248 => Action::Replace(usize::from(choice) % RANKS),
+        248..250 => Action::Claim(usize::from(choice) % 2),
+        _ => Action::AbandonAttempt(usize::from(choice) % 2),
     }
 }
 
 #[test]
 fn random_walks() {
-    fn walk(schedule: Schedule) -> bool {
+    fn never_mixes(schedule: Schedule) -> bool {
         let mut world = World::new();
-        for (kind, which) in schedule.0 {
-            let action = pick(&world, kind, which);
+        for (kind, choice) in schedule.0 {
+            let action = pick_action(&world, kind, choice);
             world.act(action);
-            if world.is_mixed() {
+            if world.has_mixed_step() {
                 return false;
             }
         }
@@ -303,35 +311,43 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 11))
         .tests(20_000)
-        .quickcheck(walk as fn(Schedule) -> bool);
+        .quickcheck(never_mixes as fn(Schedule) -> bool);
 }
 
-/// After any walk, a new placer that reaches all ranks gets them all to the goal: nothing stays held.
+/// After any walk, a new placer that reaches all ranks brings them all to the goal map: no rank stays held.
 #[test]
 fn recovers_after_walks() {
     fn recovers(schedule: Schedule) -> bool {
         let mut world = World::new();
-        for (kind, which) in schedule.0 {
-            let action = pick(&world, kind, which);
+        for (kind, choice) in schedule.0 {
+            let action = pick_action(&world, kind, choice);
             world.act(action);
         }
         world.network.clear();
-        world.claimed += 1;
-        // Ranks go on between two rounds of orders, so the lead has to cover that.
-        world.placers = vec![Some(Conductor::with_lead(world.claimed, RANKS, GOAL, LEAD + 2)), None];
+        world.latest_claim += 1;
+        // Ranks begin steps between two rounds of orders, so the lead must cover them.
+        world.placers = vec![
+            Some(Conductor::with_lead_steps(
+                world.latest_claim,
+                RANKS,
+                GOAL_MAP,
+                LEAD_STEPS + 2,
+            )),
+            None,
+        ];
         for _ in 0..200 {
             world.act(Action::Tick(0));
             while !world.network.is_empty() {
                 world.act(Action::Deliver(0));
             }
             for rank in 0..RANKS {
-                world.act(Action::Begin(rank));
+                world.act(Action::BeginStep(rank));
             }
             if world.placers[0]
                 .as_ref()
-                .is_some_and(|conductor| conductor.progress() == Progress::Done)
+                .is_some_and(|coordinator| coordinator.progress() == Progress::Done)
             {
-                return !world.is_mixed();
+                return !world.has_mixed_step();
             }
         }
         false
