--- a/crates/sparscale_place/src/counts.rs
+++ b/crates/sparscale_place/src/counts.rs
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Decays the counts by `elapsed`, then adds `tokens`: layer by layer, one number for each expert. A list of
-    /// another length comes from a target of another shape and is ignored.
+    /// Decays the counts for the time `elapsed`, then adds `tokens`: layer by layer, one number for each expert. A list
+    /// of another length comes from a target of another shape and is ignored.
     pub fn observe(&mut self, tokens: &[f64], elapsed: Duration) {
         if tokens.len() != self.tokens.len() {
             return;
--- a/crates/sparscale_place/src/patch.rs
+++ b/crates/sparscale_place/src/patch.rs
@@ -16,8 +16,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
     /// Varints: for each layer the number of ranks that change; for each of these the number of ranks skipped before
-    /// it, then either the position of the removed expert (from 1) and the added expert, or [`MIXED_EDIT`] and two lists,
-    /// each preceded by its length.
+    /// it, then either the position of the removed expert (from 1) and the added expert, or [`MIXED_EDIT`] and two
+    /// lists, each preceded by its length.
     edits: Vec<u8>,
     /// Number of experts removed plus number of experts added, over all ranks and layers.
     #[serde(rename = "places")]
--- a/crates/sparscale_place/src/popularity.rs
+++ b/crates/sparscale_place/src/popularity.rs
@@ -11,10 +11,10 @@
 /// Selections in a sample below which its distance means nothing.
 const MIN_SAMPLE_SELECTIONS: f64 = 1_000.0;
 
-/// Most selected experts of a set that are checked for how much of a sample was recorded before a shift.
+/// Number of most selected experts of a set whose remaining share shows how much of a sample predates a shift.
 const MOST_SELECTED_EXPERTS: usize = 5;
-/// Smallest share of a sample that is worth subtracting as recorded before a shift: rarely selected experts keep as
-/// much by chance.
+/// Smallest share of a sample that is subtracted as recorded before a shift: rarely selected experts keep as much by
+/// chance.
 const MIN_OLD_SHARE: f64 = 0.1;
 /// Largest share of a sample that is taken to be recorded before a shift.
 const MAX_OLD_SHARE: f64 = 0.8;
@@ -94,7 +94,7 @@
     }
 
     /// The part of `sample` that was recorded after a shift within its span. Experts that lost their demand were
-    /// selected only before the shift, so the share that they kept shows how much of the sample is older than it. Maps
+    /// selected only before the shift, so the share that they kept shows how much of the sample predates it. Maps
     /// decided on unfiltered samples left a skew of 1.44 where 1.22 was expected, averaged over 52 changes.
     fn part_after_shift(&self, sample: &[f64]) -> Vec<f64> {
         let pairs = || self.selections.chunks(self.experts).zip(sample.chunks(self.experts));
@@ -124,8 +124,8 @@
     }
 }
 
-/// Share of `new` that may still follow the distribution `old`: the smallest fraction of its share in `old` that one of
-/// the most selected experts of `old` kept.
+/// Largest share of `new` that may predate a shift away from `old`: of the most selected experts of `old`, the smallest
+/// ratio of the share in `new` to the share in `old`.
 fn kept_share(old: &[f64], new: &[f64]) -> f64 {
     let (old_sum, new_sum): (f64, f64) = (old.iter().sum(), new.iter().sum());
     if old_sum <= 0.0 || new_sum <= 0.0 {
--- a/crates/sparscale_place/src/switch/mod.rs
+++ b/crates/sparscale_place/src/switch/mod.rs
@@ -1,5 +1,5 @@
-//! Switches all ranks of a group to another expert map at the same step, for engines that ask their rank before each
-//! step.
+//! Switches all ranks of a group to another expert map at the same step, for engines that ask before each step which
+//! map to run it on.
 //!
 //! The placer stages the map on every rank and arms every rank for a step `at`; an armed rank does not begin that step
 //! before it is released or disarmed. Ranks are released only when all of them are armed. [`Rank`] is the rank side,
--- a/crates/sparscale_place/src/switch/rank.rs
+++ b/crates/sparscale_place/src/switch/rank.rs
@@ -4,7 +4,7 @@
 
 use super::{Act, Change, Order, Plan, Report};
 
-/// Switch state of one rank. The engine asks it before each step.
+/// Switch state of one rank. The engine asks it before each step which map to use.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rank {
     incarnation: u64,
--- a/crates/sparscale_place/tests/barrier_switch/main.rs
+++ b/crates/sparscale_place/tests/barrier_switch/main.rs
@@ -301,8 +301,8 @@
         true
     }
 
-    /// Replaces the coordinators by a new one and delivers all messages from here on. Returns whether the group reaches a
-    /// new map and is released.
+    /// Replaces the coordinators by a new one and delivers all messages from here on. Returns whether the group reaches
+    /// a new map and is released.
     fn settle(&mut self) -> bool {
         self.sent_orders.clear();
         self.sent_reports.clear();
--- a/crates/sparscale_place/tests/barrier_switch/unresponsive_rank.rs
+++ b/crates/sparscale_place/tests/barrier_switch/unresponsive_rank.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers all orders to send.
+/// Answers all orders that the coordinator sends now.
 fn answer_orders(coordinator: &mut Conductor, staged: Option<u64>) {
     for (rank, order) in coordinator.orders() {
         let report = Report {
