--- a/crates/sparscale_clock/src/lib.rs
+++ b/crates/sparscale_clock/src/lib.rs
@@ -1,9 +1,8 @@
-//! Time that goes on while the machine is suspended.
+//! A monotonic clock that also counts the time during which the box is suspended.
 //!
-//! The steady clock of the operating system stands still while a machine is suspended, and so do tokio's instants. What a
-//! process believes about the world grows old all the same: a key that was taken away meanwhile would seem to have been
-//! confirmed a moment ago, and what was spent from a budget long before would count as spent just now. So whatever is an
-//! age, or counts in a window of time that others count in, too, is told by a [`Clock`]; instants are for timers.
+//! `CLOCK_MONOTONIC` and tokio's `Instant` do not advance while a box is suspended, so after a resume a revoked API key
+//! would look freshly confirmed, and old spending from a budget would look recent. Ages, and time windows shared with other
+//! processes, are therefore measured with a [`Clock`]; an `Instant` is only for timers.
 
 use std::fmt;
 use std::ops::Add;
@@ -13,25 +12,25 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Two readings of the steady clock that lie further apart than this frame none of the other: the process was stopped in
-/// between, and the difference of the two clocks is not what it was asleep.
-const NEAR: Duration = Duration::from_millis(1);
-/// Tries to read both clocks in one go.
-const TRIES: usize = 4;
+/// Longest time between two readings of `CLOCK_MONOTONIC` that enclose a valid reading of `CLOCK_BOOTTIME`. If they are
+/// further apart, the process was paused in between, and the difference of the two clocks is not the suspended time.
+const MAX_READ_GAP: Duration = Duration::from_millis(1);
+/// Attempts to read both clocks within [`MAX_READ_GAP`].
+const MAX_READ_ATTEMPTS: usize = 4;
 
-/// A point in time, by the clock of this process.
+/// A point in time on the clock of this process; not comparable between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// Time since `earlier`; zero if that is later.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment `before` this one; none before the clock began.
-    pub fn checked_sub(self, before: Duration) -> Option<Self> {
-        self.0.checked_sub(before).map(Self)
+    /// The timestamp `duration` before this one; `None` if that is earlier than the clock can represent.
+    pub fn checked_sub(self, duration: Duration) -> Option<Self> {
+        self.0.checked_sub(duration).map(Self)
     }
 }
 
@@ -43,71 +42,75 @@
     }
 }
 
-/// Tells the time.
+/// A source of timestamps.
 pub trait Clock: fmt::Debug + Send + Sync {
-    /// Now. Never earlier than before.
+    /// The current time; never earlier than a previous result.
     fn now(&self) -> Moment;
 }
 
-/// The clock of the machine.
+/// The clock of the operating system, including suspended time.
 #[derive(Debug)]
 pub struct Machine {
-    started: Instant,
-    /// Time for which the machine had been suspended before this clock began.
-    asleep: Duration,
+    started_at: Instant,
+    /// Total suspended time of the box when this clock was created.
+    suspended_at_start: Duration,
 }
 
 impl Default for Machine {
     fn default() -> Self {
         Self {
-            started: Instant::now(),
-            asleep: asleep(),
+            started_at: Instant::now(),
+            suspended_at_start: total_suspended(),
         }
     }
 }
 
 impl Clock for Machine {
     fn now(&self) -> Moment {
-        let asleep = asleep().saturating_sub(self.asleep);
-        // What lies between the readings of two clocks, some microseconds, must not make time go back.
-        let asleep = Duration::from_millis(asleep.as_millis() as u64);
-        // A clock begins well after zero, so that ages can be taken off it.
-        Moment(BEGINNING + self.started.elapsed() + asleep)
+        let suspended = total_suspended().saturating_sub(self.suspended_at_start);
+        // The two system clocks are read some microseconds apart: truncating to milliseconds keeps that jitter from making
+        // time go backwards.
+        let suspended = Duration::from_millis(suspended.as_millis() as u64);
+        // The clock starts well above zero, so that ages can be subtracted from its timestamps.
+        Moment(INITIAL_TIME + self.started_at.elapsed() + suspended)
     }
 }
 
-/// What a clock says when it begins: longer than any age that is told at a process's start.
-const BEGINNING: Duration = Duration::from_hours(24 * 365);
+/// Time of a new clock: longer than any age that a process receives when it starts.
+const INITIAL_TIME: Duration = Duration::from_hours(24 * 365);
 
-/// The machine's clock, for processes.
+/// A shared clock of the operating system, as processes use it.
 pub fn machine() -> Arc<dyn Clock> {
     Arc::new(Machine::default())
 }
 
-/// Milliseconds since 1970, for what outlives the process or is compared between processes that tell no age.
+/// Milliseconds since the Unix epoch (1970), for times that outlive the process or are compared between processes which
+/// exchange no ages.
 pub fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Time for which the machine was suspended since it started; nothing where it does not tell.
-fn asleep() -> Duration {
-    for _ in 0..TRIES {
-        let (before, with_sleep, after) = (
-            read(ClockId::CLOCK_MONOTONIC),
-            read(ClockId::CLOCK_BOOTTIME),
-            read(ClockId::CLOCK_MONOTONIC),
+/// Time that the box has spent suspended since it booted; zero if the operating system does not provide it.
+fn total_suspended() -> Duration {
+    for _ in 0..MAX_READ_ATTEMPTS {
+        let (monotonic_before, boottime, monotonic_after) = (
+            read_clock(ClockId::CLOCK_MONOTONIC),
+            read_clock(ClockId::CLOCK_BOOTTIME),
+            read_clock(ClockId::CLOCK_MONOTONIC),
         );
-        let (Some(before), Some(with_sleep), Some(after)) = (before, with_sleep, after) else {
+        let (Some(monotonic_before), Some(boottime), Some(monotonic_after)) =
+            (monotonic_before, boottime, monotonic_after)
+        else {
             return Duration::ZERO;
         };
-        if after.saturating_sub(before) < NEAR {
-            return with_sleep.saturating_sub(after);
+        if monotonic_after.saturating_sub(monotonic_before) < MAX_READ_GAP {
+            return boottime.saturating_sub(monotonic_after);
         }
     }
     Duration::ZERO
 }
 
-fn read(clock: ClockId) -> Option<Duration> {
+fn read_clock(clock: ClockId) -> Option<Duration> {
     clock_gettime(clock).ok().map(Duration::from)
 }
--- a/crates/sparscale_history/src/lib.rs
+++ b/crates/sparscale_history/src/lib.rs
@@ -1,28 +1,28 @@
-//! Where something stands in a history that others keep, and that may come back from an older copy.
+//! Positions in the history of an external store that may be restored from an older snapshot.
 //!
-//! A store that is restored from a copy gives out offsets a second time. It tells how often that has happened, its era; an
-//! offset says which of two records is later only within one era.
+//! A restored store assigns the same offsets a second time. It therefore counts its restores, as its era; offsets order two
+//! records only within one era.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A place in a history: later eras go first, then later offsets.
+/// A position in a history, ordered by era, then by offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Place {
-    /// How often the history has come back from an older copy.
+    /// Number of times that the history was restored from an older snapshot.
     pub era: u64,
-    /// Offset, or version, within the era.
+    /// Offset or version within the era.
     pub offset: u64,
 }
 
 impl Place {
-    /// The place `offset` of era `era`.
+    /// The position at `offset` in `era`.
     pub const fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// The place right behind this one.
+    /// The position directly after this one, in the same era.
     #[must_use]
     pub const fn next(self) -> Self {
         Self {
@@ -33,7 +33,7 @@
 }
 
 impl From<u64> for Place {
-    /// A place in a history that never came back from a copy, such as the versions of a catalog.
+    /// A position in a history that is never restored, such as the versions of a catalog.
     fn from(offset: u64) -> Self {
         Self { era: 0, offset }
     }
