--- a/crates/sparscale_belief/src/board.rs
+++ b/crates/sparscale_belief/src/board.rs
@@ -1,4 +1,4 @@
-//! The blackboard on which a process keeps its beliefs: readers and peers write, everything else reads.
+//! The blackboard that holds the latest observations of a process: readers and peers write to it, all other parts read it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,43 +9,43 @@
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
 
-use crate::belief::{Belief, Change};
-use crate::heard::Heard;
+use crate::observation::{MergeOutcome, Observation};
 use crate::quarantine::Quarantine;
+use crate::store_roster::StoreRoster;
 use crate::throttle::Throttle;
 
-/// Beliefs of one process.
+/// The observations of one process.
 #[derive(Debug)]
 pub struct Board {
-    catalog: watch::Sender<Option<Belief<Catalog>>>,
-    targets: watch::Sender<Option<Belief<Directory>>>,
-    /// The roster as the store gave it; `targets` is what this process goes by.
-    heard: Mutex<Heard>,
-    seating: Mutex<Seating>,
+    catalog: watch::Sender<Option<Observation<Catalog>>>,
+    targets: watch::Sender<Option<Observation<Directory>>>,
+    /// The roster as the store returned it; `targets` is the corrected list that this process uses.
+    store_roster: Mutex<StoreRoster>,
+    directory_builder: Mutex<DirectoryBuilder>,
     /// Requests that crash targets.
     pub quarantine: Quarantine,
-    /// What targets ask of those that send to them.
+    /// Restrictions that targets announce to their senders.
     pub throttle: Throttle,
     clock: Arc<dyn Clock>,
 }
 
-/// Gives targets the keys of their starts.
+/// Builds directories of targets, in which each target has the key of its current start.
 #[derive(Debug, Default)]
-struct Seating {
-    starts: Incarnations,
-    /// Digest of the roster that was seated last, and its directory: rosters are confirmed far more often than they change.
+struct DirectoryBuilder {
+    incarnations: Incarnations,
+    /// Digest and directory of the last roster: a roster is confirmed far more often than it changes.
     latest: Option<(u64, Arc<Directory>)>,
 }
 
-impl Seating {
-    fn seat(&mut self, roster: &Roster) -> Arc<Directory> {
+impl DirectoryBuilder {
+    fn build(&mut self, roster: &Roster) -> Arc<Directory> {
         let digest = roster.digest();
-        if let Some((seated, directory)) = &self.latest
-            && *seated == digest
+        if let Some((latest_digest, directory)) = &self.latest
+            && *latest_digest == digest
         {
             return Arc::clone(directory);
         }
-        let directory = Arc::new(Directory::new(roster, &mut self.starts));
+        let directory = Arc::new(Directory::new(roster, &mut self.incarnations));
         self.latest = Some((digest, Arc::clone(&directory)));
         directory
     }
@@ -58,152 +58,159 @@
 }
 
 impl Board {
-    /// A board on which nothing is known yet; ages are told by `clock`.
+    /// An empty board whose ages are measured by `clock`.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             catalog: watch::Sender::new(None),
             targets: watch::Sender::new(None),
-            heard: Mutex::default(),
-            seating: Mutex::default(),
+            store_roster: Mutex::default(),
+            directory_builder: Mutex::default(),
             quarantine: Quarantine::new(Arc::clone(&clock)),
             throttle: Throttle::new(Arc::clone(&clock)),
             clock,
         }
     }
 
-    /// Now, by the clock that ages are told by.
+    /// The current time on the clock that measures ages.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// The catalog as last read.
-    pub fn catalog(&self) -> Option<Belief<Catalog>> {
+    /// The latest catalog.
+    pub fn catalog(&self) -> Option<Observation<Catalog>> {
         self.catalog.borrow().clone()
     }
 
-    /// The targets that this process goes by: as last read, and for a moment after an outage with those whose entries may
-    /// have lapsed meanwhile.
-    pub fn targets(&self) -> Option<Belief<Directory>> {
+    /// The targets that this process uses: those of the latest roster, and for a short time after an outage of the store those
+    /// whose registrations may have expired in it.
+    pub fn targets(&self) -> Option<Observation<Directory>> {
         self.targets.borrow().clone()
     }
 
-    /// The roster as the store gave it: what other processes are told, who know themselves what they miss in it.
-    pub fn told_roster(&self) -> Option<Belief<Roster>> {
-        self.heard().belief()
+    /// The latest roster as the store returned it. This is what peers are sent: each corrects it by its own observations.
+    pub fn store_roster(&self) -> Option<Observation<Roster>> {
+        self.lock_store_roster().latest()
     }
 
-    /// Shows each new catalog.
-    pub fn catalogs(&self) -> watch::Receiver<Option<Belief<Catalog>>> {
+    /// Subscribes to new catalogs.
+    pub fn subscribe_catalogs(&self) -> watch::Receiver<Option<Observation<Catalog>>> {
         self.catalog.subscribe()
     }
 
-    /// Shows each new list of targets.
-    pub fn target_lists(&self) -> watch::Receiver<Option<Belief<Directory>>> {
+    /// Subscribes to new lists of targets.
+    pub fn target_lists(&self) -> watch::Receiver<Option<Observation<Directory>>> {
         self.targets.subscribe()
     }
 
-    /// Age of the catalog; none if there is none.
+    /// Age of the catalog; `None` before the first one.
     pub fn catalog_age(&self) -> Option<Duration> {
         age(&self.catalog, self.now())
     }
 
-    /// Age of the roster; none if there is none.
+    /// Age of the roster; `None` before the first one.
     pub fn roster_age(&self) -> Option<Duration> {
         age(&self.targets, self.now())
     }
 
-    /// Takes in a catalog that `source` told.
-    pub fn offer_catalog(&self, catalog: Arc<Catalog>, as_of: Moment, source: &str) -> Change {
+    /// Merges a catalog that was received from `source`.
+    pub fn merge_catalog(&self, catalog: Arc<Catalog>, as_of: Moment, source: &str) -> MergeOutcome {
         let version = catalog.version();
-        let change = offer(&self.catalog, catalog, Place::from(version), as_of);
-        if change == Change::Replaced {
-            log::info!(target: DECISION, decision = "catalog", version, source, age_ms = self.now().since(as_of).as_millis() as u64; "catalog in force");
+        let outcome = merge(&self.catalog, catalog, Place::from(version), as_of);
+        if outcome == MergeOutcome::Replaced {
+            log::info!(target: DECISION, decision = "catalog", version, source, age_ms = self.now().since(as_of).as_millis() as u64; "a new catalog is active");
         }
-        change
+        outcome
     }
 
-    /// Notes that version `version` was still the newest at `as_of`.
-    pub fn confirm_catalog(&self, version: u64, as_of: Moment) -> Change {
+    /// Records that `version` was still the newest catalog at `as_of`.
+    pub fn confirm_catalog(&self, version: u64, as_of: Moment) -> MergeOutcome {
         confirm(&self.catalog, Place::from(version), as_of)
     }
 
-    /// Takes in a roster that `source` told.
-    pub fn offer_roster(&self, roster: Arc<Roster>, position: impl Into<Place>, as_of: Moment, source: &str) -> Change {
+    /// Merges a roster that was received from `source`.
+    pub fn merge_roster(
+        &self,
+        roster: Arc<Roster>,
+        position: impl Into<Place>,
+        as_of: Moment,
+        source: &str,
+    ) -> MergeOutcome {
         let position = position.into();
-        // Held throughout: two that tell at once must not overtake each other on the way to the readers.
-        let mut heard = self.heard();
-        let Some(belief) = heard.take_in(roster, position, as_of) else {
-            return Change::Older;
+        // The lock is held until the targets are published, so that concurrent merges are published in order.
+        let mut store_roster = self.lock_store_roster();
+        let Some(observed) = store_roster.merge(roster, position, as_of) else {
+            return MergeOutcome::Stale;
         };
-        let targets = belief.value.targets.len();
-        let change = replace(&self.targets, self.seat(&belief));
-        if change == Change::Replaced {
-            log::info!(target: DECISION, decision = "roster", position = position.to_string().as_str(), targets, source, age_ms = self.now().since(as_of).as_millis() as u64; "roster changed");
+        let targets = observed.value.targets.len();
+        let outcome = publish(&self.targets, self.build_directory(&observed));
+        if outcome == MergeOutcome::Replaced {
+            log::info!(target: DECISION, decision = "roster", position = position.to_string().as_str(), targets, source, age_ms = self.now().since(as_of).as_millis() as u64; "the list of targets changed");
         }
-        change
+        outcome
     }
 
-    /// Gives each target the key of its start.
-    fn seat(&self, belief: &Belief<Roster>) -> Belief<Directory> {
-        let mut seating = self.seating.lock().unwrap_or_else(PoisonError::into_inner);
-        Belief {
-            value: seating.seat(&belief.value),
-            position: belief.position,
-            as_of: belief.as_of,
+    /// The directory of an observed roster.
+    fn build_directory(&self, observed: &Observation<Roster>) -> Observation<Directory> {
+        let mut builder = self.directory_builder.lock().unwrap_or_else(PoisonError::into_inner);
+        Observation {
+            value: builder.build(&observed.value),
+            position: observed.position,
+            as_of: observed.as_of,
         }
     }
 
-    fn heard(&self) -> MutexGuard<'_, Heard> {
-        // A panic leaves whole values: each is replaced in one step.
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_store_roster(&self) -> MutexGuard<'_, StoreRoster> {
+        // A panic cannot leave a partial value, because each is replaced in one step; so a poisoned lock is usable.
+        self.store_roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Waiting readers are woken for a new value only.
-fn replace(cell: &watch::Sender<Option<Belief<Directory>>>, belief: Belief<Directory>) -> Change {
-    let mut change = Change::Replaced;
-    cell.send_if_modified(|known| {
-        if known.as_ref().is_some_and(|known| known.value == belief.value) {
-            change = Change::Confirmed;
+/// Stores an observation; wakes subscribers only if the value changed.
+fn publish(cell: &watch::Sender<Option<Observation<Directory>>>, observed: Observation<Directory>) -> MergeOutcome {
+    let mut outcome = MergeOutcome::Replaced;
+    cell.send_if_modified(|latest| {
+        if latest.as_ref().is_some_and(|latest| latest.value == observed.value) {
+            outcome = MergeOutcome::Confirmed;
         }
-        *known = Some(belief);
-        change == Change::Replaced
+        *latest = Some(observed);
+        outcome == MergeOutcome::Replaced
     });
-    change
+    outcome
 }
 
-fn age<T: PartialEq>(cell: &watch::Sender<Option<Belief<T>>>, now: Moment) -> Option<Duration> {
-    cell.borrow().as_ref().map(|belief| belief.age(now))
+fn age<T: PartialEq>(cell: &watch::Sender<Option<Observation<T>>>, now: Moment) -> Option<Duration> {
+    cell.borrow().as_ref().map(|observed| observed.age(now))
 }
 
-/// Waiting readers are woken for a new value only: ages change all the time.
-fn offer<T: PartialEq>(
-    cell: &watch::Sender<Option<Belief<T>>>,
+/// Merges an answer; wakes subscribers only if the value changed, because its age changes all the time.
+fn merge<T: PartialEq>(
+    cell: &watch::Sender<Option<Observation<T>>>,
     value: Arc<T>,
     position: Place,
     as_of: Moment,
-) -> Change {
-    let mut change = Change::Replaced;
-    cell.send_if_modified(|known| {
-        match known {
-            Some(belief) => change = belief.offer(value, position, as_of),
-            None => *known = Some(Belief { value, position, as_of }),
+) -> MergeOutcome {
+    let mut outcome = MergeOutcome::Replaced;
+    cell.send_if_modified(|latest| {
+        match latest {
+            Some(observed) => outcome = observed.merge(value, position, as_of),
+            None => *latest = Some(Observation { value, position, as_of }),
         }
-        change == Change::Replaced
+        outcome == MergeOutcome::Replaced
     });
-    change
+    outcome
 }
 
-fn confirm<T: PartialEq>(cell: &watch::Sender<Option<Belief<T>>>, position: Place, as_of: Moment) -> Change {
-    let mut change = Change::Older;
-    cell.send_if_modified(|known| {
-        if let Some(belief) = known
-            && belief.position == position
+/// Updates the age of the latest value if it is at `position`.
+fn confirm<T: PartialEq>(cell: &watch::Sender<Option<Observation<T>>>, position: Place, as_of: Moment) -> MergeOutcome {
+    let mut outcome = MergeOutcome::Stale;
+    cell.send_if_modified(|latest| {
+        if let Some(observed) = latest
+            && observed.position == position
         {
-            belief.as_of = belief.as_of.max(as_of);
-            change = Change::Confirmed;
+            observed.as_of = observed.as_of.max(as_of);
+            outcome = MergeOutcome::Confirmed;
         }
         false
     });
-    change
+    outcome
 }
--- a/crates/sparscale_belief/src/departed.rs
+++ b/crates/sparscale_belief/src/departed.rs
@@ -1,4 +1,4 @@
-//! Targets that were seen to leave, for a list that comes back from an older copy and shows them again.
+//! Targets that are known to have left, for rosters that list them again after a restore from an older snapshot.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -6,56 +6,61 @@
 use sparscale_catalog::{Roster, Standing, Target};
 use sparscale_clock::Moment;
 
-/// Time for which a departure is remembered: a copy is some seconds old, and what it brought back lapses soon after.
-const MEMORY: Duration = Duration::from_secs(30);
+/// Time for which a departure is remembered: a snapshot is some seconds old, and the registrations that it brings back expire
+/// soon after the restore.
+const RETENTION: Duration = Duration::from_secs(30);
 
-/// A start of a target.
-type Start = (String, Option<u64>);
+/// Identifies one start of a target: its id and its start time in milliseconds.
+type StartKey = (String, Option<u64>);
 
-/// Starts that left, or whose entries went, and when that was read last.
+/// Starts of targets that left or whose registrations were removed, with the time of the last roster that showed it.
 #[derive(Debug, Default)]
-pub(crate) struct Departed {
-    starts: HashMap<Start, Moment>,
+pub(crate) struct DepartedTargets {
+    departed_at: HashMap<StartKey, Moment>,
 }
 
-impl Departed {
-    /// Notes what went from one list to the next of the same era, and what was leaving.
-    pub(crate) fn note(&mut self, before: &Roster, now: &Roster, at: Moment) {
-        self.starts.retain(|_, seen| at.since(*seen) < MEMORY);
-        // Lists are long and read often, and few readings change them.
-        if before.digest() == now.digest() {
+impl DepartedTargets {
+    /// Records the targets that were removed between two rosters of the same era, and those that are leaving.
+    pub(crate) fn record(&mut self, previous: &Roster, current: &Roster, at: Moment) {
+        self.departed_at
+            .retain(|_, departed_at| at.since(*departed_at) < RETENTION);
+        // Rosters are long and read often, but seldom change.
+        if previous.digest() == current.digest() {
             return;
         }
-        let (was_there, is_there) = (starts(before), starts(now));
-        let went = before
+        let (previous_keys, current_keys) = (start_keys(previous), start_keys(current));
+        let removed = previous
             .targets
             .iter()
-            .filter(|target| !is_there.contains(&named(target)));
+            .filter(|target| !current_keys.contains(&borrowed_start_key(target)));
         let leaving = |target: &&Target| target.standing == Standing::Leaving;
-        let leaving = now.targets.iter().filter(leaving);
-        self.starts
-            .extend(went.chain(leaving).map(|target| (start(target), at)));
-        // An entry that is there again in the same era was written again: its target lives.
-        let back = |target: &&Target| target.standing == Standing::Ready && !was_there.contains(&named(target));
-        for target in now.targets.iter().filter(back) {
-            self.starts.remove(&start(target));
+        let leaving = current.targets.iter().filter(leaving);
+        self.departed_at
+            .extend(removed.chain(leaving).map(|target| (start_key(target), at)));
+        // A registration that reappears within the same era was written again, so its target is alive.
+        let reappeared = |target: &&Target| {
+            target.standing == Standing::Ready && !previous_keys.contains(&borrowed_start_key(target))
+        };
+        for target in current.targets.iter().filter(reappeared) {
+            self.departed_at.remove(&start_key(target));
         }
     }
 
-    /// `roster`, with those that were seen to leave as leaving; none if it shows none of them as ready.
-    pub(crate) fn correct(&self, roster: &Roster, at: Moment) -> Option<Roster> {
-        if self.starts.is_empty() {
+    /// A copy of `roster` in which departed targets are leaving; `None` if it lists none of them as ready.
+    pub(crate) fn mark_leaving(&self, roster: &Roster, at: Moment) -> Option<Roster> {
+        if self.departed_at.is_empty() {
             return None;
         }
-        let left = |target: &Target| {
-            let seen = self.starts.get(&start(target));
-            target.standing == Standing::Ready && seen.is_some_and(|seen| at.since(*seen) < MEMORY)
+        let has_departed = |target: &Target| {
+            let departed_at = self.departed_at.get(&start_key(target));
+            target.standing == Standing::Ready
+                && departed_at.is_some_and(|departed_at| at.since(*departed_at) < RETENTION)
         };
-        if !roster.targets.iter().any(left) {
+        if !roster.targets.iter().any(has_departed) {
             return None;
         }
         let corrected = roster.targets.iter().map(|target| Target {
-            standing: if left(target) {
+            standing: if has_departed(target) {
                 Standing::Leaving
             } else {
                 target.standing
@@ -66,15 +71,15 @@
     }
 }
 
-fn start(target: &Target) -> Start {
+fn start_key(target: &Target) -> StartKey {
     (target.id.clone(), target.born_ms)
 }
 
-/// The same without a copy of the id.
-fn named(target: &Target) -> (&str, Option<u64>) {
+/// The same as [`start_key`] without cloning the id.
+fn borrowed_start_key(target: &Target) -> (&str, Option<u64>) {
     (&target.id, target.born_ms)
 }
 
-fn starts(roster: &Roster) -> HashSet<(&str, Option<u64>)> {
-    roster.targets.iter().map(named).collect()
+fn start_keys(roster: &Roster) -> HashSet<(&str, Option<u64>)> {
+    roster.targets.iter().map(borrowed_start_key).collect()
 }
--- a/crates/sparscale_belief/src/lib.rs
+++ b/crates/sparscale_belief/src/lib.rs
@@ -1,21 +1,21 @@
-//! What a process believes about the world outside, and how old that belief is.
+//! The last observed state of the outside world (catalog, roster, crashed requests, rate limits) and its age.
 //!
-//! A belief is only as good as its age, and the age counts from *before* the question was asked: whatever was
-//! acknowledged earlier than that is part of the answer. Beliefs never go back to an older position, whoever tells.
+//! The age of an observation counts from *before* the query was sent, because the answer contains everything that was
+//! acknowledged before that time. An observation never goes back to an older position, whatever its source.
 
-mod belief;
 mod board;
 mod departed;
-mod doubt;
-mod heard;
-mod lapse;
+mod missing;
+mod observation;
+mod peer_first;
 mod quarantine;
 mod reader;
 mod source;
+mod store_roster;
 mod throttle;
 
-pub use belief::{Belief, Change};
 pub use board::Board;
+pub use observation::{MergeOutcome, Observation};
 pub use quarantine::{Archive, Quarantine};
 pub use reader::{Pace, ReadFigures, read_catalog, read_roster, read_strikes};
 pub use source::{Error, Reading, Source};
--- a/crates/sparscale_belief/src/quarantine.rs
+++ b/crates/sparscale_belief/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets, as this process knows them from what it saw, its peers and the store.
+//! Requests that crash targets, as known from this process's own attempts, from its peers and from the store.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,33 +12,34 @@
 
 use crate::source::Error;
 
-/// Time in which a process that saw a target end tells the store: after it, others that heard of the end do.
-const TELL_MARGIN: Duration = Duration::from_secs(2);
-/// First pause after the store did not take strikes, doubled up to [`MAX_RETRY`].
-const FIRST_RETRY: Duration = Duration::from_millis(100);
-const MAX_RETRY: Duration = Duration::from_millis(1_200);
-/// Pause between two looks at what is too old.
-const EXPIRY_PAUSE: Duration = Duration::from_mins(10);
+/// Time in which the process that saw a target end writes the strike to the store; after it, processes that received the
+/// strike from a peer write it.
+const WRITE_MARGIN: Duration = Duration::from_secs(2);
+/// First delay after the store rejected strikes, doubled up to [`MAX_RETRY_DELAY`].
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_200);
+/// Interval at which expired strikes are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_mins(10);
 
-/// Keeps strikes outside, for processes that start later.
+/// Persists strikes in the store, for processes that start later.
 #[async_trait]
 pub trait Archive: Send + 'static {
-    /// Keeps `strikes`; the same one may come twice, and from several processes.
+    /// Writes `strikes`. Must be idempotent: the same strike may be written twice, also by several processes.
     async fn keep(&mut self, strikes: &[Strike]) -> Result<(), Error>;
 
-    /// Drops `strikes`, which nobody needs any more.
+    /// Deletes `strikes`, which no process needs any more.
     async fn forget(&mut self, strikes: &[Strike]) -> Result<(), Error>;
 }
 
-/// What this process knows.
+/// The strikes that this process knows of.
 #[derive(Debug)]
 pub struct Quarantine {
-    register: Mutex<Register>,
-    /// Shows that something was learnt.
-    learnt: watch::Sender<()>,
-    /// A time before which everything that the store had taken is in the register; none before it was first read.
+    tracker: Mutex<Register>,
+    /// Notifies subscribers of changes.
+    changed: watch::Sender<()>,
+    /// Everything that the store had accepted before this time is in the tracker; `None` before the first read.
     as_of: Mutex<Option<Moment>>,
-    /// Era of the store as last read.
+    /// Era of the store at the last read.
     era: Mutex<Option<u64>>,
     clock: Arc<dyn Clock>,
 }
@@ -46,20 +47,20 @@
 impl Quarantine {
     pub(crate) fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
-            register: Mutex::default(),
-            learnt: watch::Sender::new(()),
+            tracker: Mutex::default(),
+            changed: watch::Sender::new(()),
             as_of: Mutex::default(),
             era: Mutex::default(),
             clock,
         }
     }
 
-    /// Whether a request is held back now.
+    /// The hold that keeps a request from being sent now, if any.
     pub fn held(&self, request: &Fingerprint) -> Option<Hold> {
-        self.register().held(request, unix_ms())
+        self.tracker().held(request, unix_ms())
     }
 
-    /// Notes that a target ended under a request. Tells how many have.
+    /// Records that a target ended while it served a request. Returns how many targets have.
     pub fn note_end(&self, request: Fingerprint, end: End) -> usize {
         let now_ms = unix_ms();
         let strike = Strike {
@@ -68,139 +69,139 @@
             at_ms: now_ms,
             standing: sparscale_quarantine::Standing::Counts,
         };
-        let (news, ends) = {
-            let mut register = self.register();
-            (register.take_in(strike, News::Seen, now_ms), register.ends(&request))
+        let (is_new, ends) = {
+            let mut tracker = self.tracker();
+            (tracker.take_in(strike, News::Seen, now_ms), tracker.ends(&request))
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), ends, news; "a target ended under a request");
-        self.tell(news);
+        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), ends, news = is_new; "a target ended while it served a request");
+        self.notify_if(is_new);
         ends
     }
 
-    /// Notes a whole answer to a request.
+    /// Records that a request was answered completely, which clears it.
     pub fn note_answer(&self, request: &Fingerprint) {
-        let cleared = self.register().note_answer(request, unix_ms());
+        let cleared = self.tracker().note_answer(request, unix_ms());
         if cleared {
-            log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the request is answered well: it is not what ended targets");
+            log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the request was answered completely, so it is not the cause of the crashes");
         }
-        self.tell(cleared);
+        self.notify_if(cleared);
     }
 
-    /// Takes in what the peer `source` told.
-    pub fn offer(&self, strikes: &[Strike], source: &str) {
+    /// Merges strikes that the peer `source` sent.
+    pub fn merge_from_peer(&self, strikes: &[Strike], source: &str) {
         let now_ms = unix_ms();
-        let news = {
-            let mut register = self.register();
-            let taken = strikes
+        let new_strikes = {
+            let mut tracker = self.tracker();
+            let results = strikes
                 .iter()
-                .map(|strike| register.take_in(*strike, News::Told, now_ms));
-            taken.filter(|news| *news).count()
+                .map(|strike| tracker.take_in(*strike, News::Told, now_ms));
+            results.filter(|is_new| *is_new).count()
         };
-        if news > 0 {
-            log::info!(target: DECISION, decision = "strikes", source, news; "heard of targets that ended under requests");
+        if new_strikes > 0 {
+            log::info!(target: DECISION, decision = "strikes", source, news = new_strikes; "received new strikes against requests from a peer");
         }
-        self.tell(news > 0);
+        self.notify_if(new_strikes > 0);
     }
 
-    /// Takes in all that the store held in era `era` when it was asked at `asked`. A store that came back from an older copy
-    /// has lost what was written since: whoever reads that writes it again.
-    pub fn offer_reading(&self, strikes: &[Strike], era: u64, asked: Moment) {
+    /// Merges all strikes that the store held in era `era` when it was queried at `queried_at`. A store that was restored from
+    /// an older snapshot has lost what was written since, so each process that reads the new era writes its strikes again.
+    pub fn merge_from_store(&self, strikes: &[Strike], era: u64, queried_at: Moment) {
         let restored = {
-            let mut known = self.era.lock().unwrap_or_else(PoisonError::into_inner);
-            if known.is_some_and(|known| era < known) {
+            let mut known_era = self.era.lock().unwrap_or_else(PoisonError::into_inner);
+            if known_era.is_some_and(|known_era| era < known_era) {
                 return;
             }
-            known.replace(era).is_some_and(|known| known < era)
+            known_era.replace(era).is_some_and(|known_era| known_era < era)
         };
         if restored {
-            self.register().doubt_store();
+            self.tracker().doubt_store();
         }
         let now_ms = unix_ms();
-        let asked_ms = now_ms.saturating_sub(self.clock.now().since(asked).as_millis() as u64);
-        let news = self.register().read(strikes, asked_ms, TELL_MARGIN, now_ms);
-        self.confirm(asked);
-        self.tell(news);
+        let queried_at_ms = now_ms.saturating_sub(self.clock.now().since(queried_at).as_millis() as u64);
+        let has_changed = self.tracker().read(strikes, queried_at_ms, WRITE_MARGIN, now_ms);
+        self.confirm(queried_at);
+        self.notify_if(has_changed);
     }
 
-    /// Notes that everything that the store had taken at `as_of` is known here.
+    /// Records that everything that the store had accepted by `as_of` is known to this process.
     pub fn confirm(&self, as_of: Moment) {
-        let mut known = self.as_of.lock().unwrap_or_else(PoisonError::into_inner);
-        *known = Some(known.map_or(as_of, |known| known.max(as_of)));
+        let mut latest = self.as_of.lock().unwrap_or_else(PoisonError::into_inner);
+        *latest = Some(latest.map_or(as_of, |latest| latest.max(as_of)));
     }
 
-    /// Age of what is known of the store; none before it was first read.
+    /// Age of the observed state of the store; `None` before the first read.
     pub fn age(&self) -> Option<Duration> {
         let as_of = *self.as_of.lock().unwrap_or_else(PoisonError::into_inner);
         as_of.map(|as_of| self.clock.now().since(as_of))
     }
 
-    /// What was learnt after position `since`, and the position now.
-    pub fn news(&self, since: u64) -> (Vec<Strike>, u64) {
-        self.register().news(since)
+    /// The strikes that changed after version `since`, and the current version.
+    pub fn changes_since(&self, since: u64) -> (Vec<Strike>, u64) {
+        self.tracker().news(since)
     }
 
-    /// Wakes whenever something was learnt.
-    pub fn learnings(&self) -> watch::Receiver<()> {
-        self.learnt.subscribe()
+    /// Wakes whenever strikes change.
+    pub fn subscribe(&self) -> watch::Receiver<()> {
+        self.changed.subscribe()
     }
 
-    /// Tells the store what it does not know yet; never ends. `is_first` says whether this process is the one that drops what
-    /// is too old there.
+    /// Writes strikes that the store lacks to `archive`; never returns. The process for which `is_first` holds also deletes
+    /// expired strikes there.
     pub async fn keep_in(&self, mut archive: Box<dyn Archive>, is_first: impl Fn() -> bool) {
-        let mut learnt = self.learnings();
-        learnt.mark_changed();
-        let mut expiry = Instant::now() + EXPIRY_PAUSE;
+        let mut changes = self.subscribe();
+        changes.mark_changed();
+        let mut next_expiry = Instant::now() + EXPIRY_INTERVAL;
         loop {
             tokio::select! {
-                changed = learnt.changed() => if changed.is_err() { return },
-                () = tokio::time::sleep_until(expiry) => {
-                    expiry = Instant::now() + EXPIRY_PAUSE;
-                    let dropped = self.register().expire(unix_ms());
-                    if !dropped.is_empty() && is_first() {
-                        note_failure("forget", &archive.forget(&dropped).await);
+                changed = changes.changed() => if changed.is_err() { return },
+                () = tokio::time::sleep_until(next_expiry) => {
+                    next_expiry = Instant::now() + EXPIRY_INTERVAL;
+                    let expired = self.tracker().expire(unix_ms());
+                    if !expired.is_empty() && is_first() {
+                        log_failure("forget", &archive.forget(&expired).await);
                     }
                 }
             }
-            self.tell_store(archive.as_mut()).await;
+            self.write_to_store(archive.as_mut()).await;
         }
     }
 
-    async fn tell_store(&self, archive: &mut dyn Archive) {
-        let mut pause = FIRST_RETRY;
+    async fn write_to_store(&self, archive: &mut dyn Archive) {
+        let mut delay = MIN_RETRY_DELAY;
         loop {
-            let untold = self.register().untold();
-            if untold.is_empty() {
+            let unwritten = self.tracker().untold();
+            if unwritten.is_empty() {
                 return;
             }
-            if !note_failure("keep", &archive.keep(&untold).await) {
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_RETRY);
+            if !log_failure("keep", &archive.keep(&unwritten).await) {
+                tokio::time::sleep(delay).await;
+                delay = (delay * 2).min(MAX_RETRY_DELAY);
                 continue;
             }
             let now_ms = unix_ms();
-            let mut register = self.register();
-            for strike in untold {
-                register.take_in(strike, News::Read, now_ms);
+            let mut tracker = self.tracker();
+            for strike in unwritten {
+                tracker.take_in(strike, News::Read, now_ms);
             }
         }
     }
 
-    fn tell(&self, news: bool) {
-        if news {
-            self.learnt.send_replace(());
+    fn notify_if(&self, has_changed: bool) {
+        if has_changed {
+            self.changed.send_replace(());
         }
     }
 
-    fn register(&self) -> MutexGuard<'_, Register> {
-        // A panic leaves a register whose entries are whole: each is replaced in one step.
-        self.register.lock().unwrap_or_else(PoisonError::into_inner)
+    fn tracker(&self) -> MutexGuard<'_, Register> {
+        // A panic cannot leave a partial entry, because each is replaced in one step; so a poisoned lock is usable.
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Tells whether it went well.
-fn note_failure(what: &str, done: &Result<(), Error>) -> bool {
-    if let Err(error) = done {
-        log::info!(target: DECISION, decision = "strikes_not_kept", what, error = error.to_string().as_str(); "the store did not take strikes");
+/// Logs a failed operation on the archive. Returns whether it succeeded.
+fn log_failure(operation: &str, result: &Result<(), Error>) -> bool {
+    if let Err(error) = result {
+        log::info!(target: DECISION, decision = "strikes_not_kept", what = operation, error = error.to_string().as_str(); "the store did not accept an update of strikes");
     }
-    done.is_ok()
+    result.is_ok()
 }
--- a/crates/sparscale_belief/src/reader.rs
+++ b/crates/sparscale_belief/src/reader.rs
@@ -1,9 +1,9 @@
-//! Reads a source whenever nobody else has told its state for a while.
+//! Reads a source when no peer has reported its state for a while.
 //!
-//! Calls of the platform's store are priced and limited, so few processes read and the others hear it from them. There
-//! is no election: each process waits until its belief has reached an age of its own, which rises with its place in the
-//! line of live readers. The first in line reads, everyone else hears of it in time; if the first is gone, refused or
-//! cut off, the second reads a moment later.
+//! Calls of the platform's store are priced and rate-limited, so few processes read it and send the result to the others.
+//! There is no election: each process reads once its observation has reached an age that rises with its index among the live
+//! readers. Normally the first reads and the others receive the result in time; if the first has ended, is rejected by the
+//! store or is partitioned, the second reads shortly after.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,94 +11,95 @@
 
 use sparscale_telemetry::{DECISION, Registry};
 
-use crate::belief::Change;
 use crate::board::Board;
-use crate::doubt::Doubted;
+use crate::observation::MergeOutcome;
+use crate::peer_first::PeerFirstSource;
 use crate::source::{Error, Reading, Source};
 use sparscale_catalog::{Catalog, Roster};
 use sparscale_clock::Moment;
 use sparscale_quarantine::Strike;
 
-/// Time that one reading may take before it is given up.
+/// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failed reading, doubled with each further failure in a row; the next one may meet a store that is back.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest such pause of a process that answers for how old its beliefs are: a machine has to be up to date 3 s after
-/// the end of trouble, and one reading may take [`READ_TIMEOUT`] in vain before the one that succeeds.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
+/// Delay after a failed read, doubled with each further failure in a row: the store may have recovered by the next attempt.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Longest such delay of a process whose observations must be recent: a box has to be up to date 3 s after the end of a
+/// disturbance, and one read may take [`READ_TIMEOUT`] in vain before the one that succeeds.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
-/// How old a belief gets before this process reads the source itself.
+/// Decides at which age of its observation a process reads the source itself.
 #[derive(Debug)]
 pub struct Pace {
-    /// Age at which the first in line reads.
-    pub interval: Duration,
-    /// What each place in line adds to it.
-    pub step: Duration,
-    /// Time that a new process gives others to tell it before it reads for the first time.
-    pub head_start: Duration,
-    /// Longest pause between two readings while they fail.
-    pub max_retry: Duration,
-    place: AtomicUsize,
+    /// Age at which the first reader reads.
+    pub first_reader_age: Duration,
+    /// Additional age for each further reader.
+    pub age_per_reader: Duration,
+    /// Time that a new process gives its peers to send their state before its first read.
+    pub initial_wait: Duration,
+    /// Longest delay between two failed reads.
+    pub max_retry_delay: Duration,
+    reader_index: AtomicUsize,
 }
 
 impl Pace {
-    /// The pace of a process that knows of no others: it is first in line.
-    pub fn new(interval: Duration, step: Duration, head_start: Duration) -> Self {
+    /// The schedule of a process that knows of no peers: it is the first reader.
+    pub fn new(first_reader_age: Duration, age_per_reader: Duration, initial_wait: Duration) -> Self {
         Self {
-            interval,
-            step,
-            head_start,
-            max_retry: MAX_RETRY_PAUSE,
-            place: AtomicUsize::new(0),
+            first_reader_age,
+            age_per_reader,
+            initial_wait,
+            max_retry_delay: MAX_RETRY_DELAY,
+            reader_index: AtomicUsize::new(0),
         }
     }
 
-    /// The same with another longest pause between two readings while they fail.
+    /// Sets the longest delay between two failed reads.
     #[must_use]
-    pub fn with_max_retry(mut self, max_retry: Duration) -> Self {
-        self.max_retry = max_retry;
+    pub fn with_max_retry(mut self, max_retry_delay: Duration) -> Self {
+        self.max_retry_delay = max_retry_delay;
         self
     }
 
-    /// Sets the place in line, 0 for the first.
-    pub fn set_place(&self, place: usize) {
-        self.place.store(place, Ordering::Relaxed);
+    /// Sets the index of this process among the readers, 0 for the first.
+    pub fn set_place(&self, reader_index: usize) {
+        self.reader_index.store(reader_index, Ordering::Relaxed);
     }
 
-    /// Place in line.
+    /// Index of this process among the readers, 0 for the first.
     pub fn place(&self) -> usize {
-        self.place.load(Ordering::Relaxed)
+        self.reader_index.load(Ordering::Relaxed)
     }
 
-    /// Pause after `failures` failed readings in a row, spread so that processes which failed together do not all call
-    /// together again.
-    fn retry_pause(&self, failures: u32) -> Duration {
-        let doubled = RETRY_PAUSE.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
-        let spread = 0.75 + 0.5 * rand::random::<f64>();
-        doubled.min(self.max_retry).mul_f64(spread)
+    /// Delay after `failures` failed reads in a row. It has jitter, so that processes which failed at the same time do not
+    /// retry at the same time.
+    fn retry_delay(&self, failures: u32) -> Duration {
+        let backoff = MIN_RETRY_DELAY.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
+        let jitter = 0.75 + 0.5 * rand::random::<f64>();
+        backoff.min(self.max_retry_delay).mul_f64(jitter)
     }
 
-    fn patience(&self) -> Duration {
-        let steps = u32::try_from(self.place()).unwrap_or(u32::MAX);
-        self.interval + self.step.saturating_mul(steps)
+    /// Age of the observation at which this process reads the source.
+    fn read_age(&self) -> Duration {
+        let preceding_readers = u32::try_from(self.place()).unwrap_or(u32::MAX);
+        self.first_reader_age + self.age_per_reader.saturating_mul(preceding_readers)
     }
 }
 
-/// Counts readings.
+/// Metrics of reads of the store.
 #[derive(Debug)]
 pub struct ReadFigures {
     registry: Arc<Registry>,
 }
 
 impl ReadFigures {
-    /// Counts in `registry`.
+    /// Metrics that are registered in `registry`.
     pub fn new(registry: &Arc<Registry>) -> Self {
         Self {
             registry: Arc::clone(registry),
         }
     }
 
-    fn note<T>(&self, source: &str, answer: &Result<Reading<T>, Error>, took: Duration) {
+    fn record<T>(&self, source: &str, answer: &Result<Reading<T>, Error>, elapsed: Duration) {
         let result = if answer.is_ok() { "answered" } else { "failed" };
         let help = "Readings of the store, by result.";
         let labels = [("source", source), ("result", result)];
@@ -109,12 +110,17 @@
         let labels = [("source", source)];
         self.registry
             .histogram("sparscale_store_read_seconds", help, &labels)
-            .note(took);
+            .note(elapsed);
     }
 }
 
-/// Keeps the catalog on `board` young; never ends.
-pub async fn read_catalog(board: Arc<Board>, source: Box<dyn Source<Catalog>>, pace: Arc<Pace>, figures: ReadFigures) {
+/// Keeps the catalog on `board` recent; never returns.
+pub async fn read_catalog(
+    board: Arc<Board>,
+    source: Box<dyn Source<Catalog>>,
+    schedule: Arc<Pace>,
+    metrics: ReadFigures,
+) {
     let now = {
         let board = Arc::clone(&board);
         move || board.now()
@@ -123,13 +129,18 @@
         let board = Arc::clone(&board);
         move || board.catalog_age()
     };
-    let source = Box::new(Doubted::new(source, Arc::clone(&board)));
-    let offer = move |reading: Reading<Catalog>, asked| board.offer_catalog(reading.value, asked, "store");
-    keep_young("catalog", source, &pace, &figures, age, offer, now).await;
+    let source = Box::new(PeerFirstSource::new(source, Arc::clone(&board)));
+    let merge = move |reading: Reading<Catalog>, queried_at| board.merge_catalog(reading.value, queried_at, "store");
+    keep_recent("catalog", source, &schedule, &metrics, age, merge, now).await;
 }
 
-/// Keeps the roster on `board` young; never ends.
-pub async fn read_roster(board: Arc<Board>, source: Box<dyn Source<Roster>>, pace: Arc<Pace>, figures: ReadFigures) {
+/// Keeps the roster on `board` recent; never returns.
+pub async fn read_roster(
+    board: Arc<Board>,
+    source: Box<dyn Source<Roster>>,
+    schedule: Arc<Pace>,
+    metrics: ReadFigures,
+) {
     let now = {
         let board = Arc::clone(&board);
         move || board.now()
@@ -138,17 +149,18 @@
         let board = Arc::clone(&board);
         move || board.roster_age()
     };
-    let offer =
-        move |reading: Reading<Roster>, asked| board.offer_roster(reading.value, reading.position, asked, "store");
-    keep_young("roster", source, &pace, &figures, age, offer, now).await;
+    let merge = move |reading: Reading<Roster>, queried_at| {
+        board.merge_roster(reading.value, reading.position, queried_at, "store")
+    };
+    keep_recent("roster", source, &schedule, &metrics, age, merge, now).await;
 }
 
-/// Keeps what is known of requests that crash targets young; never ends.
+/// Keeps the known requests that crash targets recent; never returns.
 pub async fn read_strikes(
     board: Arc<Board>,
     source: Box<dyn Source<Vec<Strike>>>,
-    pace: Arc<Pace>,
-    figures: ReadFigures,
+    schedule: Arc<Pace>,
+    metrics: ReadFigures,
 ) {
     let now = {
         let board = Arc::clone(&board);
@@ -158,65 +170,67 @@
         let board = Arc::clone(&board);
         move || board.quarantine.age()
     };
-    let offer = move |reading: Reading<Vec<Strike>>, asked| {
+    let merge = move |reading: Reading<Vec<Strike>>, queried_at| {
         board
             .quarantine
-            .offer_reading(&reading.value, reading.position.era, asked);
-        Change::Confirmed
+            .merge_from_store(&reading.value, reading.position.era, queried_at);
+        MergeOutcome::Confirmed
     };
-    keep_young("strikes", source, &pace, &figures, age, offer, now).await;
+    keep_recent("strikes", source, &schedule, &metrics, age, merge, now).await;
 }
 
-async fn keep_young<T: Send + Sync + 'static>(
-    what: &'static str,
+async fn keep_recent<T: Send + Sync + 'static>(
+    source_name: &'static str,
     mut source: Box<dyn Source<T>>,
-    pace: &Pace,
-    figures: &ReadFigures,
+    schedule: &Pace,
+    metrics: &ReadFigures,
     age: impl Fn() -> Option<Duration>,
-    offer: impl Fn(Reading<T>, Moment) -> Change,
+    merge: impl Fn(Reading<T>, Moment) -> MergeOutcome,
     now: impl Fn() -> Moment,
 ) {
     let mut reachable = true;
     let mut failures = 0;
-    let started = now();
+    let started_at = now();
     loop {
-        // What nobody has told yet is as old as this process, less the head start that others get.
-        let known = age().unwrap_or_else(|| now().since(started) + pace.patience().saturating_sub(pace.head_start));
-        let wait = pace.patience().checked_sub(known);
+        // Without an observation, the time since the start counts as its age, so that the first read is due after the
+        // initial wait.
+        let current_age = age()
+            .unwrap_or_else(|| now().since(started_at) + schedule.read_age().saturating_sub(schedule.initial_wait));
+        let wait = schedule.read_age().checked_sub(current_age);
         if let Some(wait) = wait.filter(|wait| !wait.is_zero()) {
-            // Somebody told it.
+            // A peer has sent a recent state.
             failures = 0;
             tokio::time::sleep(wait).await;
             continue;
         }
-        let asked = now();
+        let queried_at = now();
         let answer = tokio::time::timeout(READ_TIMEOUT, source.read()).await;
         let answer = answer.unwrap_or_else(|_elapsed| {
-            let message = format!("nothing within {} ms", READ_TIMEOUT.as_millis());
+            let message = format!("no answer within {} ms", READ_TIMEOUT.as_millis());
             Err(Error::Unavailable { message })
         });
-        figures.note(what, &answer, now().since(asked));
-        note_reachable(what, &mut reachable, &answer);
-        let news = answer.map(|reading| offer(reading, asked));
-        // A store that answers from the past says nothing about now: asking at once again would only load it.
-        if matches!(news, Err(_) | Ok(Change::Older)) {
+        metrics.record(source_name, &answer, now().since(queried_at));
+        log_reachability(source_name, &mut reachable, &answer);
+        let outcome = answer.map(|reading| merge(reading, queried_at));
+        // A stale answer does not make the observation more recent; retrying at once would only load the store.
+        if matches!(outcome, Err(_) | Ok(MergeOutcome::Stale)) {
             failures += 1;
-            tokio::time::sleep(pace.retry_pause(failures)).await;
+            tokio::time::sleep(schedule.retry_delay(failures)).await;
         } else {
             failures = 0;
         }
     }
 }
 
-/// Logs when a source is lost and when it is regained, not each failure.
-fn note_reachable<T>(what: &str, reachable: &mut bool, answer: &Result<Reading<T>, Error>) {
+/// Logs when a source becomes unreachable or reachable again, but not each failure.
+fn log_reachability<T>(source_name: &str, reachable: &mut bool, answer: &Result<Reading<T>, Error>) {
     match answer {
         Ok(_) if !*reachable => {
-            log::info!(target: DECISION, decision = "regained", source = what; "the store answers again");
+            log::info!(target: DECISION, decision = "regained", source = source_name; "reads of the store succeed again");
             *reachable = true;
         }
         Err(error) if *reachable => {
-            log::warn!(target: DECISION, decision = "lost", source = what, error = error.to_string().as_str(); "the store does not answer");
+            log::warn!(target: DECISION, decision = "lost", source = source_name, error = error.to_string().as_str(); "reading the store failed; retrying with an exponential delay");
             *reachable = false;
         }
         _ => {}
--- a/crates/sparscale_belief/src/source.rs
+++ b/crates/sparscale_belief/src/source.rs
@@ -1,4 +1,4 @@
-//! Where beliefs come from.
+//! The interface to the external sources that observations are read from.
 
 use std::sync::Arc;
 
@@ -6,36 +6,36 @@
 use snafu::Snafu;
 use sparscale_history::Place;
 
-/// Why a source gave no reading.
+/// Why a read of a source failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// It refused, or did not answer.
-    #[snafu(display("no answer: {message}"))]
+    /// The source rejected the read or did not answer.
+    #[snafu(display("source did not answer: {message}"))]
     Unavailable {
         /// What went wrong.
         message: String,
     },
-    /// It answered, and nothing usable is there.
-    #[snafu(display("nothing usable: {message}"))]
+    /// The source answered, but holds no usable value.
+    #[snafu(display("source holds no usable value: {message}"))]
     Unusable {
         /// What is wrong, and where.
         message: String,
     },
 }
 
-/// One reading.
+/// A value that was read, with its position.
 #[derive(Debug)]
 pub struct Reading<T> {
-    /// What is there.
+    /// The value at `position`.
     pub value: Arc<T>,
-    /// Where in its history it stands.
+    /// Position of the value in the history of the source.
     pub position: Place,
 }
 
-/// Gives something that changes outside: the operators' catalog, the roster of targets.
+/// An external value that changes, such as the operators' catalog or the roster of targets.
 #[async_trait]
 pub trait Source<T>: Send + 'static {
-    /// What is there now. Dropping the future must leave the source usable.
+    /// Reads the current value. Must be cancel-safe: dropping the future leaves the source usable.
     async fn read(&mut self) -> Result<Reading<T>, Error>;
 }
--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -1,4 +1,4 @@
-//! What targets ask of those that send to them, as this process knows it.
+//! Rate limits, backoffs and departures that targets announce, as this process knows them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,134 +10,136 @@
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
 
-/// What this process knows.
+/// The restrictions that targets have announced.
 #[derive(Debug)]
 pub struct Throttle {
-    register: Mutex<Register>,
-    /// Shows that something was learnt.
-    learnt: watch::Sender<()>,
+    tracker: Mutex<Register>,
+    /// Notifies subscribers of changes.
+    changed: watch::Sender<()>,
     clock: Arc<dyn Clock>,
 }
 
 impl Throttle {
     pub(crate) fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
-            register: Mutex::default(),
-            learnt: watch::Sender::new(()),
+            tracker: Mutex::default(),
+            changed: watch::Sender::new(()),
             clock,
         }
     }
 
-    /// Notes what the answer of a target asks: the requests a second that it takes from all entries, if it limits them, and
-    /// whether it leaves.
-    pub fn note(&self, seat: &Seat, rate: Option<Rate>, leaving: bool) {
+    /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it has
+    /// one, and whether it is leaving.
+    pub fn note(&self, instance: &Seat, rate: Option<Rate>, leaving: bool) {
         let notice = Notice {
-            start: seat.start,
+            start: instance.start,
             rate,
             leaving,
             as_of: self.clock.now(),
         };
-        let news = self.take_in(notice, "answer", Some(&seat.target.id));
-        // Only who has the word from the target itself confirms it: the others would tell each other for ever.
-        let confirms = self.register().confirm(seat.start);
-        self.tell(news || confirms);
+        let is_new = self.record(notice, "answer", Some(&instance.target.id));
+        // Only a process that received the notice from the target itself confirms it; otherwise peers would confirm each
+        // other's notices forever.
+        let confirms = self.tracker().confirm(instance.start);
+        self.notify_if(is_new || confirms);
     }
 
-    /// Notes that a target wants nothing from this process for `rest`.
-    pub fn rest(&self, seat: &Seat, rest: Duration) {
+    /// Records that a target asked this process to send nothing for `backoff`.
+    pub fn rest(&self, instance: &Seat, backoff: Duration) {
         let now = self.clock.now();
-        let Some(until) = self.register().rest(seat.start, rest, now) else {
+        let Some(until) = self.tracker().rest(instance.start, backoff, now) else {
             return;
         };
         log::info!(
             target: DECISION,
             decision = "rest",
-            at = seat.target.id.as_str(),
-            start = seat.start.to_string().as_str(),
-            asked_ms = rest.as_millis() as u64,
+            at = instance.target.id.as_str(),
+            start = instance.start.to_string().as_str(),
+            asked_ms = backoff.as_millis() as u64,
             rest_ms = until.since(now).as_millis() as u64;
-            "a target wants nothing from this process for a time"
+            "a target requested a backoff; sending it no requests until that ends"
         );
     }
 
-    /// Takes in what the peer `source` told.
-    pub fn offer(&self, notices: &[Notice], source: &str) {
-        let taken = notices.iter().map(|notice| self.take_in(*notice, source, None));
-        let news = taken.filter(|news| *news).count();
-        self.tell(news > 0);
+    /// Merges notices that the peer `source` sent.
+    pub fn merge_from_peer(&self, notices: &[Notice], source: &str) {
+        let results = notices.iter().map(|notice| self.record(*notice, source, None));
+        let new_notices = results.filter(|is_new| *is_new).count();
+        self.notify_if(new_notices > 0);
     }
 
     /// Divides the rates of targets among `members` from now on.
     pub fn set_members(&self, members: Members) {
         let now = self.clock.now();
-        self.register().set_members(members, now);
+        self.tracker().set_members(members, now);
     }
 
-    /// Whether no target asks anything.
+    /// Whether no target has announced a restriction.
     pub fn is_idle(&self) -> bool {
-        self.register().is_empty()
+        self.tracker().is_empty()
     }
 
     /// Whether this process may send to a target now.
-    pub fn is_open(&self, seat: &Seat) -> bool {
-        self.opening(seat) == Opening::Now
+    pub fn is_open(&self, instance: &Seat) -> bool {
+        self.opening(instance) == Opening::Now
     }
 
-    /// Whether this process may send to a target now; if so, a request counts as sent.
-    pub fn take(&self, seat: &Seat) -> bool {
+    /// Whether this process may send to a target now; if so, counts a request as sent.
+    pub fn take(&self, instance: &Seat) -> bool {
         let now = self.clock.now();
-        self.register().take(seat.start, now)
+        self.tracker().take(instance.start, now)
     }
 
-    /// When the target takes the next request.
-    pub fn opening(&self, seat: &Seat) -> Opening {
+    /// When the target accepts the next request.
+    pub fn opening(&self, instance: &Seat) -> Opening {
         let now = self.clock.now();
-        self.register().opening(seat.start, now)
+        self.tracker().opening(instance.start, now)
     }
 
-    /// Requests a second that the target takes from all entries, if it limits them.
-    pub fn rate(&self, seat: &Seat) -> Option<f64> {
-        self.register().rate(seat.start).map(Rate::per_second)
+    /// Limit of a target in requests per second from all entries together, if it has one.
+    pub fn rate(&self, instance: &Seat) -> Option<f64> {
+        self.tracker().rate(instance.start).map(Rate::per_second)
     }
 
-    /// What was learnt after position `since`, and the position now.
-    pub fn news(&self, since: u64) -> (Vec<Notice>, u64) {
-        self.register().news(since)
+    /// The notices that changed after version `since`, and the current version.
+    pub fn changes_since(&self, since: u64) -> (Vec<Notice>, u64) {
+        self.tracker().news(since)
     }
 
-    /// Wakes whenever something was learnt.
-    pub fn learnings(&self) -> watch::Receiver<()> {
-        self.learnt.subscribe()
+    /// Wakes whenever notices change.
+    pub fn subscribe(&self) -> watch::Receiver<()> {
+        self.changed.subscribe()
     }
 
-    /// Forgets what targets ask that are gone.
+    /// Drops the restrictions of targets that are not in `targets`.
     pub fn retain(&self, targets: &Directory) {
-        let mut register = self.register();
-        if register.is_empty() {
+        let mut tracker = self.tracker();
+        if tracker.is_empty() {
             return;
         }
-        let there: Vec<Start> = targets.seats().iter().map(|seat| seat.start).collect();
-        register.retain(|start| there.contains(&start));
+        let current: Vec<Start> = targets.seats().iter().map(|instance| instance.start).collect();
+        tracker.retain(|start| current.contains(&start));
     }
 
-    fn take_in(&self, notice: Notice, source: &str, target: Option<&str>) -> bool {
+    /// Records a notice and logs it if it is new; returns whether it is.
+    fn record(&self, notice: Notice, source: &str, target: Option<&str>) -> bool {
         let now = self.clock.now();
-        let news = self.register().note(notice, now);
-        if news {
+        let is_new = self.tracker().note(notice, now);
+        if is_new {
             log_notice(&notice, source, target, now);
         }
-        news
+        is_new
     }
 
-    fn tell(&self, news: bool) {
-        if news {
-            self.learnt.send_replace(());
+    fn notify_if(&self, has_changed: bool) {
+        if has_changed {
+            self.changed.send_replace(());
         }
     }
 
-    fn register(&self) -> MutexGuard<'_, Register> {
-        // A panic leaves whole entries: each is replaced in one step.
-        self.register.lock().unwrap_or_else(PoisonError::into_inner)
+    fn tracker(&self) -> MutexGuard<'_, Register> {
+        // A panic cannot leave a partial entry, because each is replaced in one step; so a poisoned lock is usable.
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -151,6 +153,6 @@
         leaving = notice.leaving,
         source,
         age_ms = now.since(notice.as_of).as_millis() as u64;
-        "a target limits its rate, ceases to, or leaves"
+        "a target set or lifted its rate limit, or is leaving"
     );
 }
--- a/crates/sparscale_belief/tests/confirmed_roster.rs
+++ b/crates/sparscale_belief/tests/confirmed_roster.rs
@@ -1,23 +1,23 @@
-//! A roster that is confirmed, as happens many times a second, costs nothing in its number of targets.
+//! Confirming an unchanged roster, which happens many times a second, does not cost time per target.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_belief::{Board, Change};
+use sparscale_belief::{Board, MergeOutcome};
 use sparscale_samples as samples;
 
-/// The directory is made anew each time that its roster is confirmed.
+/// Guards against a directory that is rebuilt each time that its roster is confirmed.
 #[test]
-fn rebuilt_when_confirmed() {
+fn directory_reused_when_confirmed() {
     let board = Board::default();
     let roster = Arc::new(samples::roster());
     let now = board.now();
-    board.offer_roster(Arc::clone(&roster), 1, now, "store");
+    board.merge_roster(Arc::clone(&roster), 1, now, "store");
     let first = board.targets().expect("a directory");
     let later = now + Duration::from_millis(100);
-    let change = board.offer_roster(roster, 2, later, "peer");
+    let outcome = board.merge_roster(roster, 2, later, "peer");
     let second = board.targets().expect("a directory");
-    assert_eq!(change, Change::Confirmed);
+    assert_eq!(outcome, MergeOutcome::Confirmed);
     assert_eq!((second.position, second.as_of), (2.into(), later));
-    assert!(Arc::ptr_eq(&first.value, &second.value), "made anew");
+    assert!(Arc::ptr_eq(&first.value, &second.value), "the directory was rebuilt");
 }
--- a/crates/sparscale_belief/tests/early_start.rs
+++ b/crates/sparscale_belief/tests/early_start.rs
@@ -1,7 +1,7 @@
-//! A process that starts while a restored store still holds an older configuration than its peers know.
+//! A process that starts while a restored store still holds an older configuration than its peers.
 //!
-//! The first reading of the copy was in force at once: for as long as peers needed to tell the newest one, keys that it
-//! takes away were served.
+//! If the first catalog from the older snapshot were active at once, revoked API keys would be accepted until peers have sent
+//! the newest one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,22 +14,23 @@
 use sparscale_telemetry::Registry;
 use tokio::time::{Instant, sleep};
 
-/// Version that the store holds.
-const COPIED: u64 = 4;
-/// Version that peers know.
+/// Version in the restored store.
+const RESTORED: u64 = 4;
+/// Version that peers have.
 const NEWEST: u64 = 5;
-/// Time in which a process serves without peers: with a second for its start, a third of what the return may take.
-const ALONE: Duration = Duration::from_secs(1);
+/// Time after which a process without peers must be serving; with one second for its start, a third of the time that recovery
+/// may take.
+const MAX_WAIT_WITHOUT_PEERS: Duration = Duration::from_secs(1);
 
-/// A store of one era.
+/// A store whose era is the field.
 struct Store(u64);
 
 #[async_trait]
 impl Source<Catalog> for Store {
     async fn read(&mut self) -> Result<Reading<Catalog>, Error> {
         Ok(Reading {
-            value: catalog(COPIED),
-            position: Place::new(self.0, COPIED),
+            value: catalog(RESTORED),
+            position: Place::new(self.0, RESTORED),
         })
     }
 }
@@ -38,50 +39,65 @@
     Arc::new(Catalog::try_from(samples::document(version)).expect("a valid configuration"))
 }
 
-/// A process that has just started beside a store of era `era`.
+/// The board of a process that has just started beside a store of era `era`.
 fn start(era: u64) -> Arc<Board> {
     let board = Arc::new(Board::default());
-    let pace = Pace::new(Duration::from_millis(500), Duration::from_millis(100), Duration::ZERO);
-    let figures = ReadFigures::new(&Arc::new(Registry::default()));
+    let schedule = Pace::new(Duration::from_millis(500), Duration::from_millis(100), Duration::ZERO);
+    let metrics = ReadFigures::new(&Arc::new(Registry::default()));
     tokio::spawn(read_catalog(
         Arc::clone(&board),
         Box::new(Store(era)),
-        Arc::new(pace),
-        figures,
+        Arc::new(schedule),
+        metrics,
     ));
     board
 }
 
 async fn first_version(board: &Board) -> u64 {
-    let mut catalogs = board.catalogs();
-    let first = catalogs.wait_for(Option::is_some).await.expect("the board lives");
+    let mut catalogs = board.subscribe_catalogs();
+    let first = catalogs
+        .wait_for(Option::is_some)
+        .await
+        .expect("the board is not dropped");
     first.as_ref().expect("a catalog").value.version()
 }
 
 #[tokio::test(start_paused = true)]
-async fn peers_first() {
+async fn peer_catalog_wins() {
     let board = start(1);
-    let told = Arc::clone(&board);
+    let peer_board = Arc::clone(&board);
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
-        told.offer_catalog(catalog(NEWEST), told.now(), "peer");
+        peer_board.merge_catalog(catalog(NEWEST), peer_board.now(), "peer");
     });
-    assert_eq!(first_version(&board).await, NEWEST, "the copy's is never in force");
-    sleep(ALONE).await;
+    assert_eq!(
+        first_version(&board).await,
+        NEWEST,
+        "the restored catalog must never be active"
+    );
+    sleep(MAX_WAIT_WITHOUT_PEERS).await;
     assert_eq!(board.catalog().expect("a catalog").value.version(), NEWEST);
 }
 
 #[tokio::test(start_paused = true)]
-async fn alone_soon() {
-    let began = Instant::now();
-    assert_eq!(first_version(&start(1)).await, COPIED);
-    assert!(began.elapsed() <= ALONE, "{:?}", began.elapsed());
+async fn starts_without_peers() {
+    let started_at = Instant::now();
+    assert_eq!(first_version(&start(1)).await, RESTORED);
+    assert!(
+        started_at.elapsed() <= MAX_WAIT_WITHOUT_PEERS,
+        "{:?}",
+        started_at.elapsed()
+    );
 }
 
-/// A store that never came back from a copy is believed at once.
+/// The catalog of a store that was never restored is used at once.
 #[tokio::test(start_paused = true)]
-async fn first_era_trusted() {
-    let began = Instant::now();
-    assert_eq!(first_version(&start(0)).await, COPIED);
-    assert!(began.elapsed() < Duration::from_millis(50), "{:?}", began.elapsed());
+async fn first_era_not_delayed() {
+    let started_at = Instant::now();
+    assert_eq!(first_version(&start(0)).await, RESTORED);
+    assert!(
+        started_at.elapsed() < Duration::from_millis(50),
+        "{:?}",
+        started_at.elapsed()
+    );
 }
--- a/crates/sparscale_belief/tests/store_outage.rs
+++ b/crates/sparscale_belief/tests/store_outage.rs
@@ -1,4 +1,4 @@
-//! Readers call a store that is away seldom, and soon enough once it is back.
+//! Readers send few calls to an unavailable store, and notice in time when it has recovered.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -10,15 +10,15 @@
 use sparscale_samples as samples;
 use tokio::time::Instant;
 
-const INTERVAL: Duration = Duration::from_millis(700);
+const READ_INTERVAL: Duration = Duration::from_millis(700);
 const OUTAGE: Duration = Duration::from_secs(8);
-/// Time in which a machine has to be up to date after trouble, less what it takes to tell others.
-const BACK: Duration = Duration::from_millis(2_500);
+/// Time in which a box has to be up to date after an outage, less the time to inform its peers.
+const RECOVERY_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// A store that refuses while it is away.
+/// A store that rejects reads while it is unavailable.
 #[derive(Clone, Default)]
 struct Store {
-    away: Arc<AtomicBool>,
+    unavailable: Arc<AtomicBool>,
     calls: Arc<AtomicU32>,
 }
 
@@ -26,8 +26,8 @@
 impl Source<Roster> for Store {
     async fn read(&mut self) -> Result<Reading<Roster>, Error> {
         let position = self.calls.fetch_add(1, Ordering::Relaxed);
-        if self.away.load(Ordering::Relaxed) {
-            let message = "away".to_owned();
+        if self.unavailable.load(Ordering::Relaxed) {
+            let message = "unavailable".to_owned();
             return Err(Error::Unavailable { message });
         }
         Ok(Reading {
@@ -37,36 +37,36 @@
     }
 }
 
-/// Calls during an outage, and the age of the belief some time after it.
-async fn outage(pace: Pace) -> (u32, Option<Duration>) {
+/// The number of calls during an outage, and the age of the roster after it if it was read since the outage.
+async fn run_outage(schedule: Pace) -> (u32, Option<Duration>) {
     let board = Arc::new(Board::default());
     let store = Store::default();
-    let figures = ReadFigures::new(&Arc::default());
+    let metrics = ReadFigures::new(&Arc::default());
     let source = Box::new(store.clone());
-    let reading = tokio::spawn(read_roster(Arc::clone(&board), source, Arc::new(pace), figures));
-    tokio::time::sleep(INTERVAL * 3).await;
-    store.away.store(true, Ordering::Relaxed);
-    let before = store.calls.load(Ordering::Relaxed);
+    let reader = tokio::spawn(read_roster(Arc::clone(&board), source, Arc::new(schedule), metrics));
+    tokio::time::sleep(READ_INTERVAL * 3).await;
+    store.unavailable.store(true, Ordering::Relaxed);
+    let calls_before = store.calls.load(Ordering::Relaxed);
     tokio::time::sleep(OUTAGE).await;
-    store.away.store(false, Ordering::Relaxed);
-    let calls = store.calls.load(Ordering::Relaxed) - before;
-    let back = Instant::now();
-    tokio::time::sleep(BACK).await;
-    reading.abort();
-    (calls, board.roster_age().filter(|age| *age < back.elapsed()))
+    store.unavailable.store(false, Ordering::Relaxed);
+    let calls = store.calls.load(Ordering::Relaxed) - calls_before;
+    let recovered_at = Instant::now();
+    tokio::time::sleep(RECOVERY_LIMIT).await;
+    reader.abort();
+    (calls, board.roster_age().filter(|age| *age < recovered_at.elapsed()))
 }
 
 #[tokio::test(start_paused = true)]
-async fn few_calls() {
-    let (calls, age) = outage(Pace::new(INTERVAL, Duration::ZERO, Duration::ZERO)).await;
+async fn few_calls_during_outage() {
+    let (calls, age) = run_outage(Pace::new(READ_INTERVAL, Duration::ZERO, Duration::ZERO)).await;
     assert!(calls <= 12, "{calls} calls");
-    assert!(age.is_some(), "nothing new {BACK:?} after the outage");
+    assert!(age.is_some(), "no read within {RECOVERY_LIMIT:?} after the outage");
 }
 
-/// Those that need it least call least.
+/// A process that needs the roster less urgently retries less often.
 #[tokio::test(start_paused = true)]
-async fn patient_reader() {
-    let pace = Pace::new(INTERVAL, Duration::ZERO, Duration::ZERO).with_max_retry(Duration::from_secs(6));
-    let (calls, _) = outage(pace).await;
+async fn fewer_calls_with_long_retry_delay() {
+    let schedule = Pace::new(READ_INTERVAL, Duration::ZERO, Duration::ZERO).with_max_retry(Duration::from_secs(6));
+    let (calls, _) = run_outage(schedule).await;
     assert!(calls <= 7, "{calls} calls");
 }
