--- a/crates/sparscale_mesh/src/lib.rs
+++ b/crates/sparscale_mesh/src/lib.rs
@@ -1,12 +1,12 @@
-//! How processes hear of the world outside from each other.
+//! Exchange of observations between processes.
 //!
-//! Entries keep a link to every other entry, agents to one entry. Over a link both sides tell what they believe and how
-//! old that is, often and whenever it changes. So few processes read the platform's store, and a process that the
-//! store turns away still hears of every change.
+//! Each entry keeps a link to every other entry, and each agent to one entry. Both sides of a link send what they have
+//! observed and its age, periodically and on every change. So few processes have to read the platform's store, and a process
+//! that the store rejects still receives every change.
 
 mod link;
+mod link_clock;
 mod mesh;
-mod stamps;
 
-pub use mesh::{FEW_ENTRIES, LOADS_PAUSE, Line, Mesh, Settings, Traffic};
-pub use stamps::Stamps;
+pub use link_clock::LinkClock;
+pub use mesh::{FEW_ENTRIES, LOAD_INTERVAL_STEP, Line, Mesh, Settings, Traffic};
--- a/crates/sparscale_mesh/src/link.rs
+++ b/crates/sparscale_mesh/src/link.rs
@@ -1,4 +1,4 @@
-//! One link: a stream over which two processes tell each other what they believe.
+//! One link: a stream over which two processes exchange their observations.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use sparscale_belief::Belief;
+use sparscale_belief::Observation;
 use sparscale_catalog::{Catalog, Document, Roster};
 use sparscale_clock::Moment;
 use sparscale_history::Place;
@@ -19,33 +19,33 @@
 };
 use tokio::time::Instant;
 
+use crate::link_clock::{LinkClock, millis};
 use crate::mesh::Mesh;
-use crate::stamps::{Stamps, millis};
 
-/// Time that one message may take to leave; a peer that does not read for so long is given up.
+/// Timeout of sending one message; a link whose peer does not read for so long is closed.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// A link on which nothing was heard for this many intervals is given up.
-const SILENT_INTERVALS: u32 = 8;
-/// Messages on a link after which the entries are told again without news of them: about five seconds' worth, which is
-/// well inside the time after which a silent entry is forgotten.
-const MESSAGES_WITHOUT_ENTRIES: u32 = 16;
+/// A link is closed after this many intervals without a message from the peer.
+const IDLE_TIMEOUT_INTERVALS: u32 = 8;
+/// Messages on a link after which the list of entries is sent again although it has not changed: about five seconds' worth,
+/// well below the time after which an unresponsive entry is removed.
+const MAX_MESSAGES_WITHOUT_ENTRIES: u32 = 16;
 
-/// Strikes in one message: well inside the longest frame.
+/// Most strikes in one message; keeps it well below the frame size limit.
 const MAX_STRIKES: usize = 1_000;
-/// Notices in one message.
+/// Most notices in one message.
 const MAX_NOTICES: usize = 1_000;
 
-/// Place of one message about a group's loads among all of them.
+/// Orders the load messages of a group: the later message has the larger value.
 type LoadOrder = (u64, u64);
 
-/// Values that one side asks the other for.
+/// The values that one side requests from the other.
 #[derive(Debug, Default)]
-struct Request {
+struct ValueRequest {
     catalog: bool,
     roster: bool,
 }
 
-impl Request {
+impl ValueRequest {
     fn is_any(&self) -> bool {
         self.catalog || self.roster
     }
@@ -54,28 +54,28 @@
 /// One side of a link.
 pub(crate) struct Link {
     mesh: Arc<Mesh>,
-    /// What the other side is.
+    /// Role of the peer.
     role: Role,
-    stamps: Stamps,
-    /// The other side, once it has named itself.
+    clock: LinkClock,
+    /// Address of the peer; `None` until its first exchange.
     peer: Option<SocketAddr>,
-    their_catalog: Place,
-    their_roster: Place,
-    /// What the other side asked for.
-    owes: Request,
-    /// What to ask the other side for.
-    wants: Request,
-    /// Digest of the roster that the other side was sent last.
-    sent_roster: Option<u64>,
-    /// Order of the loads of each group that the other side was told last.
-    sent_loads: BTreeMap<String, LoadOrder>,
-    /// Position up to which the other side was told what this process learnt of requests that crash targets.
-    sent_strikes: u64,
-    /// The same of what targets ask.
-    sent_notices: u64,
+    peer_catalog_position: Place,
+    peer_roster_position: Place,
+    /// What the peer has requested and not been sent yet.
+    peer_request: ValueRequest,
+    /// What to request from the peer in the next exchange.
+    own_request: ValueRequest,
+    /// Digest of the last roster that was sent to the peer.
+    sent_roster_digest: Option<u64>,
+    /// Order of the last load of each group that was sent to the peer.
+    sent_load_orders: BTreeMap<String, LoadOrder>,
+    /// Version of the strikes up to which changes were sent to the peer.
+    sent_strikes_version: u64,
+    /// Version of the notices up to which changes were sent to the peer.
+    sent_notices_version: u64,
     sent_entries: Vec<SocketAddr>,
-    /// Messages since the entries were told.
-    since_entries: u32,
+    /// Messages since the list of entries was sent.
+    messages_without_entries: u32,
     pending_catalog: Option<Arc<Catalog>>,
     pending_roster: Option<Arc<Roster>>,
 }
@@ -83,356 +83,360 @@
 impl Link {
     pub(crate) fn new(mesh: Arc<Mesh>, role: Role) -> Self {
         Self {
-            stamps: Stamps::new(mesh.started),
+            clock: LinkClock::new(mesh.started_at),
             mesh,
             role,
             peer: None,
-            their_catalog: Place::default(),
-            their_roster: Place::default(),
-            owes: Request::default(),
-            wants: Request::default(),
-            sent_roster: None,
-            sent_loads: BTreeMap::new(),
-            sent_strikes: 0,
-            sent_notices: 0,
+            peer_catalog_position: Place::default(),
+            peer_roster_position: Place::default(),
+            peer_request: ValueRequest::default(),
+            own_request: ValueRequest::default(),
+            sent_roster_digest: None,
+            sent_load_orders: BTreeMap::new(),
+            sent_strikes_version: 0,
+            sent_notices_version: 0,
             sent_entries: Vec::new(),
-            since_entries: 0,
+            messages_without_entries: 0,
             pending_catalog: None,
             pending_roster: None,
         }
     }
 
-    /// Talks until either side is gone.
+    /// Exchanges messages until either side closes the link.
     pub(crate) async fn run(mut self, channel: Channel) {
         let Channel {
             mut sender,
             mut receiver,
         } = channel;
-        self.talk(&mut sender, &mut receiver).await;
+        self.exchange_messages(&mut sender, &mut receiver).await;
         if let Some(peer) = self.peer.filter(|_| self.role == Role::Entry) {
-            self.mesh.count_link(peer, -1);
-            log::info!(target: DECISION, decision = "peer_lost", peer = peer.to_string().as_str(); "link ended");
+            self.mesh.change_link_count(peer, -1);
+            log::info!(target: DECISION, decision = "peer_lost", peer = peer.to_string().as_str(); "a link to another entry ended");
         }
     }
 
-    async fn talk(&mut self, sender: &mut Sender, receiver: &mut Receiver) {
+    async fn exchange_messages(&mut self, sender: &mut Sender, receiver: &mut Receiver) {
         let mesh = Arc::clone(&self.mesh);
-        let mut catalogs = mesh.board.catalogs();
+        let mut catalogs = mesh.board.subscribe_catalogs();
         let mut rosters = mesh.board.target_lists();
         let mut groups = mesh.groups.subscribe();
-        let mut strikes = mesh.board.quarantine.learnings();
+        let mut strikes = mesh.board.quarantine.subscribe();
         strikes.mark_changed();
-        let mut notices = mesh.board.throttle.learnings();
-        // What was told before the link stood is told on it, too.
+        let mut notices = mesh.board.throttle.subscribe();
+        // Loads that were received before the link was established are sent on it, too.
         groups.mark_changed();
         let interval = mesh.settings.interval;
-        let mut next = Instant::now();
-        let mut heard = Instant::now();
-        let mut loads_due = heard;
+        let mut next_exchange_at = Instant::now();
+        let mut last_received_at = Instant::now();
+        let mut next_loads_at = last_received_at;
         loop {
-            let silent = heard + interval * SILENT_INTERVALS;
-            let pausing = Instant::now() < loads_due;
-            let sent = tokio::select! {
-                () = tokio::time::sleep_until(next) => {
-                    next = Instant::now() + interval;
-                    self.tell(sender).await
+            let idle_deadline = last_received_at + interval * IDLE_TIMEOUT_INTERVALS;
+            let loads_delayed = Instant::now() < next_loads_at;
+            let result = tokio::select! {
+                () = tokio::time::sleep_until(next_exchange_at) => {
+                    next_exchange_at = Instant::now() + interval;
+                    self.send_exchange(sender).await
                 }
-                Ok(()) = catalogs.changed() => self.tell(sender).await,
-                Ok(()) = rosters.changed() => self.tell(sender).await,
-                Ok(()) = strikes.changed() => self.tell_strikes(sender).await,
-                Ok(()) = notices.changed() => self.tell_notices(sender).await,
-                Ok(()) = groups.changed(), if !pausing => {
-                    loads_due = Instant::now() + mesh.loads_pause();
-                    self.tell_groups(sender).await
+                Ok(()) = catalogs.changed() => self.send_exchange(sender).await,
+                Ok(()) = rosters.changed() => self.send_exchange(sender).await,
+                Ok(()) = strikes.changed() => self.send_strikes(sender).await,
+                Ok(()) = notices.changed() => self.send_notices(sender).await,
+                Ok(()) = groups.changed(), if !loads_delayed => {
+                    next_loads_at = Instant::now() + mesh.load_interval();
+                    self.send_loads(sender).await
                 }
-                () = tokio::time::sleep_until(loads_due), if pausing => Some(()),
+                () = tokio::time::sleep_until(next_loads_at), if loads_delayed => Some(()),
                 frame = receiver.receive() => match frame {
                     Ok(frame) => {
-                        heard = Instant::now();
-                        let first = self.peer.is_none();
-                        self.take_in(frame);
-                        // The first answer goes at once, so that ages can be told after one round trip.
-                        let first = first && self.peer.is_some();
-                        if first || self.has_request() {
-                            self.tell(sender).await
+                        last_received_at = Instant::now();
+                        let peer_unknown = self.peer.is_none();
+                        self.handle_frame(frame);
+                        // The first exchange is answered at once, so that ages can be computed after one round trip.
+                        let is_first_exchange = peer_unknown && self.peer.is_some();
+                        if is_first_exchange || self.has_request() {
+                            self.send_exchange(sender).await
                         } else {
                             Some(())
                         }
                     }
                     Err(_) => None,
                 },
-                () = tokio::time::sleep_until(silent) => None,
+                () = tokio::time::sleep_until(idle_deadline) => None,
             };
-            if sent.is_none() {
+            if result.is_none() {
                 return;
             }
         }
     }
 
-    /// Whether either side waits for something that only the other one has.
+    /// Whether either side has an open request for a value of the other.
     fn has_request(&self) -> bool {
-        self.owes.is_any() || self.wants.is_any()
+        self.peer_request.is_any() || self.own_request.is_any()
     }
 
-    /// Sends what this process believes; none if the other side is gone.
-    async fn tell(&mut self, sender: &mut Sender) -> Option<()> {
+    /// Sends the positions and ages of this process's observations; `None` if the link failed.
+    async fn send_exchange(&mut self, sender: &mut Sender) -> Option<()> {
         let now = self.mesh.board.now();
-        // An agent's catalog has no routes: it is for the agent alone.
-        let tells = self.mesh.settings.role == Role::Entry;
-        let catalog = self.mesh.board.catalog().filter(|_| tells);
-        let roster = self.mesh.board.told_roster().filter(|_| tells);
-        let strikes_age = self.mesh.board.quarantine.age().filter(|_| tells);
-        self.tell_strikes(sender).await?;
-        self.tell_notices(sender).await?;
+        // An agent sends no observations, because its catalog has no routes.
+        let is_entry = self.mesh.settings.role == Role::Entry;
+        let catalog = self.mesh.board.catalog().filter(|_| is_entry);
+        let roster = self.mesh.board.store_roster().filter(|_| is_entry);
+        let strikes_age = self.mesh.board.quarantine.age().filter(|_| is_entry);
+        self.send_strikes(sender).await?;
+        self.send_notices(sender).await?;
         if self.peer.is_some() {
             self.send_catalog(sender, catalog.as_ref()).await?;
             self.send_roster(sender, roster.as_ref()).await?;
         }
         let exchange = Exchange {
             sender: self.mesh.settings.address,
-            stamp_ms: self.stamps.stamp(now),
-            echo: self.stamps.echo(now),
-            catalog: catalog.as_ref().map(|belief| known(belief, now)),
-            wants_catalog: std::mem::take(&mut self.wants.catalog),
-            roster: roster.as_ref().map(|belief| KnownRoster {
-                known: known(belief, now),
-                digest: belief.value.digest(),
+            stamp_ms: self.clock.stamp(now),
+            echo: self.clock.echo(now),
+            catalog: catalog.as_ref().map(|catalog| known(catalog, now)),
+            wants_catalog: std::mem::take(&mut self.own_request.catalog),
+            roster: roster.as_ref().map(|roster| KnownRoster {
+                known: known(roster, now),
+                digest: roster.value.digest(),
             }),
-            wants_roster: std::mem::take(&mut self.wants.roster),
-            // Rounded up: an age must not look smaller than it is.
+            wants_roster: std::mem::take(&mut self.own_request.roster),
+            // Rounded up, because an age must not look smaller than it is.
             strikes_age_ms: strikes_age.map(|age| millis(age) + 1),
-            entries: self.news_of_entries(),
+            entries: self.entries_to_send(),
         };
         send(sender, &Frame::Exchange(exchange)).await
     }
 
-    /// All that was learnt of requests that crash targets since the last time, from whomever: an entry that the other side
-    /// does not reach tells it through this one.
-    async fn tell_strikes(&mut self, sender: &mut Sender) -> Option<()> {
+    /// Sends all strikes that changed since the last time, whatever their source: an entry that has no link to the peer
+    /// reaches it through this one.
+    async fn send_strikes(&mut self, sender: &mut Sender) -> Option<()> {
         if self.role != Role::Entry || self.mesh.settings.role != Role::Entry {
             return Some(());
         }
-        let (news, position) = self.mesh.board.quarantine.news(self.sent_strikes);
-        self.sent_strikes = position;
-        for part in news.chunks(MAX_STRIKES) {
-            send(sender, &Frame::Strikes(part.to_vec())).await?;
+        let (changes, version) = self.mesh.board.quarantine.changes_since(self.sent_strikes_version);
+        self.sent_strikes_version = version;
+        for chunk in changes.chunks(MAX_STRIKES) {
+            send(sender, &Frame::Strikes(chunk.to_vec())).await?;
         }
         Some(())
     }
 
-    /// What targets ask, as far as it was learnt since the last time, from whomever. It waits for the other side's first stamp,
-    /// without which nobody could tell how old it is.
-    async fn tell_notices(&mut self, sender: &mut Sender) -> Option<()> {
+    /// Sends all notices of targets that changed since the last time, whatever their source. Waits for the peer's first stamp,
+    /// without which the peer could not compute the age of a notice.
+    async fn send_notices(&mut self, sender: &mut Sender) -> Option<()> {
         if self.role != Role::Entry || self.mesh.settings.role != Role::Entry {
             return Some(());
         }
         let now = self.mesh.board.now();
-        let Some(echo) = self.stamps.echo(now) else {
+        let Some(echo) = self.clock.echo(now) else {
             return Some(());
         };
-        let (news, position) = self.mesh.board.throttle.news(self.sent_notices);
-        self.sent_notices = position;
-        let notice = |notice: &throttle::Notice| Notice {
+        let (changes, version) = self.mesh.board.throttle.changes_since(self.sent_notices_version);
+        self.sent_notices_version = version;
+        let encode = |notice: &throttle::Notice| Notice {
             start: notice.start,
             per_second: notice.rate.map(Rate::per_second),
             leaving: notice.leaving,
             age_ms: millis(now.since(notice.as_of)),
         };
-        for part in news.chunks(MAX_NOTICES) {
-            let notices = part.iter().map(notice).collect();
+        for chunk in changes.chunks(MAX_NOTICES) {
+            let notices = chunk.iter().map(encode).collect();
             send(sender, &Frame::Notices(Notices { echo, notices })).await?;
         }
         Some(())
     }
 
-    /// Live entries if there is news of them, or nobody was told for a while: the other side forgets whom it does not
-    /// reach, and learns of them again only here. Else nothing.
-    fn news_of_entries(&mut self) -> Vec<SocketAddr> {
+    /// The live entries if they changed or were not sent for a while, else nothing. They are repeated because the peer removes
+    /// entries that it cannot reach, and learns of them again only from these lists.
+    fn entries_to_send(&mut self) -> Vec<SocketAddr> {
         let entries = self.mesh.live_entries();
-        self.since_entries += 1;
-        if entries == self.sent_entries && self.since_entries < MESSAGES_WITHOUT_ENTRIES {
+        self.messages_without_entries += 1;
+        if entries == self.sent_entries && self.messages_without_entries < MAX_MESSAGES_WITHOUT_ENTRIES {
             return Vec::new();
         }
-        self.since_entries = 0;
+        self.messages_without_entries = 0;
         self.sent_entries.clone_from(&entries);
         entries
     }
 
-    /// The value goes only to a peer that has an older one, and once; to an entry only if it asks for it. All entries
-    /// hear of a new catalog from all others, and a catalog with many routes is long: if each sent it to each, their
-    /// links would be full of it, and answers late.
-    async fn send_catalog(&mut self, sender: &mut Sender, catalog: Option<&Belief<Catalog>>) -> Option<()> {
-        if self.role == Role::Entry && !std::mem::take(&mut self.owes.catalog) {
+    /// Sends the catalog once to a peer that has an older one, and to an entry only on request. Every entry learns of a new
+    /// catalog from all others, and a catalog with many routes is long: if each entry sent it to each other one unasked, the
+    /// links would be saturated and answers delayed.
+    async fn send_catalog(&mut self, sender: &mut Sender, catalog: Option<&Observation<Catalog>>) -> Option<()> {
+        if self.role == Role::Entry && !std::mem::take(&mut self.peer_request.catalog) {
             return Some(());
         }
-        let Some(belief) = catalog.filter(|belief| belief.position > self.their_catalog) else {
+        let Some(catalog) = catalog.filter(|catalog| catalog.position > self.peer_catalog_position) else {
             return Some(());
         };
-        self.their_catalog = belief.position;
-        let document = for_role(belief.value.document(), self.role);
+        self.peer_catalog_position = catalog.position;
+        let document = document_for_role(catalog.value.document(), self.role);
         send(sender, &Frame::Catalog(Box::new(document))).await
     }
 
-    /// To an agent without being asked, once; to an entry only if it asks.
-    async fn send_roster(&mut self, sender: &mut Sender, roster: Option<&Belief<Roster>>) -> Option<()> {
-        let Some(belief) = roster else { return Some(()) };
-        let due = match self.role {
-            Role::Entry => std::mem::take(&mut self.owes.roster),
-            Role::Agent => self.is_new_to_agent(belief),
+    /// Sends the roster: to an agent once without a request, to an entry only on request.
+    async fn send_roster(&mut self, sender: &mut Sender, roster: Option<&Observation<Roster>>) -> Option<()> {
+        let Some(roster) = roster else { return Some(()) };
+        let is_due = match self.role {
+            Role::Entry => std::mem::take(&mut self.peer_request.roster),
+            Role::Agent => self.is_new_to_agent(roster),
         };
-        if !due {
+        if !is_due {
             return Some(());
         }
-        self.sent_roster = Some(belief.value.digest());
-        send(sender, &Frame::Roster(belief.value.as_ref().clone())).await
+        self.sent_roster_digest = Some(roster.value.digest());
+        send(sender, &Frame::Roster(roster.value.as_ref().clone())).await
     }
 
-    fn is_new_to_agent(&mut self, belief: &Belief<Roster>) -> bool {
-        let later = belief.position > self.their_roster;
-        self.their_roster = self.their_roster.max(belief.position);
-        later && self.sent_roster != Some(belief.value.digest())
+    fn is_new_to_agent(&mut self, roster: &Observation<Roster>) -> bool {
+        let is_later = roster.position > self.peer_roster_position;
+        self.peer_roster_position = self.peer_roster_position.max(roster.position);
+        is_later && self.sent_roster_digest != Some(roster.value.digest())
     }
 
-    /// Loads go from a conductor's agent to its entry, and from that entry to the others, each once.
-    async fn tell_groups(&mut self, sender: &mut Sender) -> Option<()> {
+    /// Sends loads that this process received directly: they go from the agent of a group leader to its entry, and from that
+    /// entry to the others, each once.
+    async fn send_loads(&mut self, sender: &mut Sender) -> Option<()> {
         if self.role != Role::Entry {
             return Some(());
         }
-        let direct: Vec<_> = {
+        let new_loads: Vec<_> = {
             let groups = self.mesh.groups.borrow();
-            let direct = groups.values().filter(|told| told.direct);
-            let new = direct.filter(|told| self.sent_loads.get(&told.load.group) < Some(&told.load.order));
-            new.map(|told| Arc::clone(&told.load)).collect()
+            let direct = groups.values().filter(|report| report.direct);
+            let unsent =
+                direct.filter(|report| self.sent_load_orders.get(&report.load.group) < Some(&report.load.order));
+            unsent.map(|report| Arc::clone(&report.load)).collect()
         };
-        for load in direct {
-            self.sent_loads.insert(load.group.clone(), load.order);
+        for load in new_loads {
+            self.sent_load_orders.insert(load.group.clone(), load.order);
             send(sender, &Frame::Group(load.as_ref().clone())).await?;
         }
         Some(())
     }
 
-    fn take_in(&mut self, frame: Frame) {
+    fn handle_frame(&mut self, frame: Frame) {
         match frame {
-            Frame::Exchange(exchange) => self.exchange(&exchange),
-            Frame::Catalog(document) => self.take_catalog(*document),
+            Frame::Exchange(exchange) => self.handle_exchange(&exchange),
+            Frame::Catalog(document) => self.handle_catalog(*document),
             Frame::Roster(roster) => {
-                self.mesh.heard.rosters.fetch_add(1, Ordering::Relaxed);
+                self.mesh.received.rosters.fetch_add(1, Ordering::Relaxed);
                 self.pending_roster = Some(Arc::new(roster));
             }
-            Frame::Strikes(strikes) => self.take_strikes(&strikes),
-            Frame::Notices(notices) => self.take_notices(&notices),
-            Frame::Group(load) => self.take_group(load),
-            _ => log::warn!("a frame that has no place on a link was left out"),
+            Frame::Strikes(strikes) => self.handle_strikes(&strikes),
+            Frame::Notices(notices) => self.handle_notices(&notices),
+            Frame::Group(load) => self.handle_load(load),
+            _ => log::warn!("ignored a frame of a kind that is not valid on a link between processes"),
         }
     }
 
-    fn take_strikes(&self, strikes: &[Strike]) {
+    fn handle_strikes(&self, strikes: &[Strike]) {
         let source = self.peer.map(|peer| peer.to_string()).unwrap_or_default();
-        self.mesh.board.quarantine.offer(strikes, &source);
+        self.mesh.board.quarantine.merge_from_peer(strikes, &source);
     }
 
-    fn take_notices(&self, told: &Notices) {
+    fn handle_notices(&self, received: &Notices) {
         let source = self.peer.map(|peer| peer.to_string()).unwrap_or_default();
-        let read = |notice: &Notice| {
-            // A rate that is none cannot come from a sound peer; it says nothing.
+        let decode = |notice: &Notice| {
+            // A correct peer never sends an invalid rate, so such a notice is ignored.
             let rate = notice.per_second.map(Rate::try_from).transpose().ok()?;
             Some(throttle::Notice {
                 start: notice.start,
                 rate,
                 leaving: notice.leaving,
-                as_of: self.stamps.as_of(told.echo, notice.age_ms)?,
+                as_of: self.clock.as_of(received.echo, notice.age_ms)?,
             })
         };
-        let notices: Vec<throttle::Notice> = told.notices.iter().filter_map(read).collect();
-        self.mesh.board.throttle.offer(&notices, &source);
+        let notices: Vec<throttle::Notice> = received.notices.iter().filter_map(decode).collect();
+        self.mesh.board.throttle.merge_from_peer(&notices, &source);
     }
 
-    fn take_group(&mut self, load: GroupLoad) {
-        self.mesh.heard.loads.fetch_add(1, Ordering::Relaxed);
+    fn handle_load(&mut self, load: GroupLoad) {
+        self.mesh.received.loads.fetch_add(1, Ordering::Relaxed);
         self.mesh.offer_group(load, self.role == Role::Agent);
     }
 
-    fn take_catalog(&mut self, document: Document) {
-        self.mesh.heard.catalogs.fetch_add(1, Ordering::Relaxed);
+    fn handle_catalog(&mut self, document: Document) {
+        self.mesh.received.catalogs.fetch_add(1, Ordering::Relaxed);
         match Catalog::try_from(document) {
             Ok(catalog) => self.pending_catalog = Some(Arc::new(catalog)),
             Err(error) => {
-                log::error!(error = error.to_string().as_str(); "a peer's catalog cannot be used");
+                log::error!(error = error.to_string().as_str(); "ignored an invalid catalog from a peer");
             }
         }
     }
 
-    fn exchange(&mut self, exchange: &Exchange) {
+    fn handle_exchange(&mut self, exchange: &Exchange) {
         let now = self.mesh.board.now();
-        self.stamps.heard(exchange.stamp_ms, now);
+        self.clock.record_received(exchange.stamp_ms, now);
         if self.role == Role::Entry {
-            self.mesh.heard(exchange.sender);
+            self.mesh.record_seen(exchange.sender);
             if self.peer.is_none() {
-                self.mesh.count_link(exchange.sender, 1);
+                self.mesh.change_link_count(exchange.sender, 1);
             }
             let addresses = exchange.entries.len() as u64;
-            self.mesh.heard.addresses.fetch_add(addresses, Ordering::Relaxed);
-            self.mesh.learn(&exchange.entries);
+            self.mesh.received.addresses.fetch_add(addresses, Ordering::Relaxed);
+            self.mesh.add_entries(&exchange.entries);
         }
         self.peer = Some(exchange.sender);
-        self.owes.catalog |= exchange.wants_catalog;
+        self.peer_request.catalog |= exchange.wants_catalog;
         if let Some(catalog) = exchange.catalog {
-            self.their_catalog = self.their_catalog.max(catalog.position);
-            self.wants.catalog |= self.mesh.may_ask_catalog(catalog.position);
+            self.peer_catalog_position = self.peer_catalog_position.max(catalog.position);
+            self.own_request.catalog |= self.mesh.try_request_catalog(catalog.position);
         }
-        self.owes.roster |= exchange.wants_roster;
+        self.peer_request.roster |= exchange.wants_roster;
         if let Some(roster) = exchange.roster {
-            self.their_roster = self.their_roster.max(roster.known.position);
+            self.peer_roster_position = self.peer_roster_position.max(roster.known.position);
         }
         let Some(echo) = exchange.echo else { return };
         let source = exchange.sender.to_string();
         if let Some(known) = exchange.catalog
-            && let Some(as_of) = self.stamps.as_of(echo, known.age_ms)
+            && let Some(as_of) = self.clock.as_of(echo, known.age_ms)
         {
-            self.offer_catalog(known, as_of, &source);
+            self.merge_catalog(known, as_of, &source);
         }
         if let Some(age_ms) = exchange.strikes_age_ms
-            && let Some(as_of) = self.stamps.as_of(echo, age_ms)
+            && let Some(as_of) = self.clock.as_of(echo, age_ms)
         {
             self.mesh.board.quarantine.confirm(as_of);
         }
         if let Some(known) = exchange.roster
-            && let Some(as_of) = self.stamps.as_of(echo, known.known.age_ms)
+            && let Some(as_of) = self.clock.as_of(echo, known.known.age_ms)
         {
-            self.offer_roster(known, as_of, &source);
+            self.merge_roster(known, as_of, &source);
         }
     }
 
-    fn offer_catalog(&mut self, known: Known, as_of: Moment, source: &str) {
+    /// Merges the pending catalog if the peer's observation is of that version; else only confirms the known catalog.
+    fn merge_catalog(&mut self, known: Known, as_of: Moment, source: &str) {
         let pending = self.pending_catalog.as_ref();
         match pending.filter(|catalog| Place::from(catalog.version()) == known.position) {
-            Some(catalog) => self.mesh.board.offer_catalog(Arc::clone(catalog), as_of, source),
+            Some(catalog) => self.mesh.board.merge_catalog(Arc::clone(catalog), as_of, source),
             None => self.mesh.board.confirm_catalog(known.position.offset, as_of),
         };
     }
 
-    /// A roster with a later position is often the same; another one is asked for.
-    fn offer_roster(&mut self, told: KnownRoster, as_of: Moment, source: &str) {
-        let KnownRoster { known, digest } = told;
-        let own = self.mesh.board.told_roster().map(|belief| belief.value);
-        let mut values = [self.pending_roster.clone(), own].into_iter().flatten();
-        match values.find(|value| value.digest() == digest) {
-            Some(value) => drop(self.mesh.board.offer_roster(value, known.position, as_of, source)),
-            None => self.wants.roster |= self.mesh.may_ask_roster(known.position),
+    /// Merges the peer's observation of the roster if this process has a roster with the same digest, which is usual also at a
+    /// later position; else requests the roster.
+    fn merge_roster(&mut self, observed: KnownRoster, as_of: Moment, source: &str) {
+        let KnownRoster { known, digest } = observed;
+        let own = self.mesh.board.store_roster().map(|roster| roster.value);
+        let mut rosters = [self.pending_roster.clone(), own].into_iter().flatten();
+        match rosters.find(|roster| roster.digest() == digest) {
+            Some(roster) => drop(self.mesh.board.merge_roster(roster, known.position, as_of, source)),
+            None => self.own_request.roster |= self.mesh.try_request_roster(known.position),
         }
     }
 }
 
-fn known<T: PartialEq>(belief: &Belief<T>, now: Moment) -> Known {
+fn known<T: PartialEq>(observed: &Observation<T>, now: Moment) -> Known {
     Known {
-        position: belief.position,
-        // Rounded up: an age must not look smaller than it is.
-        age_ms: millis(belief.age(now)) + 1,
+        position: observed.position,
+        // Rounded up, because an age must not look smaller than it is.
+        age_ms: millis(observed.age(now)) + 1,
     }
 }
 
-/// Agents need no keys, and of the routes only what streams are held to.
-fn for_role(document: &Document, role: Role) -> Document {
+/// The part of the catalog that a peer needs: an agent needs no API keys, and only the routes that limit streams.
+fn document_for_role(document: &Document, role: Role) -> Document {
     match role {
         Role::Entry => document.clone(),
         Role::Agent => Document {
@@ -451,6 +455,6 @@
 }
 
 async fn send(sender: &mut Sender, frame: &Frame) -> Option<()> {
-    let sent = tokio::time::timeout(SEND_TIMEOUT, sender.send(frame)).await;
-    sent.ok()?.ok()
+    let result = tokio::time::timeout(SEND_TIMEOUT, sender.send(frame)).await;
+    result.ok()?.ok()
 }
--- a/crates/sparscale_mesh/src/mesh.rs
+++ b/crates/sparscale_mesh/src/mesh.rs
@@ -1,4 +1,7 @@
-//! Which links there are, and who is known.
+//! The links of a process, and the other entries that it knows.
+//!
+//! Entries keep links to all other entries, dial missing ones again with an exponential delay, and remove those that stay
+//! unresponsive. The number of known and linked entries decides which share of common limits this process may use.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,185 +20,187 @@
 
 use crate::link::Link;
 
-/// Pause between two looks at which links are missing.
-const DIAL_PAUSE: Duration = Duration::from_millis(200);
-/// First pause before an entry that was not reached is dialled again, doubled up to [`MAX_REDIAL`].
-const FIRST_REDIAL: Duration = Duration::from_millis(200);
-const MAX_REDIAL: Duration = Duration::from_secs(3);
-/// Time for which the entry with the larger address leaves the dialling to the other one.
-const POLITENESS: Duration = Duration::from_millis(600);
-/// Time that opening a link may take.
+/// Interval at which missing links are dialled and unresponsive entries removed.
+const DIAL_INTERVAL: Duration = Duration::from_millis(200);
+/// First delay before an unreachable entry is dialled again, doubled up to [`MAX_REDIAL_DELAY`].
+const MIN_REDIAL_DELAY: Duration = Duration::from_millis(200);
+const MAX_REDIAL_DELAY: Duration = Duration::from_secs(3);
+/// Time for which, of two entries, the one with the larger address waits for the other to dial.
+const DIAL_DEFERRAL: Duration = Duration::from_millis(600);
+/// Timeout of opening a link.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after which another entry is asked for a catalog or roster that did not come.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
-/// An entry that was not heard for this long is forgotten, unless the settings name it. Links between regions are gone for
-/// minutes, and an entry that is only cut off still spends its share of what all have in common.
-const FORGET: Duration = Duration::from_mins(10);
-/// An entry that was heard this long ago may still have requests in the groups whose room all share.
-const LATELY: Duration = Duration::from_secs(12);
-
-/// Who this process is, and whom it asks first.
+/// Time after which a catalog or roster that did not arrive is requested from another entry.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// An entry from which nothing was received for this long is removed, unless the settings name it. Links between regions can
+/// fail for minutes, and an entry that is only partitioned still uses its share of the common limits.
+const ENTRY_RETENTION: Duration = Duration::from_mins(10);
+/// An entry from which something was received within this time may still have requests in the groups whose headroom all
+/// entries share.
+const RECENTLY_SEEN: Duration = Duration::from_secs(12);
+
+/// The address and role of this process, and how it exchanges observations.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where this process takes connections from other processes.
+    /// Address at which this process accepts connections from other processes.
     pub address: SocketAddr,
-    /// What it is.
+    /// Role of this process.
     pub role: Role,
-    /// Entries that the settings name; they may be gone.
+    /// Entries that the settings name; they may have been removed.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two messages on a link without news.
+    /// Time between two exchanges on a link without changes.
     pub interval: Duration,
-    /// Entries up to which each passes loads on to all others as soon as it has them. Beyond, they wait for
-    /// [`LOADS_PAUSE`] on each link for each so many entries: all links together carry about as much as they would among
-    /// twice so many.
+    /// Number of entries up to which each forwards loads to all others at once. Among more entries, each link waits
+    /// [`LOAD_INTERVAL_STEP`] between two load messages for each further such number; all links together then carry about as
+    /// much as they would among twice this number without the wait.
     pub few_entries: usize,
 }
 
-/// Usual [`Settings::few_entries`]: the deployments that were measured have 15 at most.
+/// Default of [`Settings::few_entries`]; known deployments have at most 15 entries.
 pub const FEW_ENTRIES: usize = 16;
-/// Pause between two messages about loads on a link, for each `few_entries` beyond the first.
-pub const LOADS_PAUSE: Duration = Duration::from_millis(100);
-/// Longest such pause: what is known of a group's loads is used for about a second.
-const MAX_LOADS_PAUSE: Duration = Duration::from_millis(500);
+/// The time between two load messages on a link grows by this for each [`Settings::few_entries`] entries beyond the first.
+pub const LOAD_INTERVAL_STEP: Duration = Duration::from_millis(100);
+/// Longest time between two load messages on a link; the loads of a group are used for about a second.
+const MAX_LOAD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Place of this entry among those that are live.
+/// Index of this entry among the live ones, and their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Line {
-    /// Place, 0 for the first.
+    /// Number of linked entries with a smaller address: 0 for the first entry.
     pub place: usize,
-    /// Entries that are live or were lately, this one included.
+    /// Number of entries that are live or were recently, including this one.
     pub entries: usize,
-    /// Entries that may spend from what all share: all that are known, this one included. None unless most of them are
-    /// linked to this one: the others may be a majority that knows nothing of it.
+    /// Number of entries among which common limits are divided: all known ones, including this one. `None` unless this
+    /// entry and those linked to it are a majority of them, because the others may be a majority that does not know of it.
     pub sharers: Option<usize>,
 }
 
-/// Another entry.
+/// What is known of another entry.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    links: usize,
-    heard: Option<Moment>,
-    dial_at: Instant,
-    failures: u32,
-    met: Moment,
+struct EntryState {
+    link_count: usize,
+    last_seen: Option<Moment>,
+    next_dial_at: Instant,
+    dial_failures: u32,
+    discovered_at: Moment,
 }
 
-/// Position that an entry was asked for last, and when.
+/// The position that was requested last from any entry, and the time of the request.
 #[derive(Debug, Default)]
-struct Asked(Mutex<Option<(Place, Instant)>>);
+struct LatestRequest(Mutex<Option<(Place, Instant)>>);
 
-impl Asked {
-    /// Notes a question, unless an entry was asked for this position or a later one a moment ago.
-    fn ask(&self, position: Place) -> bool {
+impl LatestRequest {
+    /// Records a request for `position` and returns true, unless this position or a later one was requested within
+    /// [`REQUEST_TIMEOUT`].
+    fn try_record(&self, position: Place) -> bool {
         let now = Instant::now();
-        let mut asked = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if asked.is_some_and(|(of, at)| of >= position && now < at + ASK_TIMEOUT) {
+        let mut latest = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if latest.is_some_and(|(requested, at)| requested >= position && now < at + REQUEST_TIMEOUT) {
             return false;
         }
-        *asked = Some((position, now));
+        *latest = Some((position, now));
         true
     }
 }
 
-/// Counts of what other processes sent.
+/// Counters of what other processes sent to this one.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
+pub(crate) struct TrafficCounters {
     pub(crate) catalogs: AtomicU64,
     pub(crate) rosters: AtomicU64,
     pub(crate) loads: AtomicU64,
     pub(crate) addresses: AtomicU64,
 }
 
-/// What other processes sent to one, since its start.
+/// Numbers of values that other processes sent to this one since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Traffic {
-    /// Whole catalogs.
+    /// Complete catalogs.
     pub catalogs: u64,
-    /// Whole rosters.
+    /// Complete rosters.
     pub rosters: u64,
-    /// Loads of a group.
+    /// Load messages of groups.
     pub loads: u64,
     /// Addresses of entries.
     pub addresses: u64,
 }
 
-/// This process among the others.
+/// The links of this process to others, and what it knows of them.
 #[derive(Debug)]
 pub struct Mesh {
     pub(crate) settings: Settings,
     pub(crate) board: Arc<Board>,
-    pub(crate) started: Moment,
+    pub(crate) started_at: Moment,
     endpoint: Arc<Endpoint>,
-    entries: Mutex<BTreeMap<SocketAddr, Known>>,
-    line: watch::Sender<Line>,
+    entries: Mutex<BTreeMap<SocketAddr, EntryState>>,
+    status: watch::Sender<Line>,
     members: watch::Sender<Members>,
-    asked_catalog: Asked,
-    asked_roster: Asked,
-    pub(crate) heard: Heard,
-    /// Latest loads of each group, and whether its conductor told them to this process itself.
+    latest_catalog_request: LatestRequest,
+    latest_roster_request: LatestRequest,
+    pub(crate) received: TrafficCounters,
+    /// Latest loads of each group.
     pub(crate) groups: watch::Sender<BTreeMap<String, GroupReport>>,
 }
 
-/// Loads of a group, and where they come from.
+/// Loads of a group, and how they were received.
 #[derive(Debug, Clone)]
 pub(crate) struct GroupReport {
     pub(crate) load: Arc<GroupLoad>,
-    /// Whether this process has to pass them on to the other entries.
+    /// Whether the group leader sent them to this process itself, which then forwards them to the other entries.
     pub(crate) direct: bool,
 }
 
 impl Mesh {
-    /// A mesh in which nobody is known yet but the seeds.
+    /// A mesh that knows only the seeds.
     pub fn new(settings: Settings, board: Arc<Board>, endpoint: Arc<Endpoint>) -> Arc<Self> {
         let mesh = Self {
-            started: board.now(),
+            started_at: board.now(),
             board,
             endpoint,
             entries: Mutex::default(),
-            line: watch::Sender::new(Line {
+            status: watch::Sender::new(Line {
                 place: 0,
                 entries: 1,
                 sharers: None,
             }),
             members: watch::Sender::new(Members::new(settings.address, &[])),
-            asked_catalog: Asked::default(),
-            asked_roster: Asked::default(),
-            heard: Heard::default(),
+            latest_catalog_request: LatestRequest::default(),
+            latest_roster_request: LatestRequest::default(),
+            received: TrafficCounters::default(),
             groups: watch::Sender::new(BTreeMap::new()),
             settings,
         };
-        mesh.learn(&mesh.settings.seeds);
+        mesh.add_entries(&mesh.settings.seeds);
         Arc::new(mesh)
     }
 
-    /// Where this process takes connections from other processes.
+    /// Address at which this process accepts connections from other processes.
     pub fn address(&self) -> SocketAddr {
         self.settings.address
     }
 
-    /// What other processes sent to this one.
+    /// Numbers of values that other processes sent to this one.
     pub fn traffic(&self) -> Traffic {
         Traffic {
-            catalogs: self.heard.catalogs.load(Ordering::Relaxed),
-            rosters: self.heard.rosters.load(Ordering::Relaxed),
-            loads: self.heard.loads.load(Ordering::Relaxed),
-            addresses: self.heard.addresses.load(Ordering::Relaxed),
+            catalogs: self.received.catalogs.load(Ordering::Relaxed),
+            rosters: self.received.rosters.load(Ordering::Relaxed),
+            loads: self.received.loads.load(Ordering::Relaxed),
+            addresses: self.received.addresses.load(Ordering::Relaxed),
         }
     }
 
-    /// This entry's place among the live ones.
+    /// Subscribes to this entry's index among the live ones, and their number.
     pub fn line(&self) -> watch::Receiver<Line> {
-        self.line.subscribe()
+        self.status.subscribe()
     }
 
-    /// Entries among which the rates of targets are divided.
+    /// Subscribes to the entries among which the rates of targets are divided.
     pub fn members(&self) -> watch::Receiver<Members> {
         self.members.subscribe()
     }
 
     /// Latest loads of a group.
     pub fn group(&self, name: &str) -> Option<Arc<GroupLoad>> {
-        self.groups.borrow().get(name).map(|told| Arc::clone(&told.load))
+        self.groups.borrow().get(name).map(|report| Arc::clone(&report.load))
     }
 
     /// Latest loads of all groups.
@@ -203,55 +208,58 @@
         self.groups
             .borrow()
             .values()
-            .map(|told| Arc::clone(&told.load))
+            .map(|report| Arc::clone(&report.load))
             .collect()
     }
 
-    /// Wakes whenever loads of any group were told.
-    pub fn group_news(&self) -> GroupNews {
-        GroupNews(self.groups.subscribe())
+    /// Subscribes to the loads of all groups.
+    pub fn group_news(&self) -> GroupChanges {
+        GroupChanges(self.groups.subscribe())
     }
 
-    /// Takes in loads of a group; `direct` if its conductor told them to this process.
+    /// Merges loads of a group, unless later ones are known; `direct` if the group leader sent them to this process itself.
     pub fn offer_group(&self, load: GroupLoad, direct: bool) {
         self.groups.send_if_modified(|groups| {
-            let newer = groups.get(&load.group).is_none_or(|told| told.load.order < load.order);
-            if newer {
+            let is_newer = groups
+                .get(&load.group)
+                .is_none_or(|report| report.load.order < load.order);
+            if is_newer {
                 let name = load.group.clone();
                 let load = Arc::new(load);
                 groups.insert(name, GroupReport { load, direct });
             }
-            newer
+            is_newer
         });
     }
 
-    /// Keeps links to all other entries; never ends.
+    /// Keeps links to all other entries; never returns.
     pub async fn link_entries(self: Arc<Self>) {
         loop {
-            for address in self.due() {
+            for address in self.take_due_dials() {
                 tokio::spawn(Arc::clone(&self).dial(address));
             }
-            self.forget_silent();
-            self.update_line();
-            tokio::time::sleep(DIAL_PAUSE).await;
+            self.remove_unresponsive();
+            self.update_status();
+            tokio::time::sleep(DIAL_INTERVAL).await;
         }
     }
 
-    /// Keeps a link to one entry after the other; never ends. Agents spread over the entries by their addresses.
+    /// Keeps a link to one entry, and to the next one when it ends; never returns. Agents start at an entry that depends on
+    /// their address, so that they spread over the entries.
     pub async fn follow_one(self: Arc<Self>) {
-        let mut turn = spread(self.settings.address);
+        let mut index = spread_index(self.settings.address);
         loop {
-            let entries: Vec<SocketAddr> = self.lock().keys().copied().collect();
+            let entries: Vec<SocketAddr> = self.lock_entries().keys().copied().collect();
             if !entries.is_empty() {
-                let address = entries[turn % entries.len()];
+                let address = entries[index % entries.len()];
                 Arc::clone(&self).dial(address).await;
-                turn = turn.wrapping_add(1);
+                index = index.wrapping_add(1);
             }
-            tokio::time::sleep(FIRST_REDIAL).await;
+            tokio::time::sleep(MIN_REDIAL_DELAY).await;
         }
     }
 
-    /// Serves the streams that a peer opens to exchange beliefs; any other stream is refused.
+    /// Serves the streams that a peer opens to exchange observations; other streams are closed.
     pub async fn serve(self: Arc<Self>, peer: Peer) {
         while let Ok(mut channel) = peer.accept().await {
             let mesh = Arc::clone(&self);
@@ -264,7 +272,7 @@
         }
     }
 
-    /// Accepts other processes until the endpoint closes.
+    /// Accepts connections of other processes until the endpoint closes.
     pub async fn accept(self: Arc<Self>) {
         while let Ok(incoming) = self.endpoint.accept().await {
             let mesh = Arc::clone(&self);
@@ -272,62 +280,64 @@
                 match incoming.establish().await {
                     Ok(peer) => mesh.serve(peer).await,
                     Err(error) => {
-                        log::info!(target: DECISION, decision = "peer_refused", error = error.to_string().as_str(); "a connection was not established");
+                        log::info!(target: DECISION, decision = "peer_refused", error = error.to_string().as_str(); "an incoming connection from another process could not be established");
                     }
                 }
             });
         }
     }
 
-    /// Notes entries that someone knows.
-    pub(crate) fn learn(&self, addresses: &[SocketAddr]) {
-        let (now, met) = (Instant::now(), self.board.now());
-        let mut entries = self.lock();
+    /// Adds entries that a peer or the settings named.
+    pub(crate) fn add_entries(&self, addresses: &[SocketAddr]) {
+        let (now, discovered_at) = (Instant::now(), self.board.now());
+        let mut entries = self.lock_entries();
         for address in addresses {
             if *address != self.settings.address {
-                entries.entry(*address).or_insert(Known {
-                    links: 0,
-                    heard: None,
-                    dial_at: now,
-                    failures: 0,
-                    met,
+                entries.entry(*address).or_insert(EntryState {
+                    link_count: 0,
+                    last_seen: None,
+                    next_dial_at: now,
+                    dial_failures: 0,
+                    discovered_at,
                 });
             }
         }
     }
 
-    /// Whether to ask an entry for its catalog, of this version. An agent is told without asking.
-    pub(crate) fn may_ask_catalog(&self, version: Place) -> bool {
-        let known = self.board.catalog().map(|belief| belief.position);
-        self.settings.role == Role::Entry && known < Some(version) && self.asked_catalog.ask(version)
+    /// Whether to request the catalog of this version from an entry; if so, records the request. An agent receives it without
+    /// a request.
+    pub(crate) fn try_request_catalog(&self, version: Place) -> bool {
+        let known = self.board.catalog().map(|observed| observed.position);
+        self.settings.role == Role::Entry && known < Some(version) && self.latest_catalog_request.try_record(version)
     }
 
-    /// The same for its roster, at this position.
-    pub(crate) fn may_ask_roster(&self, position: Place) -> bool {
-        let known = self.board.told_roster().map(|belief| belief.position);
-        self.settings.role == Role::Entry && known < Some(position) && self.asked_roster.ask(position)
+    /// Whether to request the roster at this position from an entry; if so, records the request. An agent receives it without
+    /// a request.
+    pub(crate) fn try_request_roster(&self, position: Place) -> bool {
+        let known = self.board.store_roster().map(|observed| observed.position);
+        self.settings.role == Role::Entry && known < Some(position) && self.latest_roster_request.try_record(position)
     }
 
-    /// Pause between two messages about loads on a link.
-    pub(crate) fn loads_pause(&self) -> Duration {
-        let beyond = (self.line.borrow().entries.saturating_sub(1)) / self.settings.few_entries.max(1);
-        let factor = u32::try_from(beyond).unwrap_or(u32::MAX);
-        LOADS_PAUSE.saturating_mul(factor).min(MAX_LOADS_PAUSE)
+    /// Time between two load messages on a link.
+    pub(crate) fn load_interval(&self) -> Duration {
+        let steps = (self.status.borrow().entries.saturating_sub(1)) / self.settings.few_entries.max(1);
+        let steps = u32::try_from(steps).unwrap_or(u32::MAX);
+        LOAD_INTERVAL_STEP.saturating_mul(steps).min(MAX_LOAD_INTERVAL)
     }
 
-    /// Notes that an entry was heard.
-    pub(crate) fn heard(&self, address: SocketAddr) {
-        self.learn(&[address]);
-        if let Some(known) = self.lock().get_mut(&address) {
-            known.heard = Some(self.board.now());
-            known.failures = 0;
+    /// Records that a message of an entry was received.
+    pub(crate) fn record_seen(&self, address: SocketAddr) {
+        self.add_entries(&[address]);
+        if let Some(entry) = self.lock_entries().get_mut(&address) {
+            entry.last_seen = Some(self.board.now());
+            entry.dial_failures = 0;
         }
     }
 
-    /// Entries that are live as far as this process can tell, itself included if it is one.
+    /// Addresses of the entries that have a link to this process, including its own if it is an entry.
     pub(crate) fn live_entries(&self) -> Vec<SocketAddr> {
-        let entries = self.lock();
-        let live = entries.iter().filter(|(_, known)| known.links > 0);
+        let entries = self.lock_entries();
+        let live = entries.iter().filter(|(_, entry)| entry.link_count > 0);
         let mut addresses: Vec<SocketAddr> = live.map(|(address, _)| *address).collect();
         if self.settings.role == Role::Entry {
             addresses.push(self.settings.address);
@@ -335,20 +345,21 @@
         addresses
     }
 
-    pub(crate) fn count_link(&self, address: SocketAddr, change: isize) {
+    /// Adds `change` to the number of links to an entry.
+    pub(crate) fn change_link_count(&self, address: SocketAddr, change: isize) {
         let now = Instant::now();
-        if let Some(known) = self.lock().get_mut(&address) {
-            known.links = known.links.saturating_add_signed(change);
-            known.dial_at = now;
+        if let Some(entry) = self.lock_entries().get_mut(&address) {
+            entry.link_count = entry.link_count.saturating_add_signed(change);
+            entry.next_dial_at = now;
         }
-        self.update_line();
+        self.update_status();
     }
 
     async fn dial(self: Arc<Self>, address: SocketAddr) {
         let opened = tokio::time::timeout(OPEN_TIMEOUT, self.open(address)).await;
         match opened {
             Ok(Some(channel)) => self.run_link(channel, Role::Entry).await,
-            _ => self.note_failure(address),
+            _ => self.record_dial_failure(address),
         }
     }
 
@@ -362,102 +373,106 @@
         Link::new(Arc::clone(self), role).run(channel).await;
     }
 
-    /// Entries without a link that may be dialled now.
-    fn due(&self) -> Vec<SocketAddr> {
-        let (now, moment) = (Instant::now(), self.board.now());
+    /// Entries without a link that are due to be dialled; schedules their next attempt.
+    fn take_due_dials(&self) -> Vec<SocketAddr> {
+        let (now, timestamp) = (Instant::now(), self.board.now());
         let mut due = Vec::new();
-        for (address, known) in self.lock().iter_mut() {
-            let polite = *address < self.settings.address && moment < known.met + POLITENESS;
-            if known.links == 0 && known.dial_at <= now && !polite {
-                // The next try waits for this one to fail.
-                known.dial_at = now + OPEN_TIMEOUT + FIRST_REDIAL;
+        for (address, entry) in self.lock_entries().iter_mut() {
+            let is_deferred = *address < self.settings.address && timestamp < entry.discovered_at + DIAL_DEFERRAL;
+            if entry.link_count == 0 && entry.next_dial_at <= now && !is_deferred {
+                // The next attempt starts only after this one has failed.
+                entry.next_dial_at = now + OPEN_TIMEOUT + MIN_REDIAL_DELAY;
                 due.push(*address);
             }
         }
         due
     }
 
-    fn note_failure(&self, address: SocketAddr) {
+    fn record_dial_failure(&self, address: SocketAddr) {
         let now = Instant::now();
-        if let Some(known) = self.lock().get_mut(&address) {
-            let pause = FIRST_REDIAL
-                .saturating_mul(2_u32.saturating_pow(known.failures))
-                .min(MAX_REDIAL);
-            known.failures += 1;
-            known.dial_at = now + pause;
+        if let Some(entry) = self.lock_entries().get_mut(&address) {
+            let delay = MIN_REDIAL_DELAY
+                .saturating_mul(2_u32.saturating_pow(entry.dial_failures))
+                .min(MAX_REDIAL_DELAY);
+            entry.dial_failures += 1;
+            entry.next_dial_at = now + delay;
         }
     }
 
-    fn forget_silent(&self) {
+    fn remove_unresponsive(&self) {
         let now = self.board.now();
         let seeds = &self.settings.seeds;
-        self.lock().retain(|address, known| {
-            let last = known.heard.unwrap_or(known.met);
-            known.links > 0 || now.since(last) < FORGET || seeds.contains(address)
+        self.lock_entries().retain(|address, entry| {
+            let last_seen = entry.last_seen.unwrap_or(entry.discovered_at);
+            entry.link_count > 0 || now.since(last_seen) < ENTRY_RETENTION || seeds.contains(address)
         });
     }
 
-    fn update_line(&self) {
+    fn update_status(&self) {
         let now = self.board.now();
-        let line = {
-            let entries = self.lock();
-            let before =
-                |(address, known): &(&SocketAddr, &Known)| known.links > 0 && **address < self.settings.address;
-            let linked = entries.values().filter(|known| known.links > 0).count() + 1;
-            let known = entries.len() + 1;
-            let live = |known: &&Known| {
-                let lately = known.heard.is_some_and(|heard| now.since(heard) < LATELY);
-                known.links > 0 || lately
+        let status = {
+            let entries = self.lock_entries();
+            let precedes = |(address, entry): &(&SocketAddr, &EntryState)| {
+                entry.link_count > 0 && **address < self.settings.address
+            };
+            let linked_count = entries.values().filter(|entry| entry.link_count > 0).count() + 1;
+            let known_count = entries.len() + 1;
+            let is_live = |entry: &&EntryState| {
+                let seen_recently = entry
+                    .last_seen
+                    .is_some_and(|last_seen| now.since(last_seen) < RECENTLY_SEEN);
+                entry.link_count > 0 || seen_recently
             };
             Line {
-                place: entries.iter().filter(before).count(),
-                entries: entries.values().filter(live).count() + 1,
-                sharers: (2 * linked > known).then_some(known),
+                place: entries.iter().filter(precedes).count(),
+                entries: entries.values().filter(is_live).count() + 1,
+                sharers: (2 * linked_count > known_count).then_some(known_count),
             }
         };
-        replace(&self.line, line);
-        replace(&self.members, self.known_members());
+        set_if_changed(&self.status, status);
+        set_if_changed(&self.members, self.rate_members());
     }
 
-    fn known_members(&self) -> Members {
+    /// The entries among which the rates of targets are divided.
+    fn rate_members(&self) -> Members {
         let now = self.board.now();
-        let entries = self.lock();
-        let peer = |(address, known): (&SocketAddr, &Known)| rate_limit::Peer {
+        let entries = self.lock_entries();
+        let peer = |(address, entry): (&SocketAddr, &EntryState)| rate_limit::Peer {
             address: *address,
-            linked: known.links > 0,
-            silent: known.heard.map(|heard| now.since(heard)),
+            linked: entry.link_count > 0,
+            silent: entry.last_seen.map(|last_seen| now.since(last_seen)),
         };
         let peers: Vec<rate_limit::Peer> = entries.iter().map(peer).collect();
         Members::new(self.settings.address, &peers)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Known>> {
+    fn lock_entries(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, EntryState>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Readers are woken for a new value only.
-fn replace<T: PartialEq>(cell: &watch::Sender<T>, value: T) {
-    cell.send_if_modified(|known| {
-        let changed = *known != value;
-        *known = value;
+/// Stores a value; wakes subscribers only if it changed.
+fn set_if_changed<T: PartialEq>(cell: &watch::Sender<T>, value: T) {
+    cell.send_if_modified(|latest| {
+        let changed = *latest != value;
+        *latest = value;
         changed
     });
 }
 
-/// Wakes when loads of a group were told.
+/// A subscription to the loads of all groups.
 #[derive(Debug)]
-pub struct GroupNews(watch::Receiver<BTreeMap<String, GroupReport>>);
+pub struct GroupChanges(watch::Receiver<BTreeMap<String, GroupReport>>);
 
-impl GroupNews {
-    /// Waits for the next news; false if there will be none.
+impl GroupChanges {
+    /// Waits for the next change; false if the mesh was dropped.
     pub async fn next(&mut self) -> bool {
         self.0.changed().await.is_ok()
     }
 }
 
-/// A number that spreads processes evenly over a few choices.
-fn spread(address: SocketAddr) -> usize {
+/// An index derived from the address, which spreads processes evenly over a few choices.
+fn spread_index(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else { return 0 };
     let octets = address.ip().octets();
     usize::from(octets[2]) * 7 + usize::from(octets[3])
--- a/crates/sparscale_mesh/tests/slack_sharers.rs
+++ b/crates/sparscale_mesh/tests/slack_sharers.rs
@@ -1,4 +1,4 @@
-//! Among how many entries what all have in common is divided.
+//! The number of entries among which common limits are divided.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use sparscale_wire::{Endpoint, Identity, Role};
 use tokio::runtime::Runtime;
 
-/// An entry on a runtime of its own, so that it can be ended like a process.
+/// An entry with its own runtime, so that it can be terminated like a process.
 struct Entry {
     runtime: Runtime,
     mesh: Arc<Mesh>,
@@ -23,7 +23,7 @@
             .enable_all()
             .build()
             .expect("a runtime");
-        let inside = runtime.enter();
+        let guard = runtime.enter();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let endpoint = Endpoint::bind(any, Identity::Made(Role::Entry)).expect("a free port");
         let address = endpoint.local_address().expect("an address");
@@ -37,48 +37,48 @@
         let mesh = Mesh::new(settings, Arc::new(Board::default()), Arc::new(endpoint));
         runtime.spawn(Arc::clone(&mesh).link_entries());
         runtime.spawn(Arc::clone(&mesh).accept());
-        drop(inside);
+        drop(guard);
         Self { runtime, mesh, address }
     }
 
-    fn wait(&self, what: impl FnMut(&Line) -> bool) -> Line {
-        let mut line = self.mesh.line();
-        let seen = async move {
-            let told = tokio::time::timeout(Duration::from_secs(20), line.wait_for(what)).await;
-            *told.expect("it never came about").expect("a mesh")
+    fn wait_for_status(&self, condition: impl FnMut(&Line) -> bool) -> Line {
+        let mut status = self.mesh.line();
+        let reached = async move {
+            let result = tokio::time::timeout(Duration::from_secs(20), status.wait_for(condition)).await;
+            *result.expect("the condition must hold within 20 s").expect("a mesh")
         };
-        self.runtime.block_on(seen)
+        self.runtime.block_on(reached)
     }
 
-    fn end(self) {
+    fn terminate(self) {
         self.runtime.shutdown_background();
     }
 }
 
-/// One that hears nobody of those that it knows of may be cut off from all: it takes nothing.
+/// An entry without a link to any entry that it knows may be partitioned from all of them, and takes no share.
 #[test]
-fn nobody_heard() {
-    let gone = Entry::start(&[]);
-    let address = gone.address;
-    gone.end();
-    let alone = Entry::start(&[address]);
+fn no_share_without_links() {
+    let terminated = Entry::start(&[]);
+    let address = terminated.address;
+    terminated.terminate();
+    let unlinked = Entry::start(&[address]);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(alone.mesh.line().borrow().sharers, None);
+    assert_eq!(unlinked.mesh.line().borrow().sharers, None);
 }
 
-/// Entries that are not heard any more still count: they may be cut off, and spend. Where they are most, nothing is left to
-/// take.
+/// Unresponsive entries still count, because they may only be partitioned and use their shares. If they are a majority, the
+/// others take no share.
 #[test]
-fn silent_ones_count() {
+fn unresponsive_entries_count() {
     let first = Entry::start(&[]);
     let others: Vec<Entry> = (0..4).map(|_| Entry::start(&[first.address])).collect();
     for entry in others.iter().chain([&first]) {
-        entry.wait(|line| line.sharers == Some(5));
+        entry.wait_for_status(|status| status.sharers == Some(5));
     }
     let mut others = others.into_iter();
-    (0..2).filter_map(|_| others.next()).for_each(Entry::end);
+    (0..2).filter_map(|_| others.next()).for_each(Entry::terminate);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(first.wait(|_| true).sharers, Some(5));
-    others.next().expect("two are left").end();
-    first.wait(|line| line.sharers.is_none());
+    assert_eq!(first.wait_for_status(|_| true).sharers, Some(5));
+    others.next().expect("two others remain").terminate();
+    first.wait_for_status(|status| status.sharers.is_none());
 }
