--- a/crates/sparscale_belief/src/board.rs
+++ b/crates/sparscale_belief/src/board.rs
@@ -1,4 +1,5 @@
-//! The blackboard that holds the latest observations of a process: readers and peers write to it, all other parts read it.
+//! The blackboard that holds the latest observations of a process: readers and peers write to it, all other parts read
+//! it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -81,13 +82,14 @@
         self.catalog.borrow().clone()
     }
 
-    /// The targets that this process uses: those of the latest roster, and for a short time after an outage of the store those
-    /// whose registrations may have expired in it.
+    /// The targets that this process uses: those of the latest roster, and for a short time after an outage of the
+    /// store those whose registrations may have expired in it.
     pub fn targets(&self) -> Option<Observation<Directory>> {
         self.targets.borrow().clone()
     }
 
-    /// The latest roster as the store returned it. This is what peers are sent: each corrects it by its own observations.
+    /// The latest roster as the store returned it. This is what peers are sent: each corrects it by its own
+    /// observations.
     pub fn store_roster(&self) -> Option<Observation<Roster>> {
         self.lock_store_roster().latest()
     }
--- a/crates/sparscale_belief/src/departed.rs
+++ b/crates/sparscale_belief/src/departed.rs
@@ -6,8 +6,8 @@
 use sparscale_catalog::{Roster, Standing, Target};
 use sparscale_clock::Moment;
 
-/// Time for which a departure is remembered: a snapshot is some seconds old, and the registrations that it brings back expire
-/// soon after the restore.
+/// Time for which a departure is remembered: a snapshot is some seconds old, and the registrations that it brings back
+/// expire soon after the restore.
 const RETENTION: Duration = Duration::from_secs(30);
 
 /// Identifies one start of a target: its id and its start time in milliseconds.
--- a/crates/sparscale_belief/src/missing.rs
+++ b/crates/sparscale_belief/src/missing.rs
@@ -1,8 +1,8 @@
 //! Targets whose registrations expired while the store was unavailable.
 //!
-//! During an outage the store receives no heartbeats, so afterwards it may have dropped registrations of healthy targets.
-//! They register again shortly after the store recovers; until then, their absence from the roster does not mean that they
-//! have left.
+//! During an outage the store receives no heartbeats, so afterwards it may have dropped registrations of healthy
+//! targets. They register again shortly after the store recovers; until then, their absence from the roster does not
+//! mean that they have left.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::observation::Observation;
 
-/// Time without a successful read after which registrations may have expired: the store drops a registration after three
-/// missed heartbeats. Reads of a store that answers are less than half as far apart.
+/// Time without a successful read after which registrations may have expired: the store drops a registration after
+/// three missed heartbeats. Reads of a store that answers are less than half as far apart.
 const MIN_OUTAGE: Duration = Duration::from_secs(2);
 /// Time in which live targets register again after the store recovers; guaranteed by the platform.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -25,8 +25,8 @@
 }
 
 impl MissingTargets {
-    /// The ready targets of `previous` that `current` lacks; `None` if no outage or restore lies between the two, or if no
-    /// target is missing. Targets that were leaving are not included.
+    /// The ready targets of `previous` that `current` lacks; `None` if no outage or restore lies between the two, or if
+    /// no target is missing. Targets that were leaving are not included.
     pub(crate) fn between(previous: &Observation<Roster>, current: &Observation<Roster>) -> Option<Self> {
         // An older snapshot may lack registrations that were written after it was taken.
         let restored = current.position.era > previous.position.era;
@@ -65,8 +65,8 @@
     }
 }
 
-/// Whether `listed` is `missing` itself, or has taken its address or its rank within the same service. A target of another
-/// service with the same address does not replace it.
+/// Whether `listed` is `missing` itself, or has taken its address or its rank within the same service. A target of
+/// another service with the same address does not replace it.
 fn replaces(listed: &Target, missing: &Target) -> bool {
     if listed.id == missing.id {
         return true;
--- a/crates/sparscale_belief/src/observation.rs
+++ b/crates/sparscale_belief/src/observation.rs
@@ -44,8 +44,8 @@
         now.since(self.as_of)
     }
 
-    /// Merges an answer for `position` whose query was sent at `as_of`. An answer for an older position is ignored with its
-    /// age, which does not apply to later positions.
+    /// Merges an answer for `position` whose query was sent at `as_of`. An answer for an older position is ignored with
+    /// its age, which does not apply to later positions.
     pub fn merge(&mut self, value: Arc<T>, position: Place, as_of: Moment) -> MergeOutcome {
         if position < self.position {
             return MergeOutcome::Stale;
--- a/crates/sparscale_belief/src/peer_first.rs
+++ b/crates/sparscale_belief/src/peer_first.rs
@@ -1,7 +1,7 @@
 //! A catalog source that lets peers answer first when a process starts beside a restored store.
 //!
-//! The older snapshot may hold a configuration from before an API key was revoked, until the operator writes the newest one
-//! again. Peers that ran before the restore have the newer configuration and send it within a few exchanges.
+//! The older snapshot may hold a configuration from before an API key was revoked, until the operator writes the newest
+//! one again. Peers that ran before the restore have the newer configuration and send it within a few exchanges.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::board::Board;
 use crate::source::{Error, Reading, Source};
 
-/// Time that peers get to send a newer catalog. It is part of the recovery after all entries have ended, which may take three
-/// seconds.
+/// Time that peers get to send a newer catalog. It is part of the recovery after all entries have ended, which may take
+/// three seconds.
 const PEER_WAIT: Duration = Duration::from_millis(400);
 
 /// Delays the first catalog that is read from a restored store until peers had time to send a newer one.
--- a/crates/sparscale_belief/src/quarantine.rs
+++ b/crates/sparscale_belief/src/quarantine.rs
@@ -12,8 +12,8 @@
 
 use crate::source::Error;
 
-/// Time in which the process that saw a target end writes the strike to the store; after it, processes that received the
-/// strike from a peer write it.
+/// Time in which the process that saw a target end writes the strike to the store; after it, processes that received
+/// the strike from a peer write it.
 const WRITE_MARGIN: Duration = Duration::from_secs(2);
 /// First delay after the store rejected strikes, doubled up to [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -103,8 +103,9 @@
         self.notify_if(new_strikes > 0);
     }
 
-    /// Merges all strikes that the store held in era `era` when it was queried at `queried_at`. A store that was restored from
-    /// an older snapshot has lost what was written since, so each process that reads the new era writes its strikes again.
+    /// Merges all strikes that the store held in era `era` when it was queried at `queried_at`. A store that was
+    /// restored from an older snapshot has lost what was written since, so each process that reads the new era writes
+    /// its strikes again.
     pub fn merge_from_store(&self, strikes: &[Strike], era: u64, queried_at: Moment) {
         let restored = {
             let mut known_era = self.era.lock().unwrap_or_else(PoisonError::into_inner);
@@ -145,15 +146,15 @@
         self.changed.subscribe()
     }
 
-    /// Writes strikes that the store lacks to `archive`; never returns. The process for which `is_first` holds also deletes
-    /// expired strikes there.
+    /// Writes strikes that the store lacks to `archive`; never returns. The process for which `is_first` holds also
+    /// deletes expired strikes there.
     pub async fn keep_in(&self, mut archive: Box<dyn Archive>, is_first: impl Fn() -> bool) {
         let mut changes = self.subscribe();
         changes.mark_changed();
         let mut next_expiry = Instant::now() + EXPIRY_INTERVAL;
         loop {
             tokio::select! {
-                changed = changes.changed() => if changed.is_err() { return },
+                result = changes.changed() => if result.is_err() { return },
                 () = tokio::time::sleep_until(next_expiry) => {
                     next_expiry = Instant::now() + EXPIRY_INTERVAL;
                     let expired = self.tracker().expire(unix_ms());
--- a/crates/sparscale_belief/src/reader.rs
+++ b/crates/sparscale_belief/src/reader.rs
@@ -1,9 +1,9 @@
 //! Reads a source when no peer has reported its state for a while.
 //!
-//! Calls of the platform's store are priced and rate-limited, so few processes read it and send the result to the others.
-//! There is no election: each process reads once its observation has reached an age that rises with its index among the live
-//! readers. Normally the first reads and the others receive the result in time; if the first has ended, is rejected by the
-//! store or is partitioned, the second reads shortly after.
+//! Calls of the platform's store are priced and rate-limited, so few processes read it and send the result to the
+//! others. There is no election: each process reads once its observation has reached an age that rises with its index
+//! among the live readers. Normally the first reads and the others receive the result in time; if the first has ended,
+//! is rejected by the store or is partitioned, the second reads shortly after.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,7 +21,8 @@
 
 /// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Delay after a failed read, doubled with each further failure in a row: the store may have recovered by the next attempt.
+/// Delay after a failed read, doubled with each further failure in a row: the store may have recovered by the next
+/// attempt.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Longest such delay of a process whose observations must be recent: a box has to be up to date 3 s after the end of a
 /// disturbance, and one read may take [`READ_TIMEOUT`] in vain before the one that succeeds.
@@ -70,8 +71,8 @@
         self.reader_index.load(Ordering::Relaxed)
     }
 
-    /// Delay after `failures` failed reads in a row. It has jitter, so that processes which failed at the same time do not
-    /// retry at the same time.
+    /// Delay after `failures` failed reads in a row. It has jitter, so that processes which failed at the same time do
+    /// not retry at the same time.
     fn retry_delay(&self, failures: u32) -> Duration {
         let backoff = MIN_RETRY_DELAY.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
         let jitter = 0.75 + 0.5 * rand::random::<f64>();
--- a/crates/sparscale_belief/src/store_roster.rs
+++ b/crates/sparscale_belief/src/store_roster.rs
@@ -30,8 +30,8 @@
         self.latest.clone()
     }
 
-    /// Merges the roster that the store returned to a query sent at `as_of`. Returns the corrected roster to use, or `None`
-    /// if the answer is older than the known roster.
+    /// Merges the roster that the store returned to a query sent at `as_of`. Returns the corrected roster to use, or
+    /// `None` if the answer is older than the known roster.
     pub(crate) fn merge(&mut self, roster: Arc<Roster>, position: Place, as_of: Moment) -> Option<Observation<Roster>> {
         let Some(latest) = &mut self.latest else {
             let first = Observation {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// The roster to use when the store returns `observed`: corrected, and with the targets that are missing since an outage.
+    /// The roster to use when the store returns `observed`: corrected, and with the targets that are missing since an
+    /// outage.
     fn add_missing(&mut self, observed: Observation<Roster>) -> Observation<Roster> {
         let observed = self.mark_departed(observed);
         let Some(missing) = &mut self.missing else {
--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it has
-    /// one, and whether it is leaving.
+    /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it
+    /// has one, and whether it is leaving.
     pub fn note(&self, instance: &Seat, rate: Option<Rate>, leaving: bool) {
         let notice = Notice {
             start: instance.start,
@@ -38,8 +38,8 @@
             as_of: self.clock.now(),
         };
         let is_new = self.record(notice, "answer", Some(&instance.target.id));
-        // Only a process that received the notice from the target itself confirms it; otherwise peers would confirm each
-        // other's notices forever.
+        // Only a process that received the notice from the target itself confirms it; otherwise peers would confirm
+        // each other's notices forever.
         let confirms = self.tracker().confirm(instance.start);
         self.notify_if(is_new || confirms);
     }
--- a/crates/sparscale_belief/tests/early_start.rs
+++ b/crates/sparscale_belief/tests/early_start.rs
@@ -1,7 +1,7 @@
 //! A process that starts while a restored store still holds an older configuration than its peers.
 //!
-//! If the first catalog from the older snapshot were active at once, revoked API keys would be accepted until peers have sent
-//! the newest one.
+//! If the first catalog from the older snapshot were active at once, revoked API keys would be accepted until peers
+//! have sent the newest one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 const RESTORED: u64 = 4;
 /// Version that peers have.
 const NEWEST: u64 = 5;
-/// Time after which a process without peers must be serving; with one second for its start, a third of the time that recovery
-/// may take.
+/// Time after which a process without peers must be serving; with one second for its start, a third of the time that
+/// recovery may take.
 const MAX_WAIT_WITHOUT_PEERS: Duration = Duration::from_secs(1);
 
 /// A store whose era is the field.
--- a/crates/sparscale_belief/tests/restored_store.rs
+++ b/crates/sparscale_belief/tests/restored_store.rs
@@ -1,7 +1,7 @@
 //! A store that is restored from an older snapshot assigns lower offsets again and lists targets that have left.
 //!
-//! If positions were offsets alone, a roster of the restored store would look older than the known one until the topic had
-//! grown past it, and targets that left meanwhile would get requests for seconds.
+//! If positions were offsets alone, a roster of the restored store would look older than the known one until the topic
+//! had grown past it, and targets that left meanwhile would get requests for seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sparscale_clock/src/lib.rs
+++ b/crates/sparscale_clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! A monotonic clock that also counts the time during which the box is suspended.
 //!
 //! `CLOCK_MONOTONIC` and tokio's `Instant` do not advance while a box is suspended, so after a resume a revoked API key
-//! would look freshly confirmed, and old spending from a budget would look recent. Ages, and time windows shared with other
-//! processes, are therefore measured with a [`Clock`]; an `Instant` is only for timers.
+//! would look freshly confirmed, and old spending from a budget would look recent. Ages, and time windows shared with
+//! other processes, are therefore measured with a [`Clock`]; an `Instant` is only for timers.
 
 use std::fmt;
 use std::ops::Add;
@@ -68,8 +68,8 @@
 impl Clock for Machine {
     fn now(&self) -> Moment {
         let suspended = total_suspended().saturating_sub(self.suspended_at_start);
-        // The two system clocks are read some microseconds apart: truncating to milliseconds keeps that jitter from making
-        // time go backwards.
+        // The two system clocks are read some microseconds apart: truncating to milliseconds keeps that jitter from
+        // making time go backwards.
         let suspended = Duration::from_millis(suspended.as_millis() as u64);
         // The clock starts well above zero, so that ages can be subtracted from its timestamps.
         Moment(INITIAL_TIME + self.started_at.elapsed() + suspended)
--- a/crates/sparscale_history/src/lib.rs
+++ b/crates/sparscale_history/src/lib.rs
@@ -1,7 +1,7 @@
 //! Positions in the history of an external store that may be restored from an older snapshot.
 //!
-//! A restored store assigns the same offsets a second time. It therefore counts its restores, as its era; offsets order two
-//! records only within one era.
+//! A restored store assigns the same offsets a second time. It therefore counts its restores, as its era; offsets order
+//! two records only within one era.
 
 use std::fmt;
 
--- a/crates/sparscale_mesh/src/link.rs
+++ b/crates/sparscale_mesh/src/link.rs
@@ -26,8 +26,8 @@
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// A link is closed after this many intervals without a message from the peer.
 const IDLE_TIMEOUT_INTERVALS: u32 = 8;
-/// Messages on a link after which the list of entries is sent again although it has not changed: about five seconds' worth,
-/// well below the time after which an unresponsive entry is removed.
+/// Messages on a link after which the list of entries is sent again although it has not changed: about five seconds'
+/// worth, well below the time after which an unresponsive entry is removed.
 const MAX_MESSAGES_WITHOUT_ENTRIES: u32 = 16;
 
 /// Most strikes in one message; keeps it well below the frame size limit.
@@ -76,7 +76,9 @@
     sent_entries: Vec<SocketAddr>,
     /// Messages since the list of entries was sent.
     messages_without_entries: u32,
+    /// Received catalog whose age no exchange has stated yet.
     pending_catalog: Option<Arc<Catalog>>,
+    /// Received roster whose position and age no exchange has stated yet.
     pending_roster: Option<Arc<Roster>>,
 }
 
@@ -192,10 +194,10 @@
             sender: self.mesh.settings.address,
             stamp_ms: self.clock.stamp(now),
             echo: self.clock.echo(now),
-            catalog: catalog.as_ref().map(|catalog| known(catalog, now)),
+            catalog: catalog.as_ref().map(|catalog| to_known(catalog, now)),
             wants_catalog: std::mem::take(&mut self.own_request.catalog),
             roster: roster.as_ref().map(|roster| KnownRoster {
-                known: known(roster, now),
+                known: to_known(roster, now),
                 digest: roster.value.digest(),
             }),
             wants_roster: std::mem::take(&mut self.own_request.roster),
@@ -220,8 +222,8 @@
         Some(())
     }
 
-    /// Sends all notices of targets that changed since the last time, whatever their source. Waits for the peer's first stamp,
-    /// without which the peer could not compute the age of a notice.
+    /// Sends all notices of targets that changed since the last time, whatever their source. Waits for the peer's first
+    /// stamp, without which the peer could not compute the age of a notice.
     async fn send_notices(&mut self, sender: &mut Sender) -> Option<()> {
         if self.role != Role::Entry || self.mesh.settings.role != Role::Entry {
             return Some(());
@@ -245,10 +247,10 @@
         Some(())
     }
 
-    /// The live entries if they changed or were not sent for a while, else nothing. They are repeated because the peer removes
-    /// entries that it cannot reach, and learns of them again only from these lists.
+    /// The linked entries if they changed or were not sent for a while, else nothing. They are repeated because the
+    /// peer removes entries that it cannot reach, and learns of them again only from these lists.
     fn entries_to_send(&mut self) -> Vec<SocketAddr> {
-        let entries = self.mesh.live_entries();
+        let entries = self.mesh.linked_entries();
         self.messages_without_entries += 1;
         if entries == self.sent_entries && self.messages_without_entries < MAX_MESSAGES_WITHOUT_ENTRIES {
             return Vec::new();
@@ -258,9 +260,9 @@
         entries
     }
 
-    /// Sends the catalog once to a peer that has an older one, and to an entry only on request. Every entry learns of a new
-    /// catalog from all others, and a catalog with many routes is long: if each entry sent it to each other one unasked, the
-    /// links would be saturated and answers delayed.
+    /// Sends the catalog once to a peer that has an older one, and to an entry only on request. Every entry learns of a
+    /// new catalog from all others, and a catalog with many routes is long: if each entry sent it to each other one
+    /// unasked, the links would be saturated and answers delayed.
     async fn send_catalog(&mut self, sender: &mut Sender, catalog: Option<&Observation<Catalog>>) -> Option<()> {
         if self.role == Role::Entry && !std::mem::take(&mut self.peer_request.catalog) {
             return Some(());
@@ -293,17 +295,17 @@
         is_later && self.sent_roster_digest != Some(roster.value.digest())
     }
 
-    /// Sends loads that this process received directly: they go from the agent of a group leader to its entry, and from that
-    /// entry to the others, each once.
+    /// Sends loads that this process received from a group leader: they go from the agent of a group leader to its
+    /// entry, and from that entry to the others, each once.
     async fn send_loads(&mut self, sender: &mut Sender) -> Option<()> {
         if self.role != Role::Entry {
             return Some(());
         }
         let new_loads: Vec<_> = {
             let groups = self.mesh.groups.borrow();
-            let direct = groups.values().filter(|report| report.direct);
+            let from_leader = groups.values().filter(|report| report.from_leader);
             let unsent =
-                direct.filter(|report| self.sent_load_orders.get(&report.load.group) < Some(&report.load.order));
+                from_leader.filter(|report| self.sent_load_orders.get(&report.load.group) < Some(&report.load.order));
             unsent.map(|report| Arc::clone(&report.load)).collect()
         };
         for load in new_loads {
@@ -414,8 +416,8 @@
         };
     }
 
-    /// Merges the peer's observation of the roster if this process has a roster with the same digest, which is usual also at a
-    /// later position; else requests the roster.
+    /// Merges the peer's observation of the roster if this process has a roster with the same digest, which is usual
+    /// also at a later position; else requests the roster.
     fn merge_roster(&mut self, observed: KnownRoster, as_of: Moment, source: &str) {
         let KnownRoster { known, digest } = observed;
         let own = self.mesh.board.store_roster().map(|roster| roster.value);
@@ -427,7 +429,8 @@
     }
 }
 
-fn known<T: PartialEq>(observed: &Observation<T>, now: Moment) -> Known {
+/// The position and age of an observation, as an exchange carries them.
+fn to_known<T: PartialEq>(observed: &Observation<T>, now: Moment) -> Known {
     Known {
         position: observed.position,
         // Rounded up, because an age must not look smaller than it is.
--- a/crates/sparscale_mesh/src/link_clock.rs
+++ b/crates/sparscale_mesh/src/link_clock.rs
@@ -1,7 +1,7 @@
 //! Converts the ages in a peer's messages to timestamps of this process.
 //!
-//! The clocks of two processes are not synchronized, so each message echoes the latest stamp that its sender received. That
-//! bounds from below when the message was sent, and an age is never taken for shorter than it is.
+//! The clocks of two processes are not synchronized, so each message echoes the latest stamp that its sender received.
+//! That bounds from below when the message was sent, and an age is never taken for shorter than it is.
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
         })
     }
 
-    /// The earliest time at which a message with this echo can have been sent: the stamp left this process before the peer
-    /// received it, and the peer sent the message after it had held the stamp for the time in the echo.
+    /// The earliest time at which a message with this echo can have been sent: the stamp left this process before the
+    /// peer received it, and the peer sent the message after it had held the stamp for the time in the echo.
     pub fn earliest_sent_at(&self, echo: Echo) -> Moment {
         self.started_at + Duration::from_millis(echo.stamp_ms) + Duration::from_millis(echo.held_ms)
     }
--- a/crates/sparscale_mesh/src/mesh.rs
+++ b/crates/sparscale_mesh/src/mesh.rs
@@ -1,7 +1,7 @@
 //! The links of a process, and the other entries that it knows.
 //!
-//! Entries keep links to all other entries, dial missing ones again with an exponential delay, and remove those that stay
-//! unresponsive. The number of known and linked entries decides which share of common limits this process may use.
+//! Entries keep links to all other entries, dial missing ones again with an exponential delay, and remove those that
+//! stay unresponsive. The number of known and linked entries decides which share of common limits this process may use.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,12 +31,12 @@
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which a catalog or roster that did not arrive is requested from another entry.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// An entry from which nothing was received for this long is removed, unless the settings name it. Links between regions can
-/// fail for minutes, and an entry that is only partitioned still uses its share of the common limits.
+/// An entry from which nothing was received for this long is removed, unless the settings name it. Links between
+/// regions can fail for minutes, and an entry that is only partitioned still uses its share of the common limits.
 const ENTRY_RETENTION: Duration = Duration::from_mins(10);
 /// An entry from which something was received within this time may still have requests in the groups whose headroom all
 /// entries share.
-const RECENTLY_SEEN: Duration = Duration::from_secs(12);
+const RECENTLY_SEEN_LIMIT: Duration = Duration::from_secs(12);
 
 /// The address and role of this process, and how it exchanges observations.
 #[derive(Debug, Clone)]
@@ -49,15 +49,15 @@
     pub seeds: Vec<SocketAddr>,
     /// Time between two exchanges on a link without changes.
     pub interval: Duration,
-    /// Number of entries up to which each forwards loads to all others at once. Among more entries, each link waits
-    /// [`LOAD_INTERVAL_STEP`] between two load messages for each further such number; all links together then carry about as
-    /// much as they would among twice this number without the wait.
+    /// Number of entries up to which each forwards loads to all others at once. Among more, the time between two load
+    /// messages on a link grows by [`LOAD_INTERVAL_STEP`] for each further such number of entries, so that all links
+    /// together carry about as much as among twice this number without that delay.
     pub few_entries: usize,
 }
 
-/// Default of [`Settings::few_entries`]; known deployments have at most 15 entries.
+/// Default number of entries up to which loads are forwarded at once; known deployments have at most 15 entries.
 pub const FEW_ENTRIES: usize = 16;
-/// The time between two load messages on a link grows by this for each [`Settings::few_entries`] entries beyond the first.
+/// Step by which the time between two load messages on a link grows with the number of entries; see [`Settings`].
 pub const LOAD_INTERVAL_STEP: Duration = Duration::from_millis(100);
 /// Longest time between two load messages on a link; the loads of a group are used for about a second.
 const MAX_LOAD_INTERVAL: Duration = Duration::from_millis(500);
@@ -70,7 +70,8 @@
     /// Number of entries that are live or were recently, including this one.
     pub entries: usize,
     /// Number of entries among which common limits are divided: all known ones, including this one. `None` unless this
-    /// entry and those linked to it are a majority of them, because the others may be a majority that does not know of it.
+    /// entry and those linked to it are a majority of them, because the others may be a majority that does not know of
+    /// it.
     pub sharers: Option<usize>,
 }
 
@@ -146,7 +147,7 @@
 pub(crate) struct GroupReport {
     pub(crate) load: Arc<GroupLoad>,
     /// Whether the group leader sent them to this process itself, which then forwards them to the other entries.
-    pub(crate) direct: bool,
+    pub(crate) from_leader: bool,
 }
 
 impl Mesh {
@@ -217,8 +218,9 @@
         GroupChanges(self.groups.subscribe())
     }
 
-    /// Merges loads of a group, unless later ones are known; `direct` if the group leader sent them to this process itself.
-    pub fn offer_group(&self, load: GroupLoad, direct: bool) {
+    /// Merges loads of a group, unless later ones are known; `from_leader` if the group leader sent them to this
+    /// process itself.
+    pub fn offer_group(&self, load: GroupLoad, from_leader: bool) {
         self.groups.send_if_modified(|groups| {
             let is_newer = groups
                 .get(&load.group)
@@ -226,7 +228,7 @@
             if is_newer {
                 let name = load.group.clone();
                 let load = Arc::new(load);
-                groups.insert(name, GroupReport { load, direct });
+                groups.insert(name, GroupReport { load, from_leader });
             }
             is_newer
         });
@@ -244,8 +246,8 @@
         }
     }
 
-    /// Keeps a link to one entry, and to the next one when it ends; never returns. Agents start at an entry that depends on
-    /// their address, so that they spread over the entries.
+    /// Keeps a link to one entry, and to the next one when it ends; never returns. Agents start at an entry that
+    /// depends on their address, so that they spread over the entries.
     pub async fn follow_one(self: Arc<Self>) {
         let mut index = spread_index(self.settings.address);
         loop {
@@ -304,18 +306,22 @@
         }
     }
 
-    /// Whether to request the catalog of this version from an entry; if so, records the request. An agent receives it without
-    /// a request.
+    /// Whether to request the catalog of this version from an entry; if so, records the request. An agent receives it
+    /// without a request.
     pub(crate) fn try_request_catalog(&self, version: Place) -> bool {
-        let known = self.board.catalog().map(|observed| observed.position);
-        self.settings.role == Role::Entry && known < Some(version) && self.latest_catalog_request.try_record(version)
+        let known_position = self.board.catalog().map(|observed| observed.position);
+        self.settings.role == Role::Entry
+            && known_position < Some(version)
+            && self.latest_catalog_request.try_record(version)
     }
 
-    /// Whether to request the roster at this position from an entry; if so, records the request. An agent receives it without
-    /// a request.
+    /// Whether to request the roster at this position from an entry; if so, records the request. An agent receives it
+    /// without a request.
     pub(crate) fn try_request_roster(&self, position: Place) -> bool {
-        let known = self.board.store_roster().map(|observed| observed.position);
-        self.settings.role == Role::Entry && known < Some(position) && self.latest_roster_request.try_record(position)
+        let known_position = self.board.store_roster().map(|observed| observed.position);
+        self.settings.role == Role::Entry
+            && known_position < Some(position)
+            && self.latest_roster_request.try_record(position)
     }
 
     /// Time between two load messages on a link.
@@ -335,10 +341,10 @@
     }
 
     /// Addresses of the entries that have a link to this process, including its own if it is an entry.
-    pub(crate) fn live_entries(&self) -> Vec<SocketAddr> {
+    pub(crate) fn linked_entries(&self) -> Vec<SocketAddr> {
         let entries = self.lock_entries();
-        let live = entries.iter().filter(|(_, entry)| entry.link_count > 0);
-        let mut addresses: Vec<SocketAddr> = live.map(|(address, _)| *address).collect();
+        let linked = entries.iter().filter(|(_, entry)| entry.link_count > 0);
+        let mut addresses: Vec<SocketAddr> = linked.map(|(address, _)| *address).collect();
         if self.settings.role == Role::Entry {
             addresses.push(self.settings.address);
         }
@@ -420,7 +426,7 @@
             let is_live = |entry: &&EntryState| {
                 let seen_recently = entry
                     .last_seen
-                    .is_some_and(|last_seen| now.since(last_seen) < RECENTLY_SEEN);
+                    .is_some_and(|last_seen| now.since(last_seen) < RECENTLY_SEEN_LIMIT);
                 entry.link_count > 0 || seen_recently
             };
             Line {
--- a/crates/sparscale_mesh/tests/belief_exchange.rs
+++ b/crates/sparscale_mesh/tests/belief_exchange.rs
@@ -315,7 +315,8 @@
     assert!(age >= SUSPENDED, "the catalog counts as only {age:?} old");
 }
 
-/// The computed time of an observation is never later than the true one, whatever the delays on the way and at either side.
+/// The computed time of an observation is never later than the true one, whatever the delays on the way and at either
+/// side.
 #[test]
 fn ages_never_shrink() {
     fn holds(delay_to: u16, held: u16, age: u16, delay_back: u16) -> bool {
--- a/crates/sparscale_mesh/tests/slack_sharers.rs
+++ b/crates/sparscale_mesh/tests/slack_sharers.rs
@@ -66,8 +66,8 @@
     assert_eq!(unlinked.mesh.line().borrow().sharers, None);
 }
 
-/// Unresponsive entries still count, because they may only be partitioned and use their shares. If they are a majority, the
-/// others take no share.
+/// Unresponsive entries still count, because they may only be partitioned and use their shares. If they are a majority,
+/// the others take no share.
 #[test]
 fn unresponsive_entries_count() {
     let first = Entry::start(&[]);
