--- a/crates/sparscale_mesh/tests/belief_exchange.rs
+++ b/crates/sparscale_mesh/tests/belief_exchange.rs
@@ -250,7 +250,7 @@
 async fn unchanged_entries_seldom_sent() {
     const OTHERS: usize = 6;
     let (first, _others) = start_entries(OTHERS).await;
-    // Duplicate links that were dialled from both sides are closed.
+    // Extra links, dialled from both sides, end in this time.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = first.mesh.traffic().addresses;
     tokio::time::sleep(Duration::from_millis(800)).await;
