--- a/crates/sparscale_agent/src/intake.rs
+++ b/crates/sparscale_agent/src/intake.rs
@@ -6,14 +6,14 @@
 
 use sparscale_backpressure::Signal;
 use sparscale_catalog::Start;
-use sparscale_clock::{Clock, machine};
+use sparscale_clock::{Clock, system_clock};
 use sparscale_policy::rate_limit::Members;
-use sparscale_policy::throttle::{Notice, Opening, Register};
+use sparscale_policy::throttle::{Availability, Notice, Tracker};
 
 /// What the present start of the target asks.
 #[derive(Debug)]
 pub(crate) struct Intake {
-    register: Register,
+    register: Tracker,
     clock: Arc<dyn Clock>,
     /// Starts of the target so far.
     starts: u64,
@@ -24,9 +24,9 @@
 impl Intake {
     /// The agent is the only one that sends to its target, so it has the whole of a rate.
     pub(crate) fn new() -> Self {
-        let clock = machine();
+        let clock = system_clock();
         let own = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut register = Register::default();
+        let mut register = Tracker::default();
         register.set_members(Members::new(own, &[]), clock.now());
         Self {
             register,
@@ -51,10 +51,10 @@
             leaving: signal.leaving,
             as_of: now,
         };
-        let asks = self.register.note(notice, now);
+        let asks = self.register.merge(notice, now);
         let rests = signal
             .rest
-            .and_then(|rest| self.register.rest(start, rest, now))
+            .and_then(|rest| self.register.record_backoff(start, rest, now))
             .is_some();
         asks || rests
     }
@@ -62,16 +62,16 @@
     /// Whether the target takes a request now; if so, one counts as handed on.
     pub(crate) fn take(&mut self) -> bool {
         let (start, now) = (self.start(), self.clock.now());
-        self.register.take(start, now)
+        self.register.try_acquire(start, now)
     }
 
     /// Time until the target takes the next request, zero if it takes one now; none if it leaves.
     pub(crate) fn opens_in(&self) -> Option<Duration> {
         let now = self.clock.now();
-        match self.register.opening(self.start(), now) {
-            Opening::Now => Some(Duration::ZERO),
-            Opening::At(at) => Some(at.since(now)),
-            Opening::Never => None,
+        match self.register.availability(self.start(), now) {
+            Availability::Now => Some(Duration::ZERO),
+            Availability::At(at) => Some(at.since(now)),
+            Availability::Never => None,
         }
     }
 
--- a/crates/sparscale_belief/src/board.rs
+++ b/crates/sparscale_belief/src/board.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Catalog, Directory, Incarnations, Roster};
-use sparscale_clock::{Clock, Moment};
-use sparscale_history::Place;
+use sparscale_clock::{Clock, Timestamp};
+use sparscale_history::Position;
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
 
@@ -54,7 +54,7 @@
 
 impl Default for Board {
     fn default() -> Self {
-        Self::new(sparscale_clock::machine())
+        Self::new(sparscale_clock::system_clock())
     }
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// The current time on the clock that measures ages.
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Subscribes to new lists of targets.
-    pub fn target_lists(&self) -> watch::Receiver<Option<Observation<Directory>>> {
+    pub fn subscribe_targets(&self) -> watch::Receiver<Option<Observation<Directory>>> {
         self.targets.subscribe()
     }
 
@@ -115,9 +115,9 @@
     }
 
     /// Merges a catalog that was received from `source`.
-    pub fn merge_catalog(&self, catalog: Arc<Catalog>, as_of: Moment, source: &str) -> MergeOutcome {
+    pub fn merge_catalog(&self, catalog: Arc<Catalog>, as_of: Timestamp, source: &str) -> MergeOutcome {
         let version = catalog.version();
-        let outcome = merge(&self.catalog, catalog, Place::from(version), as_of);
+        let outcome = merge(&self.catalog, catalog, Position::from(version), as_of);
         if outcome == MergeOutcome::Replaced {
             log::info!(target: DECISION, decision = "catalog", version, source, age_ms = self.now().since(as_of).as_millis() as u64; "a new catalog is active");
         }
@@ -125,16 +125,16 @@
     }
 
     /// Records that `version` was still the newest catalog at `as_of`.
-    pub fn confirm_catalog(&self, version: u64, as_of: Moment) -> MergeOutcome {
-        confirm(&self.catalog, Place::from(version), as_of)
+    pub fn confirm_catalog(&self, version: u64, as_of: Timestamp) -> MergeOutcome {
+        confirm(&self.catalog, Position::from(version), as_of)
     }
 
     /// Merges a roster that was received from `source`.
     pub fn merge_roster(
         &self,
         roster: Arc<Roster>,
-        position: impl Into<Place>,
-        as_of: Moment,
+        position: impl Into<Position>,
+        as_of: Timestamp,
         source: &str,
     ) -> MergeOutcome {
         let position = position.into();
@@ -180,7 +180,7 @@
     outcome
 }
 
-fn age<T: PartialEq>(cell: &watch::Sender<Option<Observation<T>>>, now: Moment) -> Option<Duration> {
+fn age<T: PartialEq>(cell: &watch::Sender<Option<Observation<T>>>, now: Timestamp) -> Option<Duration> {
     cell.borrow().as_ref().map(|observed| observed.age(now))
 }
 
@@ -188,8 +188,8 @@
 fn merge<T: PartialEq>(
     cell: &watch::Sender<Option<Observation<T>>>,
     value: Arc<T>,
-    position: Place,
-    as_of: Moment,
+    position: Position,
+    as_of: Timestamp,
 ) -> MergeOutcome {
     let mut outcome = MergeOutcome::Replaced;
     cell.send_if_modified(|latest| {
@@ -203,7 +203,11 @@
 }
 
 /// Updates the age of the latest value if it is at `position`.
-fn confirm<T: PartialEq>(cell: &watch::Sender<Option<Observation<T>>>, position: Place, as_of: Moment) -> MergeOutcome {
+fn confirm<T: PartialEq>(
+    cell: &watch::Sender<Option<Observation<T>>>,
+    position: Position,
+    as_of: Timestamp,
+) -> MergeOutcome {
     let mut outcome = MergeOutcome::Stale;
     cell.send_if_modified(|latest| {
         if let Some(observed) = latest
--- a/crates/sparscale_belief/src/departed.rs
+++ b/crates/sparscale_belief/src/departed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Roster, Standing, Target};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 /// Time for which a departure is remembered: a snapshot is some seconds old, and the registrations that it brings back
 /// expire soon after the restore.
@@ -16,12 +16,12 @@
 /// Starts of targets that left or whose registrations were removed, with the time of the last roster that showed it.
 #[derive(Debug, Default)]
 pub(crate) struct DepartedTargets {
-    departed_at: HashMap<StartKey, Moment>,
+    departed_at: HashMap<StartKey, Timestamp>,
 }
 
 impl DepartedTargets {
     /// Records the targets that were removed between two rosters of the same era, and those that are leaving.
-    pub(crate) fn record(&mut self, previous: &Roster, current: &Roster, at: Moment) {
+    pub(crate) fn record(&mut self, previous: &Roster, current: &Roster, at: Timestamp) {
         self.departed_at
             .retain(|_, departed_at| at.since(*departed_at) < RETENTION);
         // Rosters are long and read often, but seldom change.
@@ -47,7 +47,7 @@
     }
 
     /// A copy of `roster` in which departed targets are leaving; `None` if it lists none of them as ready.
-    pub(crate) fn mark_leaving(&self, roster: &Roster, at: Moment) -> Option<Roster> {
+    pub(crate) fn mark_leaving(&self, roster: &Roster, at: Timestamp) -> Option<Roster> {
         if self.departed_at.is_empty() {
             return None;
         }
--- a/crates/sparscale_belief/src/lib.rs
+++ b/crates/sparscale_belief/src/lib.rs
@@ -17,6 +17,6 @@
 pub use board::Board;
 pub use observation::{MergeOutcome, Observation};
 pub use quarantine::{Archive, Quarantine};
-pub use reader::{Pace, ReadFigures, read_catalog, read_roster, read_strikes};
-pub use source::{Error, Reading, Source};
+pub use reader::{ReadMetrics, ReadSchedule, read_catalog, read_roster, read_strikes};
+pub use source::{Error, Source, Versioned};
 pub use throttle::Throttle;
--- a/crates/sparscale_belief/src/missing.rs
+++ b/crates/sparscale_belief/src/missing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Roster, Standing, Target};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 use crate::observation::Observation;
 
@@ -20,7 +20,7 @@
 /// Targets that were registered before an outage and have not registered again since.
 #[derive(Debug)]
 pub(crate) struct MissingTargets {
-    deadline: Moment,
+    deadline: Timestamp,
     targets: Vec<Target>,
 }
 
@@ -50,7 +50,7 @@
     }
 
     /// Whether the wait is over at `now`: no target is missing any more, or the deadline has passed.
-    pub(crate) fn is_over(&self, now: Moment) -> bool {
+    pub(crate) fn is_over(&self, now: Timestamp) -> bool {
         now >= self.deadline || self.targets.is_empty()
     }
 
--- a/crates/sparscale_belief/src/observation.rs
+++ b/crates/sparscale_belief/src/observation.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_clock::Moment;
-use sparscale_history::Place;
+use sparscale_clock::Timestamp;
+use sparscale_history::Position;
 
 /// A value that was read from outside.
 #[derive(Debug)]
@@ -12,9 +12,9 @@
     /// The value that was read.
     pub value: Arc<T>,
     /// Position in the history of the source: a version or an offset. It never decreases.
-    pub position: Place,
+    pub position: Position,
     /// A time before the query was sent: `value` contains everything that was acknowledged earlier.
-    pub as_of: Moment,
+    pub as_of: Timestamp,
 }
 
 impl<T> Clone for Observation<T> {
@@ -40,13 +40,13 @@
 
 impl<T: PartialEq> Observation<T> {
     /// Age at `now`.
-    pub fn age(&self, now: Moment) -> Duration {
+    pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.as_of)
     }
 
     /// Merges an answer for `position` whose query was sent at `as_of`. An answer for an older position is ignored with
     /// its age, which does not apply to later positions.
-    pub fn merge(&mut self, value: Arc<T>, position: Place, as_of: Moment) -> MergeOutcome {
+    pub fn merge(&mut self, value: Arc<T>, position: Position, as_of: Timestamp) -> MergeOutcome {
         if position < self.position {
             return MergeOutcome::Stale;
         }
--- a/crates/sparscale_belief/src/peer_first.rs
+++ b/crates/sparscale_belief/src/peer_first.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::board::Board;
-use crate::source::{Error, Reading, Source};
+use crate::source::{Error, Source, Versioned};
 
 /// Time that peers get to send a newer catalog. It is part of the recovery after all entries have ended, which may take
 /// three seconds.
@@ -37,7 +37,7 @@
 
 #[async_trait]
 impl Source<Catalog> for PeerFirstSource {
-    async fn read(&mut self) -> Result<Reading<Catalog>, Error> {
+    async fn read(&mut self) -> Result<Versioned<Catalog>, Error> {
         let reading = self.source.read().await?;
         if reading.position.era == 0 || self.board.catalog().is_some() {
             return Ok(reading);
--- a/crates/sparscale_belief/src/quarantine.rs
+++ b/crates/sparscale_belief/src/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sparscale_clock::{Clock, Moment, unix_ms};
+use sparscale_clock::{Clock, Timestamp, unix_ms};
 use sparscale_quarantine::{End, Fingerprint, Hold, News, Register, Strike};
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
     /// Notifies subscribers of changes.
     changed: watch::Sender<()>,
     /// Everything that the store had accepted before this time is in the tracker; `None` before the first read.
-    as_of: Mutex<Option<Moment>>,
+    as_of: Mutex<Option<Timestamp>>,
     /// Era of the store at the last read.
     era: Mutex<Option<u64>>,
     clock: Arc<dyn Clock>,
@@ -56,12 +56,12 @@
     }
 
     /// The hold that keeps a request from being sent now, if any.
-    pub fn held(&self, request: &Fingerprint) -> Option<Hold> {
+    pub fn active_hold(&self, request: &Fingerprint) -> Option<Hold> {
         self.tracker().held(request, unix_ms())
     }
 
     /// Records that a target ended while it served a request. Returns how many targets have.
-    pub fn note_end(&self, request: Fingerprint, end: End) -> usize {
+    pub fn record_end(&self, request: Fingerprint, end: End) -> usize {
         let now_ms = unix_ms();
         let strike = Strike {
             request,
@@ -79,7 +79,7 @@
     }
 
     /// Records that a request was answered completely, which clears it.
-    pub fn note_answer(&self, request: &Fingerprint) {
+    pub fn record_answer(&self, request: &Fingerprint) {
         let cleared = self.tracker().note_answer(request, unix_ms());
         if cleared {
             log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the request was answered completely, so it is not the cause of the crashes");
@@ -106,7 +106,7 @@
     /// Merges all strikes that the store held in era `era` when it was queried at `queried_at`. A store that was
     /// restored from an older snapshot has lost what was written since, so each process that reads the new era writes
     /// its strikes again.
-    pub fn merge_from_store(&self, strikes: &[Strike], era: u64, queried_at: Moment) {
+    pub fn merge_from_store(&self, strikes: &[Strike], era: u64, queried_at: Timestamp) {
         let restored = {
             let mut known_era = self.era.lock().unwrap_or_else(PoisonError::into_inner);
             if known_era.is_some_and(|known_era| era < known_era) {
@@ -125,7 +125,7 @@
     }
 
     /// Records that everything that the store had accepted by `as_of` is known to this process.
-    pub fn confirm(&self, as_of: Moment) {
+    pub fn confirm(&self, as_of: Timestamp) {
         let mut latest = self.as_of.lock().unwrap_or_else(PoisonError::into_inner);
         *latest = Some(latest.map_or(as_of, |latest| latest.max(as_of)));
     }
@@ -148,7 +148,7 @@
 
     /// Writes strikes that the store lacks to `archive`; never returns. The process for which `is_first` holds also
     /// deletes expired strikes there.
-    pub async fn keep_in(&self, mut archive: Box<dyn Archive>, is_first: impl Fn() -> bool) {
+    pub async fn sync_to_archive(&self, mut archive: Box<dyn Archive>, is_first: impl Fn() -> bool) {
         let mut changes = self.subscribe();
         changes.mark_changed();
         let mut next_expiry = Instant::now() + EXPIRY_INTERVAL;
--- a/crates/sparscale_belief/src/reader.rs
+++ b/crates/sparscale_belief/src/reader.rs
@@ -14,9 +14,9 @@
 use crate::board::Board;
 use crate::observation::MergeOutcome;
 use crate::peer_first::PeerFirstSource;
-use crate::source::{Error, Reading, Source};
+use crate::source::{Error, Source, Versioned};
 use sparscale_catalog::{Catalog, Roster};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 use sparscale_quarantine::Strike;
 
 /// Timeout of one read.
@@ -30,7 +30,7 @@
 
 /// Decides at which age of its observation a process reads the source itself.
 #[derive(Debug)]
-pub struct Pace {
+pub struct ReadSchedule {
     /// Age at which the first reader reads.
     pub first_reader_age: Duration,
     /// Additional age for each further reader.
@@ -42,7 +42,7 @@
     reader_index: AtomicUsize,
 }
 
-impl Pace {
+impl ReadSchedule {
     /// The schedule of a process that knows of no peers: it is the first reader.
     pub fn new(first_reader_age: Duration, age_per_reader: Duration, initial_wait: Duration) -> Self {
         Self {
@@ -56,18 +56,18 @@
 
     /// Sets the longest delay between two failed reads.
     #[must_use]
-    pub fn with_max_retry(mut self, max_retry_delay: Duration) -> Self {
+    pub fn with_max_retry_delay(mut self, max_retry_delay: Duration) -> Self {
         self.max_retry_delay = max_retry_delay;
         self
     }
 
     /// Sets the index of this process among the readers, 0 for the first.
-    pub fn set_place(&self, reader_index: usize) {
+    pub fn set_reader_index(&self, reader_index: usize) {
         self.reader_index.store(reader_index, Ordering::Relaxed);
     }
 
     /// Index of this process among the readers, 0 for the first.
-    pub fn place(&self) -> usize {
+    pub fn reader_index(&self) -> usize {
         self.reader_index.load(Ordering::Relaxed)
     }
 
@@ -81,18 +81,18 @@
 
     /// Age of the observation at which this process reads the source.
     fn read_age(&self) -> Duration {
-        let preceding_readers = u32::try_from(self.place()).unwrap_or(u32::MAX);
+        let preceding_readers = u32::try_from(self.reader_index()).unwrap_or(u32::MAX);
         self.first_reader_age + self.age_per_reader.saturating_mul(preceding_readers)
     }
 }
 
 /// Metrics of reads of the store.
 #[derive(Debug)]
-pub struct ReadFigures {
+pub struct ReadMetrics {
     registry: Arc<Registry>,
 }
 
-impl ReadFigures {
+impl ReadMetrics {
     /// Metrics that are registered in `registry`.
     pub fn new(registry: &Arc<Registry>) -> Self {
         Self {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn record<T>(&self, source: &str, answer: &Result<Reading<T>, Error>, elapsed: Duration) {
+    fn record<T>(&self, source: &str, answer: &Result<Versioned<T>, Error>, elapsed: Duration) {
         let result = if answer.is_ok() { "answered" } else { "failed" };
         let help = "Readings of the store, by result.";
         let labels = [("source", source), ("result", result)];
@@ -119,8 +119,8 @@
 pub async fn read_catalog(
     board: Arc<Board>,
     source: Box<dyn Source<Catalog>>,
-    schedule: Arc<Pace>,
-    metrics: ReadFigures,
+    schedule: Arc<ReadSchedule>,
+    metrics: ReadMetrics,
 ) {
     let now = {
         let board = Arc::clone(&board);
@@ -131,7 +131,7 @@
         move || board.catalog_age()
     };
     let source = Box::new(PeerFirstSource::new(source, Arc::clone(&board)));
-    let merge = move |reading: Reading<Catalog>, queried_at| board.merge_catalog(reading.value, queried_at, "store");
+    let merge = move |reading: Versioned<Catalog>, queried_at| board.merge_catalog(reading.value, queried_at, "store");
     keep_recent("catalog", source, &schedule, &metrics, age, merge, now).await;
 }
 
@@ -139,8 +139,8 @@
 pub async fn read_roster(
     board: Arc<Board>,
     source: Box<dyn Source<Roster>>,
-    schedule: Arc<Pace>,
-    metrics: ReadFigures,
+    schedule: Arc<ReadSchedule>,
+    metrics: ReadMetrics,
 ) {
     let now = {
         let board = Arc::clone(&board);
@@ -150,7 +150,7 @@
         let board = Arc::clone(&board);
         move || board.roster_age()
     };
-    let merge = move |reading: Reading<Roster>, queried_at| {
+    let merge = move |reading: Versioned<Roster>, queried_at| {
         board.merge_roster(reading.value, reading.position, queried_at, "store")
     };
     keep_recent("roster", source, &schedule, &metrics, age, merge, now).await;
@@ -160,8 +160,8 @@
 pub async fn read_strikes(
     board: Arc<Board>,
     source: Box<dyn Source<Vec<Strike>>>,
-    schedule: Arc<Pace>,
-    metrics: ReadFigures,
+    schedule: Arc<ReadSchedule>,
+    metrics: ReadMetrics,
 ) {
     let now = {
         let board = Arc::clone(&board);
@@ -171,7 +171,7 @@
         let board = Arc::clone(&board);
         move || board.quarantine.age()
     };
-    let merge = move |reading: Reading<Vec<Strike>>, queried_at| {
+    let merge = move |reading: Versioned<Vec<Strike>>, queried_at| {
         board
             .quarantine
             .merge_from_store(&reading.value, reading.position.era, queried_at);
@@ -183,11 +183,11 @@
 async fn keep_recent<T: Send + Sync + 'static>(
     source_name: &'static str,
     mut source: Box<dyn Source<T>>,
-    schedule: &Pace,
-    metrics: &ReadFigures,
+    schedule: &ReadSchedule,
+    metrics: &ReadMetrics,
     age: impl Fn() -> Option<Duration>,
-    merge: impl Fn(Reading<T>, Moment) -> MergeOutcome,
-    now: impl Fn() -> Moment,
+    merge: impl Fn(Versioned<T>, Timestamp) -> MergeOutcome,
+    now: impl Fn() -> Timestamp,
 ) {
     let mut reachable = true;
     let mut failures = 0;
@@ -224,7 +224,7 @@
 }
 
 /// Logs when a source becomes unreachable or reachable again, but not each failure.
-fn log_reachability<T>(source_name: &str, reachable: &mut bool, answer: &Result<Reading<T>, Error>) {
+fn log_reachability<T>(source_name: &str, reachable: &mut bool, answer: &Result<Versioned<T>, Error>) {
     match answer {
         Ok(_) if !*reachable => {
             log::info!(target: DECISION, decision = "regained", source = source_name; "reads of the store succeed again");
--- a/crates/sparscale_belief/src/source.rs
+++ b/crates/sparscale_belief/src/source.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use snafu::Snafu;
-use sparscale_history::Place;
+use sparscale_history::Position;
 
 /// Why a read of a source failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -26,16 +26,16 @@
 
 /// A value that was read, with its position.
 #[derive(Debug)]
-pub struct Reading<T> {
+pub struct Versioned<T> {
     /// The value at `position`.
     pub value: Arc<T>,
     /// Position of the value in the history of the source.
-    pub position: Place,
+    pub position: Position,
 }
 
 /// An external value that changes, such as the operators' catalog or the roster of targets.
 #[async_trait]
 pub trait Source<T>: Send + 'static {
     /// Reads the current value. Must be cancel-safe: dropping the future leaves the source usable.
-    async fn read(&mut self) -> Result<Reading<T>, Error>;
+    async fn read(&mut self) -> Result<Versioned<T>, Error>;
 }
--- a/crates/sparscale_belief/src/store_roster.rs
+++ b/crates/sparscale_belief/src/store_roster.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use sparscale_catalog::Roster;
-use sparscale_clock::Moment;
-use sparscale_history::Place;
+use sparscale_clock::Timestamp;
+use sparscale_history::Position;
 use sparscale_telemetry::DECISION;
 
 use crate::departed::DepartedTargets;
@@ -32,7 +32,12 @@
 
     /// Merges the roster that the store returned to a query sent at `as_of`. Returns the corrected roster to use, or
     /// `None` if the answer is older than the known roster.
-    pub(crate) fn merge(&mut self, roster: Arc<Roster>, position: Place, as_of: Moment) -> Option<Observation<Roster>> {
+    pub(crate) fn merge(
+        &mut self,
+        roster: Arc<Roster>,
+        position: Position,
+        as_of: Timestamp,
+    ) -> Option<Observation<Roster>> {
         let Some(latest) = &mut self.latest else {
             let first = Observation {
                 value: roster,
--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Directory, Seat, Start};
-use sparscale_clock::{Clock, Moment};
+use sparscale_clock::{Clock, Timestamp};
 use sparscale_policy::rate_limit::{Members, Rate};
-use sparscale_policy::throttle::{Notice, Opening, Register};
+use sparscale_policy::throttle::{Availability, Notice, Tracker};
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
 
 /// The restrictions that targets have announced.
 #[derive(Debug)]
 pub struct Throttle {
-    tracker: Mutex<Register>,
+    tracker: Mutex<Tracker>,
     /// Notifies subscribers of changes.
     changed: watch::Sender<()>,
     clock: Arc<dyn Clock>,
@@ -30,7 +30,7 @@
 
     /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it
     /// has one, and whether it is leaving.
-    pub fn note(&self, instance: &Seat, rate: Option<Rate>, leaving: bool) {
+    pub fn record_notice(&self, instance: &Seat, rate: Option<Rate>, leaving: bool) {
         let notice = Notice {
             start: instance.start,
             rate,
@@ -40,14 +40,14 @@
         let is_new = self.record(notice, "answer", Some(&instance.target.id));
         // Only a process that received the notice from the target itself confirms it; otherwise peers would confirm
         // each other's notices forever.
-        let confirms = self.tracker().confirm(instance.start);
+        let confirms = self.tracker().reannounce_if_due(instance.start);
         self.notify_if(is_new || confirms);
     }
 
     /// Records that a target asked this process to send nothing for `backoff`.
-    pub fn rest(&self, instance: &Seat, backoff: Duration) {
+    pub fn record_backoff(&self, instance: &Seat, backoff: Duration) {
         let now = self.clock.now();
-        let Some(until) = self.tracker().rest(instance.start, backoff, now) else {
+        let Some(until) = self.tracker().record_backoff(instance.start, backoff, now) else {
             return;
         };
         log::info!(
@@ -75,25 +75,25 @@
     }
 
     /// Whether no target has announced a restriction.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.tracker().is_empty()
     }
 
     /// Whether this process may send to a target now.
     pub fn is_open(&self, instance: &Seat) -> bool {
-        self.opening(instance) == Opening::Now
+        self.opening(instance) == Availability::Now
     }
 
     /// Whether this process may send to a target now; if so, counts a request as sent.
-    pub fn take(&self, instance: &Seat) -> bool {
+    pub fn try_acquire(&self, instance: &Seat) -> bool {
         let now = self.clock.now();
-        self.tracker().take(instance.start, now)
+        self.tracker().try_acquire(instance.start, now)
     }
 
     /// When the target accepts the next request.
-    pub fn opening(&self, instance: &Seat) -> Opening {
+    pub fn opening(&self, instance: &Seat) -> Availability {
         let now = self.clock.now();
-        self.tracker().opening(instance.start, now)
+        self.tracker().availability(instance.start, now)
     }
 
     /// Limit of a target in requests per second from all entries together, if it has one.
@@ -103,7 +103,7 @@
 
     /// The notices that changed after version `since`, and the current version.
     pub fn changes_since(&self, since: u64) -> (Vec<Notice>, u64) {
-        self.tracker().news(since)
+        self.tracker().changes_since(since)
     }
 
     /// Wakes whenever notices change.
@@ -124,7 +124,7 @@
     /// Records a notice and logs it if it is new; returns whether it is.
     fn record(&self, notice: Notice, source: &str, target: Option<&str>) -> bool {
         let now = self.clock.now();
-        let is_new = self.tracker().note(notice, now);
+        let is_new = self.tracker().merge(notice, now);
         if is_new {
             log_notice(&notice, source, target, now);
         }
@@ -137,13 +137,13 @@
         }
     }
 
-    fn tracker(&self) -> MutexGuard<'_, Register> {
+    fn tracker(&self) -> MutexGuard<'_, Tracker> {
         // A panic cannot leave a partial entry, because each is replaced in one step; so a poisoned lock is usable.
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn log_notice(notice: &Notice, source: &str, target: Option<&str>, now: Moment) {
+fn log_notice(notice: &Notice, source: &str, target: Option<&str>, now: Timestamp) {
     log::info!(
         target: DECISION,
         decision = "target_asks",
--- a/crates/sparscale_belief/tests/early_start.rs
+++ b/crates/sparscale_belief/tests/early_start.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sparscale_belief::{Board, Error, Pace, ReadFigures, Reading, Source, read_catalog};
+use sparscale_belief::{Board, Error, ReadMetrics, ReadSchedule, Source, Versioned, read_catalog};
 use sparscale_catalog::Catalog;
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_samples as samples;
 use sparscale_telemetry::Registry;
 use tokio::time::{Instant, sleep};
@@ -27,10 +27,10 @@
 
 #[async_trait]
 impl Source<Catalog> for Store {
-    async fn read(&mut self) -> Result<Reading<Catalog>, Error> {
-        Ok(Reading {
+    async fn read(&mut self) -> Result<Versioned<Catalog>, Error> {
+        Ok(Versioned {
             value: catalog(RESTORED),
-            position: Place::new(self.0, RESTORED),
+            position: Position::new(self.0, RESTORED),
         })
     }
 }
@@ -42,8 +42,8 @@
 /// The board of a process that has just started beside a store of era `era`.
 fn start(era: u64) -> Arc<Board> {
     let board = Arc::new(Board::default());
-    let schedule = Pace::new(Duration::from_millis(500), Duration::from_millis(100), Duration::ZERO);
-    let metrics = ReadFigures::new(&Arc::new(Registry::default()));
+    let schedule = ReadSchedule::new(Duration::from_millis(500), Duration::from_millis(100), Duration::ZERO);
+    let metrics = ReadMetrics::new(&Arc::new(Registry::default()));
     tokio::spawn(read_catalog(
         Arc::clone(&board),
         Box::new(Store(era)),
--- a/crates/sparscale_belief/tests/restored_store.rs
+++ b/crates/sparscale_belief/tests/restored_store.rs
@@ -9,7 +9,7 @@
 use quickcheck::quickcheck;
 use sparscale_belief::{Board, MergeOutcome};
 use sparscale_catalog::{Roster, Standing, Target};
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_samples as samples;
 use tokio::time::sleep;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn merge(board: &Board, targets: Vec<Target>, position: Place) -> MergeOutcome {
+fn merge(board: &Board, targets: Vec<Target>, position: Position) -> MergeOutcome {
     board.merge_roster(Arc::new(Roster::new(targets)), position, board.now(), "store")
 }
 
@@ -42,9 +42,9 @@
 #[test]
 fn later_era_wins() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 900));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 900));
     let restored = vec![leaving("m-1", 1), target("m-2", 2)];
-    assert_eq!(merge(&board, restored, Place::new(1, 40)), MergeOutcome::Replaced);
+    assert_eq!(merge(&board, restored, Position::new(1, 40)), MergeOutcome::Replaced);
     assert_eq!(ready(&board), ["m-2"], "a leaving target must get no more requests");
 }
 
@@ -52,9 +52,9 @@
 #[test]
 fn earlier_era_ignored() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), leaving("m-2", 2)], Place::new(1, 40));
+    merge(&board, vec![target("m-1", 1), leaving("m-2", 2)], Position::new(1, 40));
     let earlier = vec![target("m-1", 1), target("m-2", 2)];
-    assert_eq!(merge(&board, earlier, Place::new(0, 900)), MergeOutcome::Stale);
+    assert_eq!(merge(&board, earlier, Position::new(0, 900)), MergeOutcome::Stale);
     assert_eq!(ready(&board), ["m-1"]);
 }
 
@@ -62,11 +62,11 @@
 #[test]
 fn leaving_target_stays_leaving() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 5));
-    merge(&board, vec![leaving("m-1", 1), target("m-2", 2)], Place::new(0, 6));
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(1, 5));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 5));
+    merge(&board, vec![leaving("m-1", 1), target("m-2", 2)], Position::new(0, 6));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(1, 5));
     assert_eq!(ready(&board), ["m-2"]);
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(1, 9));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(1, 9));
     assert_eq!(
         ready(&board),
         ["m-2"],
@@ -78,9 +78,9 @@
 #[test]
 fn removed_target_stays_removed() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 5));
-    merge(&board, vec![target("m-2", 2)], Place::new(0, 6));
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(1, 5));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 5));
+    merge(&board, vec![target("m-2", 2)], Position::new(0, 6));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(1, 5));
     assert_eq!(ready(&board), ["m-2"]);
 }
 
@@ -92,9 +92,9 @@
         ..target("m-1", 1)
     };
     let board = Board::default();
-    merge(&board, vec![start(100), target("m-2", 2)], Place::new(0, 5));
-    merge(&board, vec![target("m-2", 2)], Place::new(0, 6));
-    merge(&board, vec![start(200), target("m-2", 2)], Place::new(1, 5));
+    merge(&board, vec![start(100), target("m-2", 2)], Position::new(0, 5));
+    merge(&board, vec![target("m-2", 2)], Position::new(0, 6));
+    merge(&board, vec![start(200), target("m-2", 2)], Position::new(1, 5));
     assert_eq!(ready(&board), ["m-1", "m-2"]);
 }
 
@@ -102,10 +102,10 @@
 #[test]
 fn registered_again_is_ready() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 5));
-    merge(&board, vec![target("m-2", 2)], Place::new(0, 6));
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 7));
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(1, 5));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 5));
+    merge(&board, vec![target("m-2", 2)], Position::new(0, 6));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 7));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(1, 5));
     assert_eq!(ready(&board), ["m-1", "m-2"]);
 }
 
@@ -113,12 +113,12 @@
 #[tokio::test(start_paused = true)]
 async fn lost_registration_kept() {
     let board = Board::default();
-    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Place::new(0, 6));
+    merge(&board, vec![target("m-1", 1), target("m-2", 2)], Position::new(0, 6));
     sleep(Duration::from_millis(300)).await;
-    merge(&board, vec![target("m-2", 2)], Place::new(1, 5));
+    merge(&board, vec![target("m-2", 2)], Position::new(1, 5));
     assert_eq!(ready(&board), ["m-1", "m-2"], "m-1 has had no time to register again");
     sleep(REGISTRATION_TIMEOUT).await;
-    merge(&board, vec![target("m-2", 2)], Place::new(1, 9));
+    merge(&board, vec![target("m-2", 2)], Position::new(1, 9));
     assert_eq!(ready(&board), ["m-2"]);
 }
 
@@ -126,9 +126,9 @@
     /// Whatever the order of answers, the position never decreases and the roster is that of the latest position.
     fn position_never_decreases(answers: Vec<(u8, u8)>) -> bool {
         let board = Board::default();
-        let mut latest = Place::default();
+        let mut latest = Position::default();
         answers.into_iter().all(|(era, offset)| {
-            let position = Place::new(u64::from(era % 4), u64::from(offset));
+            let position = Position::new(u64::from(era % 4), u64::from(offset));
             let port = 1_000 + u16::from(era % 4) * 256 + u16::from(offset);
             merge(&board, vec![target("m-1", port)], position);
             latest = latest.max(position);
--- a/crates/sparscale_bench/src/place.rs
+++ b/crates/sparscale_bench/src/place.rs
@@ -6,7 +6,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use sparscale_place::baseline::greedy_from_scratch;
-use sparscale_place::{Costs, Counts, Map, Shape, decide, skew};
+use sparscale_place::{Costs, Map, Shape, TokenCounts, decide, skew};
 
 use crate::usage::line;
 
@@ -119,15 +119,15 @@
         weight_skew: 1.0,
         weight_move,
         seconds_per_load: EXPERT_BYTES / STORE_RATE,
-        slowed: 0.1,
+        slowdown_share: 0.1,
         move_budget: 20_000,
-        quiet: false,
+        in_quiet_hours: false,
     }
 }
 
 fn simulate(policy: Policy) -> Summary {
     let mut drift = Drift::new(SHAPE, 7);
-    let mut counts = Counts::new(SHAPE, HALF_LIFE);
+    let mut counts = TokenCounts::new(SHAPE, HALF_LIFE);
     let mut map = Map::initial(SHAPE);
     let mut skews = Vec::new();
     let (mut changes, mut loads) = (0, 0);
@@ -139,16 +139,16 @@
             Policy::Never => None,
             Policy::Greedy => Some(greedy_from_scratch(&counts)),
             Policy::GreedyEvery(every) => (period % every == 0).then(|| greedy_from_scratch(&counts)),
-            Policy::Weighed { weight_move } => decide(&counts, &map, &costs(weight_move)).next,
+            Policy::Weighed { weight_move } => decide(&counts, &map, &costs(weight_move)).next_map,
         };
         deciding += began.elapsed();
         if let Some(next) = next {
             changes += 1;
-            loads += map.loads_of(&next);
+            loads += map.replicas_to_load(&next);
             map = next;
         }
         drift.advance();
-        let mut truth = Counts::new(SHAPE, HALF_LIFE);
+        let mut truth = TokenCounts::new(SHAPE, HALF_LIFE);
         truth.observe(&drift.popularity(), Duration::ZERO);
         skews.push(skew(&map, &truth));
     }
@@ -165,7 +165,7 @@
 fn decision_ms(shape: Shape) -> f64 {
     const REPEATS: u32 = 5;
     let mut drift = Drift::new(shape, 9);
-    let mut counts = Counts::new(shape, HALF_LIFE);
+    let mut counts = TokenCounts::new(shape, HALF_LIFE);
     counts.observe(&drift.tokens(), PERIOD);
     let map = Map::initial(shape);
     let began = Instant::now();
--- a/crates/sparscale_clock/src/lib.rs
+++ b/crates/sparscale_clock/src/lib.rs
@@ -20,9 +20,9 @@
 
 /// A point in time on the clock of this process; not comparable between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(Duration);
+pub struct Timestamp(Duration);
 
-impl Moment {
+impl Timestamp {
     /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
@@ -34,7 +34,7 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for Timestamp {
     type Output = Self;
 
     fn add(self, rhs: Duration) -> Self {
@@ -45,18 +45,18 @@
 /// A source of timestamps.
 pub trait Clock: fmt::Debug + Send + Sync {
     /// The current time; never earlier than a previous result.
-    fn now(&self) -> Moment;
+    fn now(&self) -> Timestamp;
 }
 
 /// The clock of the operating system, including suspended time.
 #[derive(Debug)]
-pub struct Machine {
+pub struct SystemClock {
     started_at: Instant,
     /// Total suspended time of the box when this clock was created.
     suspended_at_start: Duration,
 }
 
-impl Default for Machine {
+impl Default for SystemClock {
     fn default() -> Self {
         Self {
             started_at: Instant::now(),
@@ -65,14 +65,14 @@
     }
 }
 
-impl Clock for Machine {
-    fn now(&self) -> Moment {
+impl Clock for SystemClock {
+    fn now(&self) -> Timestamp {
         let suspended = total_suspended().saturating_sub(self.suspended_at_start);
         // The two system clocks are read some microseconds apart: truncating to milliseconds keeps that jitter from
         // making time go backwards.
         let suspended = Duration::from_millis(suspended.as_millis() as u64);
         // The clock starts well above zero, so that ages can be subtracted from its timestamps.
-        Moment(INITIAL_TIME + self.started_at.elapsed() + suspended)
+        Timestamp(INITIAL_TIME + self.started_at.elapsed() + suspended)
     }
 }
 
@@ -80,8 +80,8 @@
 const INITIAL_TIME: Duration = Duration::from_hours(24 * 365);
 
 /// A shared clock of the operating system, as processes use it.
-pub fn machine() -> Arc<dyn Clock> {
-    Arc::new(Machine::default())
+pub fn system_clock() -> Arc<dyn Clock> {
+    Arc::new(SystemClock::default())
 }
 
 /// Milliseconds since the Unix epoch (1970), for times that outlive the process or are compared between processes which
--- a/crates/sparscale_conduct/src/agent.rs
+++ b/crates/sparscale_conduct/src/agent.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::bandwidth::Bandwidth;
-use crate::engine::{Counts, Engine, EngineState, Engines};
+use crate::engine::{Engine, EngineState, Engines, SelectionCounts};
 use crate::handle::{Assignment, Command, Handle, LeaderObservation, Subscriber, UPDATE_QUEUE_LEN};
 use crate::maps::MapCache;
 use crate::metrics::Metrics;
@@ -41,7 +41,7 @@
     /// Start time of the engine's current process, if it reported one.
     born_ms: Option<u64>,
     leader: watch::Sender<LeaderObservation>,
-    last_counts: Option<(Counts, Instant)>,
+    last_counts: Option<(SelectionCounts, Instant)>,
     reported_map: Option<(u64, u64)>,
     /// State that was last reported to the leader, and when.
     reported_state: Option<(Option<View>, Instant)>,
@@ -298,7 +298,7 @@
             rank: state.rank,
             size: state.size,
         };
-        reporter.reports_counts(counts.picks.len(), self.bandwidth.counts_per_round())
+        reporter.reports_counts(counts.selections.len(), self.bandwidth.counts_per_round())
     }
 
     fn report_state(&mut self, state: Option<EngineState>, answer: Option<Answer>) {
@@ -349,7 +349,7 @@
     }
 
     async fn report_held_experts(&mut self) {
-        let Ok(held) = self.engine.held().await else {
+        let Ok(held) = self.engine.held_experts().await else {
             return;
         };
         let reported = (held.epoch, held.number);
@@ -372,13 +372,13 @@
         let Some((previous, at)) = self.last_counts.replace((counts.clone(), now)) else {
             return;
         };
-        let pairs = previous.picks.iter().zip(&counts.picks);
+        let pairs = previous.selections.iter().zip(&counts.selections);
         // A restarted engine counts from zero.
         let selections: Option<Vec<u32>> = pairs
             .map(|(before, now)| now.checked_sub(*before).and_then(|new| u32::try_from(new).ok()))
             .collect();
         let same_process = (previous.epoch, previous.born_ms) == (counts.epoch, counts.born_ms)
-            && previous.picks.len() == counts.picks.len();
+            && previous.selections.len() == counts.selections.len();
         let Some(selections) =
             selections.filter(|selections| same_process && selections.iter().any(|count| *count > 0))
         else {
--- a/crates/sparscale_conduct/src/claims.rs
+++ b/crates/sparscale_conduct/src/claims.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use snafu::Snafu;
-use sparscale_history::Place;
+use sparscale_history::Position;
 
 /// Error of a claim whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -18,16 +18,16 @@
 
 /// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claim {
+pub enum ClaimOutcome {
     /// The claim is recorded after every earlier claim.
     Won {
         /// Position of the claim.
-        place: Place,
+        position: Position,
     },
     /// Another agent claimed first.
     Lost {
         /// Position that the next claim must take.
-        end: Place,
+        next_position: Position,
     },
 }
 
@@ -39,19 +39,19 @@
 
 /// Returns the number of the claim at `position`: numbers increase with the era, and no two claims share one, even if a
 /// restore of the list drops claims. `None` if the offset or the era is out of range.
-pub fn number(position: Place) -> Option<u64> {
+pub fn number(position: Position) -> Option<u64> {
     let in_range = position.era <= MAX_ERA && position.offset < 1 << OFFSET_BITS;
     in_range.then_some(position.era << OFFSET_BITS | position.offset)
 }
 
 /// Returns the position of the claim with this number.
-pub fn position(number: u64) -> Place {
-    Place::new(number >> OFFSET_BITS, number & ((1 << OFFSET_BITS) - 1))
+pub fn position(number: u64) -> Position {
+    Position::new(number >> OFFSET_BITS, number & ((1 << OFFSET_BITS) - 1))
 }
 
 /// The platform's list of claims.
 #[async_trait]
 pub trait Claims: Send + 'static {
     /// Claims the leadership of `group` for `holder`, unless the list has grown since it ended at `end`.
-    async fn claim(&mut self, group: &str, holder: &str, end: Place) -> Result<Claim, Error>;
+    async fn claim(&mut self, group: &str, holder: &str, end: Position) -> Result<ClaimOutcome, Error>;
 }
--- a/crates/sparscale_conduct/src/decision.rs
+++ b/crates/sparscale_conduct/src/decision.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sparscale_catalog::Experts;
-use sparscale_place::{Bounds, Map, Popularity, Refined, Shape, Trend, refine, skew_now};
+use sparscale_place::{LoadLimits, Map, Popularity, Refinement, Shape, Trend, mean_skew, refine};
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
@@ -107,7 +107,7 @@
             return None;
         }
         let trend = self.popularity.observe(&self.accumulated, span);
-        if trend != Trend::Small {
+        if trend != Trend::TooSmall {
             self.accumulated.fill(0.0);
             self.window_start = now;
         }
@@ -116,32 +116,32 @@
 
     /// Mean over the sets of the ratio of the largest rank load to the mean rank load, under `map`.
     pub(crate) fn skew(&self, map: &Map) -> f64 {
-        skew_now(&self.popularity, map, self.shape, &self.slowdowns)
+        mean_skew(&self.popularity, map, self.shape, &self.slowdowns)
     }
 
     /// Whether any demand has been observed.
     pub(crate) fn has_demand(&self) -> bool {
-        self.popularity.samples() > 0
+        self.popularity.sample_count() > 0
     }
 
     /// Returns the next map if a switch pays off: of the candidates with different numbers of loads per rank, the one
     /// with the least skew over the horizon, loading included.
-    pub(crate) fn next_map(&mut self, map: &Map) -> Option<Refined> {
+    pub(crate) fn next_map(&mut self, map: &Map) -> Option<Refinement> {
         if !self.has_demand() {
             return None;
         }
         let load_limits = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare);
         let candidates = load_limits.map(|per_rank| {
-            let bounds = Bounds {
-                per_rank,
-                per_set: self.experts.spare,
+            let bounds = LoadLimits {
+                loads_per_rank: per_rank,
+                loads_per_set: self.experts.spare,
             };
             let refined = refine(&self.popularity, map, self.shape, bounds, &self.slowdowns);
             (self.cost(&refined), refined)
         });
         let (_, best) = candidates.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
         let slack = ((SHORT_PASS_SHARE - self.pressure) / SHORT_PASS_SHARE).clamp(0.0, 1.0);
-        let pays_off = best.before - best.after >= MIN_SKEW_REDUCTION + IDLE_SKEW_REDUCTION * slack;
+        let pays_off = best.skew_before - best.skew_after >= MIN_SKEW_REDUCTION + IDLE_SKEW_REDUCTION * slack;
         if !pays_off {
             self.log_stay(&best);
         }
@@ -149,12 +149,12 @@
             log::info!(
                 target: DECISION,
                 decision = "move",
-                skew_now = best.before,
-                skew_next = best.after,
-                loads = best.loads,
-                deepest = best.deepest,
+                skew_now = best.skew_before,
+                skew_next = best.skew_after,
+                loads = best.replica_loads,
+                deepest = best.max_loads_per_rank,
                 pressure = self.pressure,
-                samples = self.popularity.samples();
+                samples = self.popularity.sample_count();
                 "switching to another map"
             );
         }
@@ -162,7 +162,7 @@
     }
 
     /// Logs that the current map is kept, at most once per second, since most decisions are of this kind.
-    fn log_stay(&mut self, best: &Refined) {
+    fn log_stay(&mut self, best: &Refinement) {
         let now = Instant::now();
         if self
             .stay_logged_at
@@ -174,17 +174,18 @@
         log::info!(
             target: DECISION,
             decision = "stay",
-            skew_now = best.before,
-            skew_next = best.after,
-            loads = best.loads,
-            samples = self.popularity.samples();
+            skew_now = best.skew_before,
+            skew_next = best.skew_after,
+            loads = best.replica_loads,
+            samples = self.popularity.sample_count();
             "keeping the current map"
         );
     }
 
     /// Skew times milliseconds over the horizon if the group switches to `refined`.
-    fn cost(&self, refined: &Refined) -> f64 {
-        let switch_ms = (f64::from(refined.deepest) * self.experts.load_ms() + SWITCH_OVERHEAD_MS).min(HORIZON_MS);
-        switch_ms * refined.before + (HORIZON_MS - switch_ms) * refined.after
+    fn cost(&self, refined: &Refinement) -> f64 {
+        let switch_ms =
+            (f64::from(refined.max_loads_per_rank) * self.experts.load_ms() + SWITCH_OVERHEAD_MS).min(HORIZON_MS);
+        switch_ms * refined.skew_before + (HORIZON_MS - switch_ms) * refined.skew_after
     }
 }
--- a/crates/sparscale_conduct/src/delegation.rs
+++ b/crates/sparscale_conduct/src/delegation.rs
@@ -128,7 +128,7 @@
         log::warn!(target: DECISION, decision = "delegation_lost", group = self.term.group.as_str(), helper = delegation.helper; "helper timed out; dropping the map switch");
         self.members[delegation.helper].delegation_failed_at = Some(Instant::now());
         self.members[self.term.own_rank].pending_order = None;
-        self.coordinator.abandon();
-        self.coordinator.lost(self.term.own_rank);
+        self.coordinator.abandon_change();
+        self.coordinator.record_no_answer(self.term.own_rank);
     }
 }
--- a/crates/sparscale_conduct/src/engine.rs
+++ b/crates/sparscale_conduct/src/engine.rs
@@ -36,7 +36,7 @@
 
 /// Experts that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldExperts {
     /// Epoch in which it holds them.
     pub epoch: u64,
     /// Number of the map in use.
@@ -54,13 +54,13 @@
 
 /// Expert selection counts of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Counts {
+pub struct SelectionCounts {
     /// Start time of the process that counted, as in [`EngineState::born_ms`].
     pub born_ms: Option<u64>,
     /// Epoch in which the counts were read.
     pub epoch: u64,
     /// Selections of each expert since the engine started, set by set.
-    pub picks: Vec<u64>,
+    pub selections: Vec<u64>,
 }
 
 /// Connection to one engine.
@@ -70,10 +70,10 @@
     async fn state(&mut self) -> Result<EngineState, EngineError>;
 
     /// Reads how often its requests have selected each expert.
-    async fn counts(&mut self) -> Result<Counts, EngineError>;
+    async fn counts(&mut self) -> Result<SelectionCounts, EngineError>;
 
     /// Reads which experts it holds.
-    async fn held(&mut self) -> Result<Held, EngineError>;
+    async fn held_experts(&mut self) -> Result<HeldExperts, EngineError>;
 
     /// Sends an order; `map` is the whole map if the order is to stage one.
     async fn order(&mut self, order: &Order, map: Option<&Map>) -> Answer;
--- a/crates/sparscale_conduct/src/leader.rs
+++ b/crates/sparscale_conduct/src/leader.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_place::barrier::{Conductor, Progress};
+use sparscale_place::barrier::{Coordinator, Progress};
 use sparscale_place::{Map, Trend};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::{Base, RankNews};
@@ -37,7 +37,7 @@
 pub(crate) struct Leader {
     pub(crate) context: Context,
     pub(crate) term: Term,
-    pub(crate) coordinator: Conductor,
+    pub(crate) coordinator: Coordinator,
     pub(crate) members: Vec<Member>,
     events: mpsc::Receiver<Event>,
     decider: Option<Decider>,
@@ -86,7 +86,7 @@
         let fence = (term.claim + 1) * FENCES_PER_CLAIM;
         let now = Instant::now();
         Self {
-            coordinator: Conductor::new(term.size, term.own_rank, fence),
+            coordinator: Coordinator::new(term.size, term.own_rank, fence),
             context,
             term,
             members,
@@ -120,7 +120,7 @@
     pub(crate) async fn run(mut self) {
         self.context.metrics.leading.set(1.0);
         log::info!(target: DECISION, decision = "lead", group = self.term.group.as_str(), claim = self.term.claim, rank = self.term.own_rank; "leading a group");
-        let mut rosters = self.context.board.target_lists();
+        let mut rosters = self.context.board.subscribe_targets();
         self.update_locations();
         let mut tick = Instant::now();
         while !self.overtaken {
@@ -162,7 +162,7 @@
             Event::OrdersLost { rank } => {
                 self.members[rank].pending_order = None;
                 self.members[rank].settle_pending_map(None);
-                self.coordinator.lost(rank);
+                self.coordinator.record_no_answer(rank);
             }
             Event::Update { rank, update } => self.handle_update(rank, update),
             Event::DirectUpdate { rank, update } => {
@@ -202,7 +202,7 @@
                 {
                     self.measure_passes(view.step, now);
                 }
-                self.coordinator.report(rank, report);
+                self.coordinator.record_report(rank, report);
             }
             RankNews::Picks { picks, .. } => {
                 if let Some(decider) = &mut self.decider {
@@ -253,7 +253,7 @@
             self.send_loads_now |= trend == Some(Trend::Shifted);
         }
         let unresponsive = self.unresponsive().count();
-        self.coordinator.set_silent(unresponsive > 0);
+        self.coordinator.set_unresponsive(unresponsive > 0);
         // Entries keep sending to an unresponsive rank until they are notified.
         self.send_loads_now |= unresponsive > self.unresponsive_ranks;
         self.unresponsive_ranks = unresponsive;
@@ -398,7 +398,7 @@
         let Some(refined) = decider.next_map(map) else { return };
         self.switch_count += 1;
         let number = (self.term.claim + 1) * FENCES_PER_CLAIM + self.switch_count;
-        if self.coordinator.begin(number) {
+        if self.coordinator.begin_change(number) {
             let base = match base {
                 0 => Base::Initial(decider.shape()),
                 number => Base::Sent(*number),
@@ -408,8 +408,8 @@
             self.switch = Some(MapSwitch {
                 next_map: OutgoingMap::new(number, refined.map, &bases),
                 started_at: Instant::now(),
-                max_rank_loads: refined.deepest,
-                loads: refined.loads,
+                max_rank_loads: refined.max_loads_per_rank,
+                loads: refined.replica_loads,
                 held_since: None,
             });
         }
@@ -421,7 +421,7 @@
         let age = |at: Option<Instant>| at.map_or(-1, |at| at.elapsed().as_millis() as i64);
         let order_age = age(member.pending_order.map(|(_, at)| at));
         let report_age = age(member.load.map(|(_, at)| at));
-        let (act, view) = (self.coordinator.pending(rank), self.coordinator.view(rank));
+        let (act, view) = (self.coordinator.pending_act(rank), self.coordinator.view(rank));
         format!(
             "{rank}: {act:?} for {order_age} ms, heard {report_age} ms ago, direct {}, {view:?}",
             member.agent_bypassed
@@ -452,11 +452,11 @@
         };
         let awaited: Vec<String> = self
             .coordinator
-            .awaited()
+            .awaited_ranks()
             .into_iter()
             .take(MAX_LOGGED_RANKS)
             .map(|rank| self.describe_rank(rank))
             .collect();
-        log::info!(target: DECISION, decision = "stalled", group = self.term.group.as_str(), reason, progress:? = self.coordinator.progress(), surveys = self.coordinator.surveys(), awaited:? = awaited, unheard:? = outdated; "no placement decision is possible");
+        log::info!(target: DECISION, decision = "stalled", group = self.term.group.as_str(), reason, progress:? = self.coordinator.progress(), surveys = self.coordinator.survey_count(), awaited:? = awaited, unheard:? = outdated; "no placement decision is possible");
     }
 }
--- a/crates/sparscale_conduct/src/leader/outbound.rs
+++ b/crates/sparscale_conduct/src/leader/outbound.rs
@@ -50,7 +50,7 @@
         let mut missing: Vec<usize> = self.unresponsive().collect();
         missing.extend((0..self.members.len()).filter(is_bypassed));
         for rank in missing {
-            if let Some(order) = self.coordinator.look_at(rank) {
+            if let Some(order) = self.coordinator.query_rank(rank) {
                 self.members[rank].pending_order = Some((order.serial, Instant::now()));
                 self.send_order(rank, order);
             }
@@ -83,7 +83,7 @@
             return;
         }
         for rank in self.outbox.clear() {
-            self.coordinator.lost(rank);
+            self.coordinator.record_no_answer(rank);
         }
     }
 
@@ -103,7 +103,7 @@
         let sent = self.members[rank].orders.try_send(RankOrder::Own { order, map });
         if sent.is_err() {
             self.members[rank].pending_order = None;
-            self.coordinator.lost(rank);
+            self.coordinator.record_no_answer(rank);
         }
     }
 
@@ -131,7 +131,7 @@
                 .is_some_and(|(_, at)| at.elapsed() > limit)
             {
                 self.members[rank].pending_order = None;
-                self.coordinator.lost(rank);
+                self.coordinator.record_no_answer(rank);
             }
         }
         let Some(switch) = &self.switch else { return };
@@ -158,7 +158,7 @@
         };
         if timed_out {
             log::warn!(target: DECISION, decision = "abandon", group = self.term.group.as_str(), number = switch.next_map.number, progress:? = self.coordinator.progress(); "map switch exceeded its time limit");
-            self.coordinator.abandon();
+            self.coordinator.abandon_change();
         }
     }
 
@@ -212,14 +212,14 @@
             pass: self.latest_pass,
             ranks: self.members.iter().map(fresh_load).collect(),
         };
-        self.context.mesh.offer_group(load, true);
+        self.context.mesh.merge_group_load(load, true);
     }
 }
 
 /// Upper bound of the encoded size of a map update: an expert in a whole map takes two bytes at most.
 fn encoded_bytes(map: &MapUpdate) -> usize {
     let content = match map {
-        MapUpdate::Change { patch, .. } => patch.bytes(),
+        MapUpdate::Change { patch, .. } => patch.size_bytes(),
         MapUpdate::Whole(map) => map
             .layers
             .iter()
--- a/crates/sparscale_conduct/src/leadership.rs
+++ b/crates/sparscale_conduct/src/leadership.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
-use crate::claims::{self, Claim, Claims};
+use crate::claims::{self, ClaimOutcome, Claims};
 use crate::context::{Context, Term};
 use crate::engine::EngineState;
 use crate::handle::LeaderObservation;
@@ -147,8 +147,8 @@
         let claimed = tokio::time::timeout(CLAIM_TIMEOUT, claiming).await;
         self.waiting_since = Instant::now();
         match claimed {
-            Ok(Ok(Claim::Won { place: position })) => self.lead(group, state, position).await,
-            Ok(Ok(Claim::Lost { end })) => {
+            Ok(Ok(ClaimOutcome::Won { position })) => self.lead(group, state, position).await,
+            Ok(Ok(ClaimOutcome::Lost { next_position: end })) => {
                 self.context.metrics.record_claim("lost");
                 match claims::number(end) {
                     Some(number) => self.record_next_claim(number),
@@ -160,7 +160,7 @@
         }
     }
 
-    async fn lead(&mut self, group: String, state: &EngineState, position: Place) {
+    async fn lead(&mut self, group: String, state: &EngineState, position: Position) {
         // A number below the known end comes from a list that was restored since: another claim has taken its place.
         let number =
             claims::number(position).filter(|number| self.next_claim.is_none_or(|next_claim| *number >= next_claim));
--- a/crates/sparscale_conduct/src/lib.rs
+++ b/crates/sparscale_conduct/src/lib.rs
@@ -27,11 +27,11 @@
 mod timing;
 
 pub use bandwidth::Bandwidth;
-pub use claims::{Claim, Claims, Error as ClaimError, number as claim_number, position as claim_position};
-pub use engine::{Counts, Engine, EngineError, EngineState, Engines, Held};
+pub use claims::{ClaimOutcome, Claims, Error as ClaimError, number as claim_number, position as claim_position};
+pub use engine::{Engine, EngineError, EngineState, Engines, HeldExperts, SelectionCounts};
 pub use leader_poll::{LeaderStatus, evaluate_poll};
 pub use maps::{MapCache, OutgoingMap, SentMaps};
-pub use program::{Error, Parts, Settings, run, start};
+pub use program::{Dependencies, Error, Settings, run, start};
 pub use remote_engine::RemoteEngine;
 pub use reporter::CountReporter;
 pub use timing::GroupTiming;
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use snafu::{ResultExt as _, Snafu};
-use sparscale_belief::{Board, Pace, ReadFigures, Source, read_catalog, read_roster};
+use sparscale_belief::{Board, ReadMetrics, ReadSchedule, Source, read_catalog, read_roster};
 use sparscale_catalog::{Catalog, Roster};
 use sparscale_mesh::Mesh;
 use sparscale_telemetry::{DECISION, Registry, Signals};
@@ -33,21 +33,21 @@
     /// Address on which it accepts connections from other processes; every agent uses the same port.
     pub address: SocketAddr,
     /// Address of the engine beside it.
-    pub engine: SocketAddr,
+    pub engine_address: SocketAddr,
     /// Service that the engine belongs to.
     pub service: String,
     /// Addresses of the configured entries.
     pub seeds: Vec<SocketAddr>,
     /// Time between two messages on a link that has no updates.
-    pub interval: Duration,
+    pub keepalive_interval: Duration,
     /// Bandwidth of this box's link.
     pub bandwidth: Bandwidth,
     /// Age of the observed state after which the agent reads the store itself, because no entry has sent it since.
-    pub read_interval: Duration,
+    pub max_observation_age: Duration,
 }
 
 /// External services that an agent uses.
-pub struct Parts {
+pub struct Dependencies {
     /// Source of the catalog.
     pub catalog: Box<dyn Source<Catalog>>,
     /// Source of the roster.
@@ -60,7 +60,7 @@
     pub registry: Arc<Registry>,
 }
 
-impl std::fmt::Debug for Parts {
+impl std::fmt::Debug for Dependencies {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Parts").finish_non_exhaustive()
     }
@@ -78,7 +78,12 @@
 }
 
 /// Runs an agent until SIGTERM.
-pub async fn run(settings: Settings, parts: Parts, mut signals: Signals, reload: impl FnMut()) -> Result<(), Error> {
+pub async fn run(
+    settings: Settings,
+    parts: Dependencies,
+    mut signals: Signals,
+    reload: impl FnMut(),
+) -> Result<(), Error> {
     start(&settings, parts)?;
     signals.wait_for_stop(reload).await;
     log::info!(target: DECISION, decision = "stopped"; "agent stopped");
@@ -86,7 +91,7 @@
 }
 
 /// Starts an agent's tasks on the current runtime.
-pub fn start(settings: &Settings, parts: Parts) -> Result<(), Error> {
+pub fn start(settings: &Settings, parts: Dependencies) -> Result<(), Error> {
     let board = Arc::new(Board::default());
     let identity = Identity::Made(Role::Agent);
     let endpoint = Arc::new(Endpoint::with_streams(settings.address, identity, FEW_STREAMS).context(EndpointSnafu)?);
@@ -95,24 +100,24 @@
             address: settings.address,
             role: Role::Agent,
             seeds: settings.seeds.clone(),
-            interval: settings.interval,
-            few_entries: sparscale_mesh::FEW_ENTRIES,
+            interval: settings.keepalive_interval,
+            entries_per_load_step: sparscale_mesh::DEFAULT_ENTRIES_PER_LOAD_STEP,
         },
         Arc::clone(&board),
         Arc::clone(&endpoint),
     );
-    tokio::spawn(Arc::clone(&mesh).follow_one());
+    tokio::spawn(Arc::clone(&mesh).run_agent_link());
     let pace = || {
-        let (interval, head_start) = (settings.read_interval, settings.read_interval);
-        Arc::new(Pace::new(interval, Duration::ZERO, head_start).with_max_retry(MAX_RETRY_DELAY))
+        let (interval, head_start) = (settings.max_observation_age, settings.max_observation_age);
+        Arc::new(ReadSchedule::new(interval, Duration::ZERO, head_start).with_max_retry_delay(MAX_RETRY_DELAY))
     };
-    let read_metrics = || ReadFigures::new(&parts.registry);
+    let read_metrics = || ReadMetrics::new(&parts.registry);
     tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), read_metrics()));
     tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), read_metrics()));
     let metrics = Metrics::new(&parts.registry);
     let handle = agent::start(
         Arc::clone(&parts.engines),
-        settings.engine,
+        settings.engine_address,
         settings.bandwidth,
         metrics.clone(),
     );
@@ -123,7 +128,7 @@
         endpoint: Arc::clone(&endpoint),
         engines: parts.engines,
         handle,
-        engine_address: settings.engine,
+        engine_address: settings.engine_address,
         port: settings.address.port(),
         bandwidth: settings.bandwidth,
         metrics,
--- a/crates/sparscale_conduct/tests/group/engines.rs
+++ b/crates/sparscale_conduct/tests/group/engines.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use async_trait::async_trait;
-use sparscale_belief::{Error as SourceError, Reading, Source};
+use sparscale_belief::{Error as SourceError, Source, Versioned};
 use sparscale_catalog::{Catalog, Experts, Membership, Roster};
 use sparscale_conduct::{
-    Bandwidth, Claim, ClaimError, Claims, Counts, Engine, EngineError, EngineState, Engines, Held, Parts, Settings,
-    start,
+    Bandwidth, ClaimError, ClaimOutcome, Claims, Dependencies, Engine, EngineError, EngineState, Engines, HeldExperts,
+    SelectionCounts, Settings, start,
 };
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_place::barrier::{Act, Answer, Change, Order, View};
 use sparscale_place::{Map, Shape};
 use sparscale_samples as samples;
@@ -142,14 +142,14 @@
         let settings = Settings {
             name: format!("agent-{rank}"),
             address: self.agent_address(rank),
-            engine: self.address(rank, 8_000),
+            engine_address: self.address(rank, 8_000),
             service: samples::MODEL.to_owned(),
             seeds: Vec::new(),
-            interval: Duration::from_millis(100),
+            keepalive_interval: Duration::from_millis(100),
             bandwidth: Bandwidth::from_mbps(20.0),
-            read_interval: Duration::from_millis(300),
+            max_observation_age: Duration::from_millis(300),
         };
-        let parts = Parts {
+        let parts = Dependencies {
             catalog: Box::new(FixedSource(catalog())),
             roster: Box::new(FixedSource(self.roster())),
             engines: Arc::new(SimulatedEngines {
@@ -339,8 +339,8 @@
 
 #[async_trait]
 impl<T: Send + Sync + 'static> Source<T> for FixedSource<T> {
-    async fn read(&mut self) -> Result<Reading<T>, SourceError> {
-        Ok(Reading {
+    async fn read(&mut self) -> Result<Versioned<T>, SourceError> {
+        Ok(Versioned {
             value: Arc::clone(&self.0),
             position: 1.into(),
         })
@@ -351,15 +351,17 @@
 
 #[async_trait]
 impl Claims for ClaimList {
-    async fn claim(&mut self, _group: &str, holder: &str, end: Place) -> Result<Claim, ClaimError> {
+    async fn claim(&mut self, _group: &str, holder: &str, end: Position) -> Result<ClaimOutcome, ClaimError> {
         let mut group = self.0.lock();
-        let list_end = Place::new(group.era, group.claims.len() as u64);
+        let list_end = Position::new(group.era, group.claims.len() as u64);
         if list_end.offset != end.offset || group.others_claim_first {
             group.lost_claims.push(Instant::now());
-            return Ok(Claim::Lost { end: list_end });
+            return Ok(ClaimOutcome::Lost {
+                next_position: list_end,
+            });
         }
         group.claims.push(holder.to_owned());
-        Ok(Claim::Won { place: list_end })
+        Ok(ClaimOutcome::Won { position: list_end })
     }
 }
 
@@ -423,17 +425,17 @@
         Ok(self.world.lock().state(self.rank))
     }
 
-    async fn counts(&mut self) -> Result<Counts, EngineError> {
+    async fn counts(&mut self) -> Result<SelectionCounts, EngineError> {
         self.ensure_reachable().await?;
         let group = self.world.lock();
-        Ok(Counts {
+        Ok(SelectionCounts {
             born_ms: Some(group.started_ms[self.rank]),
             epoch: group.epoch,
-            picks: group.counts.clone(),
+            selections: group.counts.clone(),
         })
     }
 
-    async fn held(&mut self) -> Result<Held, EngineError> {
+    async fn held_experts(&mut self) -> Result<HeldExperts, EngineError> {
         let group = self.world.lock();
         let (number, map) = &group.ranks[self.rank].map;
         let shape = Shape {
@@ -444,7 +446,7 @@
         };
         let map = map.clone().unwrap_or_else(|| Map::initial(shape));
         let sets = map.layers.iter().map(|layer| layer.ranks[self.rank].clone());
-        Ok(Held {
+        Ok(HeldExperts {
             epoch: group.epoch,
             number: *number,
             sets: sets.collect(),
--- a/crates/sparscale_conduct/tests/group/stale_state.rs
+++ b/crates/sparscale_conduct/tests/group/stale_state.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sparscale_conduct::{Counts, Engine, EngineError, EngineState, Held, RemoteEngine};
+use sparscale_conduct::{Engine, EngineError, EngineState, HeldExperts, RemoteEngine, SelectionCounts};
 use sparscale_place::Map;
 use sparscale_place::barrier::{Act, Answer, Change, Order, View};
 use sparscale_wire::RankLoad;
@@ -41,11 +41,11 @@
         })
     }
 
-    async fn counts(&mut self) -> Result<Counts, EngineError> {
+    async fn counts(&mut self) -> Result<SelectionCounts, EngineError> {
         unreachable!("not called by this test")
     }
 
-    async fn held(&mut self) -> Result<Held, EngineError> {
+    async fn held_experts(&mut self) -> Result<HeldExperts, EngineError> {
         unreachable!("not called by this test")
     }
 
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -7,8 +7,8 @@
 use futures::future::join_all;
 use sparscale_bundle::{Group, Placement};
 use sparscale_journal::{Body, Duty, MapChange, shape};
-use sparscale_place::switch::{Act, Conductor, Order, Progress, Report};
-use sparscale_place::{Costs, Counts, Decision, Map, Shape, decide};
+use sparscale_place::switch::{Act, Coordinator, Order, Progress, Report};
+use sparscale_place::{Costs, Decision, Map, Shape, TokenCounts, decide};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::{Ask, Frame, Role};
 use tokio::time::Instant;
@@ -46,7 +46,7 @@
 
 /// Expert counts, and what each rank had counted when it was last asked.
 struct Counting {
-    counts: Counts,
+    counts: TokenCounts,
     last: Vec<Option<Vec<u64>>>,
     at: Instant,
     next_rank: usize,
@@ -121,7 +121,7 @@
 
     /// Drives the ranks to the latest map, and keeps watching them until it is time to decide again.
     async fn drive(&mut self, facts: &Facts) -> Progress {
-        let mut conductor = Conductor::new(self.fence, facts.group.ranks.len(), facts.number);
+        let mut conductor = Coordinator::new(self.fence, facts.group.ranks.len(), facts.number);
         let decide_after = facts.placement.half_life_seconds / DECISIONS_PER_HALF_LIFE;
         let decide_at = Instant::now() + Duration::from_secs_f64(decide_after);
         let mut probe = Probe::default();
@@ -185,8 +185,8 @@
     }
 
     /// Sends each rank its next order and takes in the answers.
-    async fn round(&self, conductor: &mut Conductor, facts: &Facts) {
-        conductor.drop_missed_attempt();
+    async fn round(&self, conductor: &mut Coordinator, facts: &Facts) {
+        conductor.abandon_missed_attempt();
         let orders = conductor.orders();
         let sent = orders
             .into_iter()
@@ -194,8 +194,8 @@
             .map(|(order, rank)| self.send(rank, order));
         for (rank, report) in join_all(sent).await.into_iter().enumerate() {
             match report {
-                Some(report) => conductor.reported(rank, report),
-                None => conductor.lost(rank),
+                Some(report) => conductor.record_report(rank, report),
+                None => conductor.discard_report(rank),
             }
         }
     }
@@ -237,7 +237,7 @@
         let began = Instant::now();
         let decision = decide(&counting.counts, &facts.present, &costs);
         log_decision(&self.group, facts, &decision, began.elapsed());
-        let Some(map) = decision.next else { return };
+        let Some(map) = decision.next_map else { return };
         let change = MapChange {
             group: self.group.clone(),
             fence: self.fence,
@@ -250,7 +250,7 @@
 
     async fn count(&mut self, facts: &Facts) {
         let fresh = || Counting {
-            counts: Counts::new(facts.shape, Duration::from_secs_f64(facts.placement.half_life_seconds)),
+            counts: TokenCounts::new(facts.shape, Duration::from_secs_f64(facts.placement.half_life_seconds)),
             last: vec![None; facts.group.ranks.len()],
             at: Instant::now(),
             next_rank: 0,
@@ -309,9 +309,9 @@
         weight_skew: placement.weight_skew,
         weight_move: placement.weight_move,
         seconds_per_load: facts.group.expert_bytes as f64 / placement.weight_store_bytes_per_second,
-        slowed: SLOWED,
+        slowdown_share: SLOWED,
         move_budget: placement.move_budget,
-        quiet: is_quiet(placement, SystemTime::now()),
+        in_quiet_hours: is_quiet(placement, SystemTime::now()),
     }
 }
 
@@ -328,7 +328,7 @@
 }
 
 fn log_decision(group: &str, facts: &Facts, decision: &Decision, took: Duration) {
-    let chosen = if decision.next.is_some() { "move" } else { "stay" };
+    let chosen = if decision.next_map.is_some() { "move" } else { "stay" };
     log::info!(
         target: DECISION,
         decision = chosen,
@@ -337,7 +337,7 @@
         reason:? = decision.reason,
         skew_now = decision.skew_now,
         skew_next = decision.skew_next,
-        loads = decision.loads,
+        loads = decision.replica_loads,
         cost_stay = decision.cost_stay,
         cost_move = decision.cost_move,
         took_ms = took.as_secs_f64() * 1_000.0;
--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use sparscale_belief::Board;
 use sparscale_catalog::{Access, Catalog, Limits};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 use sparscale_quarantine::Fingerprint;
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
@@ -33,9 +33,9 @@
 pub struct Freshness {
     /// For a request with a key, because the key may have been revoked since. With [`Duration::MAX`] the last known
     /// keys stay valid until newer ones arrive, so that an outage of the store rejects no caller.
-    pub keyed: Duration,
+    pub max_age_with_key: Duration,
     /// For reporting that a route or key does not exist, because it may have been added since.
-    pub denial: Duration,
+    pub max_age_for_denial: Duration,
 }
 
 /// Checks requests and forwards the admitted ones to the [`Gateway`].
@@ -60,7 +60,7 @@
         let (parts, incoming) = request.into_parts();
         let limits = self.limits();
         let head_too_long = length_of(&parts) > limits.header_bytes;
-        let head = Head::new(parts, &self.gateway.caller.dialect);
+        let head = Head::new(parts, &self.gateway.target_client.dialect);
         let refusal = match read_body(incoming, &limits).await {
             Ok(_) if head_too_long => Refusal::new(Reason::HeadTooLong),
             Ok(body) => match self.admit(&head, received_at) {
@@ -79,9 +79,9 @@
     }
 
     fn reject(&self, head: &Head, refusal: Refusal) -> Response<Body> {
-        self.gateway.figures.refused(refusal.reason);
+        self.gateway.metrics.refused(refusal.reason);
         log_refusal(head, refusal, &self.gateway.board);
-        refusal.response(&self.gateway.caller.dialect.request_id, head.id.as_ref())
+        refusal.response(&self.gateway.target_client.dialect.request_id, head.id.as_ref())
     }
 
     fn admit(&self, head: &Head, received_at: Instant) -> Result<AdmittedRequest, Refusal> {
@@ -94,7 +94,7 @@
         let age = observation.age(self.gateway.board.now());
         // A missing route or key may have been added since the catalog was read.
         let deny = |reason| {
-            if age > self.freshness.denial {
+            if age > self.freshness.max_age_for_denial {
                 retry_later(Reason::StaleCatalog)
             } else {
                 Refusal::new(reason)
@@ -106,11 +106,13 @@
         let (workspace, tier) = match catalog.access(route_key, head.bearer.as_deref()) {
             Access::Denied => return Err(deny(Reason::UnknownKey)),
             Access::Open => (None, None),
-            Access::Workspace(_) if age > self.freshness.keyed => return Err(retry_later(Reason::StaleCatalog)),
+            Access::Workspace(_) if age > self.freshness.max_age_with_key => {
+                return Err(retry_later(Reason::StaleCatalog));
+            }
             Access::Workspace(workspace) => (Some(workspace.name.clone()), workspace.tier),
         };
         if self.gateway.board.quarantine.age().is_none()
-            && self.gateway.board.now().since(self.gateway.started) < MAX_STRIKES_WAIT
+            && self.gateway.board.now().since(self.gateway.started_at) < MAX_STRIKES_WAIT
         {
             return Err(retry_later(Reason::Starting));
         }
@@ -137,7 +139,7 @@
     workspace: Option<String>,
     tier: u8,
     deadline: Instant,
-    deadline_timestamp: Moment,
+    deadline_timestamp: Timestamp,
     retryable: bool,
 }
 
@@ -151,15 +153,15 @@
                 body,
                 fingerprint,
                 workspace: workspace.and_then(workspace_header),
-                until: self.deadline,
+                deadline: self.deadline,
                 deadline_timestamp: self.deadline_timestamp,
-                may_repeat: self.retryable,
-                last_event: None,
+                retryable: self.retryable,
+                last_event_id: None,
                 urgency: Some(self.tier.min(9)),
             },
             catalog: self.catalog,
             route: self.route,
-            began: received_at,
+            arrived_at: received_at,
         }
     }
 }
--- a/crates/sparscale_gateway/src/answer.rs
+++ b/crates/sparscale_gateway/src/answer.rs
@@ -2,9 +2,9 @@
 
 use http::{HeaderMap, StatusCode};
 
-use crate::attempt::{Begun, Reply};
+use crate::attempt::{PartialResponse, Reply};
 use crate::events::Event;
-use crate::loads::Running;
+use crate::loads::InFlightGuard;
 use crate::relay::Run;
 
 /// Outcome of a request whose caller did not wait for its answer.
@@ -16,7 +16,7 @@
     /// All of it.
     Complete(Reply),
     /// Longer than what is collected: passed on as it comes.
-    Long(Box<Begun>, Running),
+    Long(Box<PartialResponse>, InFlightGuard),
     /// Events.
     Stream(Box<Stream>),
 }
@@ -28,5 +28,5 @@
     pub(crate) headers: HeaderMap,
     pub(crate) first: Option<Event>,
     pub(crate) run: Run,
-    pub(crate) running: Running,
+    pub(crate) running: InFlightGuard,
 }
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 use sparscale_backpressure::{Asked, Signal};
 use sparscale_belief::Board;
 use sparscale_catalog::{Incarnation, Seat, Target};
-use sparscale_clock::{Clock, Moment};
+use sparscale_clock::{Clock, Timestamp};
 use sparscale_quarantine::Fingerprint;
 use tokio::time::Instant;
 
@@ -35,40 +35,40 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) workspace: Option<HeaderValue>,
     /// Deadline of the reply.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     /// The same deadline by the clock that counts suspended time, as the caller's wait goes on while this box is
     /// suspended.
-    pub(crate) deadline_timestamp: Moment,
+    pub(crate) deadline_timestamp: Timestamp,
     /// Whether the request may run more than once.
-    pub(crate) may_repeat: bool,
+    pub(crate) retryable: bool,
     /// Event id after which a resumed stream continues, if it differs from the one that the caller sent.
-    pub(crate) last_event: Option<u64>,
+    pub(crate) last_event_id: Option<u64>,
     /// How soon the target should start the request; 0 is the most urgent.
     pub(crate) urgency: Option<u8>,
 }
 
 /// Why a reply is missing or unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Loss {
+pub(crate) enum ResponseError {
     /// No complete reply arrived in time.
     Timeout,
     /// The connection was lost.
-    Broken,
+    ConnectionLost,
     /// The reply carries the id of another request.
     RequestIdMismatch,
     /// The reply has no digest, or an encoding that was not requested.
-    Spoiled,
+    Malformed,
     /// The status guarantees that the request has not run, but the target did not confirm it.
     UnconfirmedRejection,
 }
 
-impl Loss {
+impl ResponseError {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Timeout => "timeout",
-            Self::Broken => "broken",
+            Self::ConnectionLost => "broken",
             Self::RequestIdMismatch => "foreign",
-            Self::Spoiled => "spoiled",
+            Self::Malformed => "spoiled",
             Self::UnconfirmedRejection => "unfounded",
         }
     }
@@ -84,9 +84,9 @@
     /// A complete reply.
     Complete(Reply),
     /// A reply whose head has arrived and whose body is still arriving.
-    Partial(Begun),
+    Partial(PartialResponse),
     /// The request may have run, but there is no complete reply.
-    ReplyLost(Loss),
+    ReplyLost(ResponseError),
 }
 
 /// A rejection by a target.
@@ -122,17 +122,17 @@
 
 /// A reply whose body is still arriving.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     /// Start of the body, buffered so far.
-    pub(crate) collected: Bytes,
-    pub(crate) rest: Rest,
+    pub(crate) buffered: Bytes,
+    pub(crate) remainder: RemainingBody,
 }
 
 /// The remaining body of a reply, and the connection that it arrives on.
 #[derive(Debug)]
-pub(crate) struct Rest {
+pub(crate) struct RemainingBody {
     incoming: Incoming,
     connection: Option<Connection>,
     headers: HeaderMap,
@@ -142,16 +142,16 @@
 
 /// HTTP client for requests to targets.
 #[derive(Debug, Clone)]
-pub(crate) struct Caller {
+pub(crate) struct TargetClient {
     pub(crate) pool: Arc<Pool>,
     pub(crate) dialect: Arc<Dialect>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) board: Arc<Board>,
     /// Maximum idle time of a connection that is reused for a request which may run only once.
-    pub(crate) max_rest_once: Duration,
+    pub(crate) max_idle_run_once: Duration,
 }
 
-impl Caller {
+impl TargetClient {
     /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other replies once complete
     /// or longer than [`MAX_BUFFERED_BYTES`].
     pub(crate) async fn send(&self, instance: &Seat, outbound: &Outbound) -> SendOutcome {
@@ -162,15 +162,15 @@
                 return SendOutcome::NotSent;
             }
         };
-        let reply = tokio::time::timeout_at(outbound.until, self.exchange(instance, outbound, connection));
-        reply.await.unwrap_or(SendOutcome::ReplyLost(Loss::Timeout))
+        let reply = tokio::time::timeout_at(outbound.deadline, self.exchange(instance, outbound, connection));
+        reply.await.unwrap_or(SendOutcome::ReplyLost(ResponseError::Timeout))
     }
 
     async fn connection(&self, instance: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
-        let max_idle = if outbound.may_repeat {
+        let max_idle = if outbound.retryable {
             Duration::MAX
         } else {
-            self.max_rest_once
+            self.max_idle_run_once
         };
         match self.pool.take(instance.key, max_idle) {
             Some(connection) => Ok(connection),
@@ -194,7 +194,7 @@
         let (parts, incoming) = match result {
             Ok(response) => response.into_parts(),
             Err(error) if error.message().is_some() => return SendOutcome::NotSent,
-            Err(_) => return SendOutcome::ReplyLost(Loss::Broken),
+            Err(_) => return SendOutcome::ReplyLost(ResponseError::ConnectionLost),
         };
         let signal = self.record_signal(instance, &parts, outbound);
         match self.classify(&parts, outbound) {
@@ -229,7 +229,7 @@
         if let Some(urgency) = outbound.urgency {
             headers.insert(dialect.urgency.clone(), HeaderValue::from(u16::from(urgency)));
         }
-        if let Some(last_event) = outbound.last_event {
+        if let Some(last_event) = outbound.last_event_id {
             headers.insert(
                 header::HeaderName::from_static("last-event-id"),
                 HeaderValue::from(last_event),
@@ -248,12 +248,12 @@
             return signal;
         }
         match signal.rate {
-            Asked::Nothing => self.board.throttle.note(instance, None, signal.leaving),
-            Asked::For(rate) => self.board.throttle.note(instance, Some(rate), signal.leaving),
+            Asked::Nothing => self.board.throttle.record_notice(instance, None, signal.leaving),
+            Asked::For(rate) => self.board.throttle.record_notice(instance, Some(rate), signal.leaving),
             Asked::Unreadable => {}
         }
         if let Some(backoff) = signal.rest {
-            self.board.throttle.rest(instance, backoff);
+            self.board.throttle.record_backoff(instance, backoff);
         }
         signal
     }
@@ -261,7 +261,7 @@
     /// Classifies a reply by its head.
     fn classify(&self, parts: &Parts, outbound: &Outbound) -> ReplyClass {
         if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
-            return ReplyClass::Unusable(Loss::RequestIdMismatch);
+            return ReplyClass::Unusable(ResponseError::RequestIdMismatch);
         }
         if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return ReplyClass::Rejected;
@@ -274,11 +274,11 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if not_run_statuses.contains(&parts.status) {
-            return ReplyClass::Unusable(Loss::UnconfirmedRejection);
+            return ReplyClass::Unusable(ResponseError::UnconfirmedRejection);
         }
         let has_digest = parts.headers.contains_key(&self.dialect.digest);
         if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !has_digest) {
-            return ReplyClass::Unusable(Loss::Spoiled);
+            return ReplyClass::Unusable(ResponseError::Malformed);
         }
         ReplyClass::Answered
     }
@@ -299,7 +299,7 @@
         incoming: Incoming,
         connection: Connection,
     ) -> SendOutcome {
-        let mut remainder = Rest {
+        let mut remainder = RemainingBody {
             incoming,
             connection: Some(connection),
             headers: parts.headers.clone(),
@@ -310,11 +310,11 @@
         let status = parts.status;
         if is_event_stream(&parts.headers) {
             let buffered = Bytes::new();
-            return SendOutcome::Partial(Begun {
+            return SendOutcome::Partial(PartialResponse {
                 status,
                 headers,
-                collected: buffered,
-                rest: remainder,
+                buffered,
+                remainder,
             });
         }
         let mut buffered = BytesMut::new();
@@ -326,11 +326,11 @@
             }
             if buffered.len() > MAX_BUFFERED_BYTES {
                 let buffered = buffered.freeze();
-                return SendOutcome::Partial(Begun {
+                return SendOutcome::Partial(PartialResponse {
                     status,
                     headers,
-                    collected: buffered,
-                    rest: remainder,
+                    buffered,
+                    remainder,
                 });
             }
         }
@@ -360,12 +360,12 @@
 enum ReplyClass {
     Answered,
     Rejected,
-    Unusable(Loss),
+    Unusable(ResponseError),
 }
 
-impl Rest {
+impl RemainingBody {
     /// The next bytes of the body, or none at its regular end, where the connection goes back to the pool.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Loss> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, ResponseError> {
         loop {
             let Some(frame) = self.incoming.frame().await else {
                 if let Some(connection) = self.connection.take() {
@@ -374,7 +374,7 @@
                 return Ok(None);
             };
             // Trailers are not forwarded.
-            if let Ok(data) = frame.map_err(|_broken| Loss::Broken)?.into_data() {
+            if let Ok(data) = frame.map_err(|_broken| ResponseError::ConnectionLost)?.into_data() {
                 return Ok(Some(data));
             }
         }
--- a/crates/sparscale_gateway/src/tries.rs
+++ b/crates/sparscale_gateway/src/attempt_history.rs
@@ -2,21 +2,21 @@
 
 use crate::answer::Answer;
 use crate::attempt::Reply;
+use crate::attempted_targets::AttemptedTargets;
 use crate::refusal::Refusal;
-use crate::tried::AttemptedTargets;
 
 /// Maximum number of unavailable targets per request. They don't count as attempts, as they received no work.
 const MAX_UNAVAILABLE_TARGETS: u32 = 3;
 
 /// The attempts made so far for one request.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct AttemptHistory {
     /// Service that takes the request, once chosen.
     pub(crate) service: Option<String>,
     /// Group of ranks that takes the request, if the service has groups.
     pub(crate) group: Option<String>,
     /// Targets that the request was sent to.
-    pub(crate) tried: AttemptedTargets,
+    pub(crate) attempted_targets: AttemptedTargets,
     /// Number of targets that were unreachable or replaced, consecutive or not.
     pub(crate) unavailable_targets: u32,
     /// Error answer of a target, kept in case no later attempt succeeds.
@@ -28,7 +28,7 @@
     pub(crate) not_run_refusal: Option<Refusal>,
 }
 
-impl Tries {
+impl AttemptHistory {
     /// The final result in order of preference: a target's error answer, the refusal for an unknown outcome, the
     /// refusal for a request that did not run, or `fallback`.
     pub(crate) fn final_result(&mut self, fallback: Refusal) -> Result<Answer, Refusal> {
--- a/crates/sparscale_gateway/src/entry.rs
+++ b/crates/sparscale_gateway/src/entry.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use snafu::ResultExt as _;
-use sparscale_belief::{Archive, Board, Pace, ReadFigures, read_catalog, read_roster, read_strikes};
+use sparscale_belief::{Archive, Board, ReadMetrics, ReadSchedule, read_catalog, read_roster, read_strikes};
 use sparscale_catalog::Group;
-use sparscale_mesh::{Line, Mesh};
+use sparscale_mesh::{Mesh, MeshStatus};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::{Endpoint, FEW_STREAMS, Identity, Role};
 use tokio::net::TcpListener;
@@ -17,19 +17,19 @@
 use tokio::time::Instant;
 
 use crate::admission::Admission;
-use crate::attempt::Caller;
+use crate::attempt::TargetClient;
 use crate::exchange::Gateway;
 use crate::figures::{Figures, tell_levels};
 use crate::gate::Gates;
 use crate::loads::Loads;
-use crate::phase::{Phase, Progress};
+use crate::phase::{ConnectionCounter, Phase};
 use crate::pool::Pool;
+use crate::queues::Queues;
 use crate::ready;
+use crate::response_monitor::ResponseMonitor;
 use crate::server;
 use crate::settings::{AddressSnafu, Error, ListenSnafu, Parts, PeersSnafu, Settings};
-use crate::silences::Silences;
-use crate::split::Splits;
-use crate::waiting::Queues;
+use crate::traffic_split::TrafficSplit;
 
 /// Longest rest of a connection on which a request that may run once is sent: a target may have forgotten it.
 const MAX_REST_ONCE: Duration = Duration::ZERO;
@@ -56,7 +56,7 @@
     pub mesh: Arc<Mesh>,
     settings: Settings,
     phase: watch::Sender<Phase>,
-    progress: Arc<Progress>,
+    progress: Arc<ConnectionCounter>,
 }
 
 impl Entry {
@@ -66,9 +66,13 @@
         let callers = listen(settings.callers).await?;
         let ready = listen(settings.ready).await?;
         let mesh = mesh(&settings, &board)?;
-        let pace = Arc::new(Pace::new(settings.read_interval, settings.read_step, Duration::ZERO));
+        let pace = Arc::new(ReadSchedule::new(
+            settings.read_interval,
+            settings.read_step,
+            Duration::ZERO,
+        ));
         let registry = parts.registry;
-        let figures = || ReadFigures::new(&registry);
+        let figures = || ReadMetrics::new(&registry);
         tokio::spawn(read_catalog(
             Arc::clone(&board),
             parts.catalog,
@@ -81,7 +85,7 @@
             Arc::clone(&pace),
             figures(),
         ));
-        let strikes_pace = Arc::new(Pace::new(
+        let strikes_pace = Arc::new(ReadSchedule::new(
             settings.read_interval * STRIKES_INTERVALS,
             settings.read_step * STRIKES_INTERVALS,
             Duration::ZERO,
@@ -101,28 +105,28 @@
         let gateway = Arc::new(Gateway {
             board: Arc::clone(&board),
             mesh: Arc::clone(&mesh),
-            caller: Caller {
+            target_client: TargetClient {
                 pool: Arc::new(Pool::new(Arc::clone(&parts.clock))),
                 clock: Arc::clone(&parts.clock),
                 board: Arc::clone(&board),
                 dialect: Arc::new(parts.dialect),
-                max_rest_once: MAX_REST_ONCE,
+                max_idle_run_once: MAX_REST_ONCE,
             },
             loads: Arc::new(Loads::new(Arc::clone(&entries))),
-            silences: Silences::default(),
+            response_monitor: ResponseMonitor::default(),
             hall: settings.hall.clone(),
             allowance: settings.allowance,
-            budgets: Mutex::new(HashMap::new()),
-            splits: Splits::default(),
-            figures: Figures::new(Arc::clone(&registry)),
+            retry_budgets: Mutex::new(HashMap::new()),
+            traffic_split: TrafficSplit::default(),
+            metrics: Figures::new(Arc::clone(&registry)),
             queues: Queues::new(Arc::clone(&mesh), Arc::clone(&entries)),
             sharers: AtomicUsize::new(0),
-            started: board.now(),
+            started_at: board.now(),
             gates: Gates::default(),
             deadlines: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedules: Mutex::default(),
         });
-        let progress = Arc::new(Progress::default());
+        let progress = Arc::new(ConnectionCounter::default());
         tell_levels(&registry, &board, &mesh, &progress);
         tokio::spawn(admit_waiting(Arc::clone(&gateway)));
         let paces = [pace, strikes_pace];
@@ -152,7 +156,7 @@
     pub async fn stop(&self) {
         let began = Instant::now();
         let connections = || self.progress.connections.load(Ordering::Relaxed);
-        self.phase.send_replace(Phase::Leaving);
+        self.phase.send_replace(Phase::Draining);
         log::info!(target: DECISION, decision = "stop", connections = connections(); "told to stop");
         tokio::time::sleep(self.settings.leave_time).await;
         self.phase.send_replace(Phase::Closing);
@@ -175,31 +179,34 @@
         role: Role::Entry,
         seeds: settings.seeds.clone(),
         interval: settings.interval,
-        few_entries: sparscale_mesh::FEW_ENTRIES,
+        entries_per_load_step: sparscale_mesh::DEFAULT_ENTRIES_PER_LOAD_STEP,
     };
     let mesh = Mesh::new(settings, Arc::clone(board), Arc::new(endpoint));
-    tokio::spawn(Arc::clone(&mesh).link_entries());
+    tokio::spawn(Arc::clone(&mesh).run_entry_links());
     tokio::spawn(Arc::clone(&mesh).accept());
     Ok(mesh)
 }
 
 /// Tells the store of requests that crash targets.
-async fn keep_strikes(board: Arc<Board>, archive: Box<dyn Archive>, pace: Arc<Pace>) {
-    board.quarantine.keep_in(archive, || pace.place() == 0).await;
+async fn keep_strikes(board: Arc<Board>, archive: Box<dyn Archive>, pace: Arc<ReadSchedule>) {
+    board
+        .quarantine
+        .sync_to_archive(archive, || pace.reader_index() == 0)
+        .await;
 }
 
 /// Keeps this entry's place among the readers of the store, its share of the room of groups and of the budget's slack.
-async fn follow_line(mesh: Arc<Mesh>, paces: [Arc<Pace>; 2], room: Arc<AtomicUsize>, gateway: Arc<Gateway>) {
-    let mut line = mesh.line();
+async fn follow_line(mesh: Arc<Mesh>, paces: [Arc<ReadSchedule>; 2], room: Arc<AtomicUsize>, gateway: Arc<Gateway>) {
+    let mut line = mesh.status();
     let mut told = line.borrow().entries;
     while line.changed().await.is_ok() {
-        let Line {
-            place,
+        let MeshStatus {
+            index: place,
             entries,
             sharers,
         } = *line.borrow_and_update();
         for pace in &paces {
-            pace.set_place(place);
+            pace.set_reader_index(place);
         }
         // Before any other entry is met, the guess stays.
         if entries != told {
@@ -226,15 +233,15 @@
 
 /// Lets requests in that wait whenever loads were told.
 async fn admit_waiting(gateway: Arc<Gateway>) {
-    let mut news = gateway.mesh.group_news();
+    let mut news = gateway.mesh.subscribe_group_loads();
     while news.next().await {
-        let crowded = gateway.queues.crowded();
+        let crowded = gateway.queues.groups_with_backlog();
         let (Some(catalog), Some(targets)) = (gateway.board.catalog(), gateway.board.targets()) else {
             continue;
         };
-        gateway.loads.slow.update(&gateway.mesh, &targets.value);
-        for load in gateway.mesh.groups() {
-            gateway.silences.note_told(&load);
+        gateway.loads.stragglers.update(&gateway.mesh, &targets.value);
+        for load in gateway.mesh.group_loads() {
+            gateway.response_monitor.record_report(&load);
         }
         // Looked up once a service: it may have many groups.
         let mut limits = HashMap::new();
@@ -249,7 +256,7 @@
             });
             if let Some((engine, pause)) = limits {
                 let ranks = Group { name: &group, size };
-                let open_part = gateway.open_part(&targets.value, ranks);
+                let open_part = gateway.open_fraction(&targets.value, ranks);
                 gateway.queues.refresh(ranks, open_part, engine, pause);
             }
         }
@@ -259,19 +266,19 @@
 
 /// Drops what is kept about targets that are gone.
 async fn forget_gone(gateway: Arc<Gateway>) {
-    let mut targets = gateway.board.target_lists();
+    let mut targets = gateway.board.subscribe_targets();
     while targets.changed().await.is_ok() {
         let Some(belief) = targets.borrow_and_update().clone() else {
             continue;
         };
-        gateway.caller.pool.retain(&belief.value);
+        gateway.target_client.pool.retain(&belief.value);
         gateway.loads.retain(&belief.value);
-        gateway.silences.retain(&belief.value);
+        gateway.response_monitor.retain(&belief.value);
         gateway.board.throttle.retain(&belief.value);
         if let Some(catalog) = gateway.board.catalog() {
             let routes = &catalog.value.document().routes;
             let is_there = |name: &str| routes.iter().any(|route| route.name == name);
-            gateway.splits.retain(is_there);
+            gateway.traffic_split.retain(is_there);
             let mut deadlines = gateway.deadlines.lock().unwrap_or_else(PoisonError::into_inner);
             deadlines.retain(is_there);
         }
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -16,30 +16,30 @@
 use rand::seq::IteratorRandom as _;
 use sparscale_belief::Board;
 use sparscale_catalog::{Catalog, Kind, Route, RouteKey, Seat};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 use sparscale_mesh::Mesh;
 use sparscale_policy::budget::{Allowance, Budget, Source};
-use sparscale_policy::heard::Wait;
-use sparscale_policy::returns::Returns;
-use sparscale_policy::silence::Awaited;
-use sparscale_policy::spent::Deadlines;
-use sparscale_policy::{gate, patience};
+use sparscale_policy::deadlines::DeadlineTracker;
+use sparscale_policy::response_timeout::ResponsePart;
+use sparscale_policy::response_tracker::PendingResponse;
+use sparscale_policy::retry_schedule::RetrySchedule;
+use sparscale_policy::{caller_timeout, gate};
 use sparscale_quarantine::{End, Fingerprint};
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
 use crate::answer::{Answer, CALLER_LEFT, Stream};
-use crate::attempt::{Begun, Caller, Loss, Outbound, Rejection, Reply, SendOutcome};
+use crate::attempt::{Outbound, PartialResponse, Rejection, Reply, ResponseError, SendOutcome, TargetClient};
+use crate::attempt_history::AttemptHistory;
+use crate::attempted_targets::AttemptedTargets;
 use crate::figures::Figures;
 use crate::gate::Gates;
-use crate::loads::{Loads, Running};
+use crate::loads::{InFlightGuard, Loads};
+use crate::queues::{Arrival, Permit, Queues};
 use crate::refusal::{Reason, Refusal};
 use crate::relay::Run;
-use crate::silences::Silences;
-use crate::split::Splits;
-use crate::tried::AttemptedTargets;
-use crate::tries::Tries;
-use crate::waiting::{Arrival, Permit, Queues};
+use crate::response_monitor::ResponseMonitor;
+use crate::traffic_split::TrafficSplit;
 
 /// Maximum number of groups of a service that one request considers, sampled anew for each. Of a hundred groups, the
 /// best of a few is nearly as good as the best of all, and checking all of them would cost an entry more than the
@@ -55,26 +55,26 @@
 pub(crate) struct Gateway {
     pub(crate) board: Arc<Board>,
     pub(crate) mesh: Arc<Mesh>,
-    pub(crate) caller: Caller,
+    pub(crate) target_client: TargetClient,
     pub(crate) loads: Arc<Loads>,
     /// Response times of the targets that requests wait for.
-    pub(crate) silences: Silences,
+    pub(crate) response_monitor: ResponseMonitor,
     pub(crate) hall: String,
     pub(crate) allowance: Allowance,
-    pub(crate) budgets: Mutex<HashMap<String, Budget>>,
-    pub(crate) splits: Splits,
-    pub(crate) figures: Figures,
+    pub(crate) retry_budgets: Mutex<HashMap<String, Budget>>,
+    pub(crate) traffic_split: TrafficSplit,
+    pub(crate) metrics: Figures,
     /// Number of entries that share the slack of the budgets, including this one; 0 while unknown.
     pub(crate) sharers: AtomicUsize,
     /// Start of this process.
-    pub(crate) started: Moment,
+    pub(crate) started_at: Timestamp,
     pub(crate) queues: Arc<Queues>,
     /// Whether groups are serving.
     pub(crate) gates: Gates,
     /// Longest recent deadline of each route, from which the time that callers spent on earlier attempts is derived.
-    pub(crate) deadlines: Mutex<Deadlines>,
+    pub(crate) deadlines: Mutex<DeadlineTracker>,
     /// Retry times assigned to callers, by service.
-    pub(crate) returns: Mutex<HashMap<String, Returns>>,
+    pub(crate) retry_schedules: Mutex<HashMap<String, RetrySchedule>>,
 }
 
 /// Outcome of an attempt.
@@ -88,7 +88,7 @@
     /// The target answered with an error, and the request may run again.
     Failed(Reply),
     /// The request may have run, but there is no complete reply.
-    ReplyLost(Loss),
+    ReplyLost(ResponseError),
     /// The target was abandoned in favor of another one.
     Abandoned,
 }
@@ -123,7 +123,7 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: RouteKey,
     pub(crate) outbound: Outbound,
-    pub(crate) began: Instant,
+    pub(crate) arrived_at: Instant,
 }
 
 impl Job {
@@ -132,29 +132,29 @@
     }
 
     /// What the target is expected to send first.
-    fn first_awaited(&self) -> Awaited {
+    fn first_awaited(&self) -> ResponsePart {
         if is_stream(self) {
-            Awaited::First
+            ResponsePart::FirstEvent
         } else {
-            Awaited::Complete
+            ResponsePart::FullResponse
         }
     }
 
     /// The wait for the first response of a target.
-    fn first_wait<'a>(&self, instance: &'a Seat) -> Wait<'a> {
-        Wait {
-            seat: instance,
-            awaited: self.first_awaited(),
-            allowed: self.route().objective,
-            given_up_after: self.given_up_after(),
+    fn first_wait<'a>(&self, instance: &'a Seat) -> PendingResponse<'a> {
+        PendingResponse {
+            instance,
+            response_part: self.first_awaited(),
+            due_within: self.route().objective,
+            caller_timeout: self.given_up_after(),
         }
     }
 
     /// Time without a response after which the caller gives up.
     pub(crate) fn given_up_after(&self) -> Duration {
         match self.route().kind {
-            Kind::Stream { .. } => patience::longest_silence(self.route().objective, pause_of(self)),
-            Kind::Once | Kind::Repeatable => self.outbound.until.saturating_duration_since(self.began),
+            Kind::Stream { .. } => caller_timeout::stream_timeout(self.route().objective, longest_pause_of(self)),
+            Kind::Once | Kind::Repeatable => self.outbound.deadline.saturating_duration_since(self.arrived_at),
         }
     }
 }
@@ -162,7 +162,11 @@
 impl Gateway {
     /// Chooses a group for a streaming request and waits until it is admitted there. None if no group serves the
     /// request.
-    pub(crate) async fn permit(&self, job: &Job, history: &mut Tries) -> Result<Option<Permit>, Refusal> {
+    pub(crate) async fn acquire_permit(
+        &self,
+        job: &Job,
+        history: &mut AttemptHistory,
+    ) -> Result<Option<Permit>, Refusal> {
         let Some(observation) = self.board.targets() else {
             return Ok(None);
         };
@@ -194,8 +198,8 @@
             objective: job.route().objective,
             tier: job.outbound.urgency.unwrap_or_default(),
             rank_count: group.size,
-            open_fraction: self.open_part(&observation.value, group),
-            received_at: job.began,
+            open_fraction: self.open_fraction(&observation.value, group),
+            received_at: job.arrived_at,
             time_in_earlier_attempts,
             time_left: job.outbound.head.deadline,
         });
@@ -216,14 +220,14 @@
             return Duration::ZERO;
         };
         let mut deadlines = self.deadlines.lock().unwrap_or_else(PoisonError::into_inner);
-        deadlines.spent(&job.route().name, deadline, job.began.into_std())
+        deadlines.retry_age(&job.route().name, deadline, job.arrived_at.into_std())
     }
 
     /// Sends attempts until there is an answer or no further attempt is allowed.
-    pub(crate) async fn answer(&self, job: &Job, history: &mut Tries) -> Result<Answer, Refusal> {
+    pub(crate) async fn answer(&self, job: &Job, history: &mut AttemptHistory) -> Result<Answer, Refusal> {
         loop {
             if self.board.now() >= job.outbound.deadline_timestamp {
-                return history.final_result(Refusal::at_once(Reason::TooLate));
+                return history.final_result(Refusal::retry_immediately(Reason::TooLate));
             }
             self.switch_from_closed_group(job, history);
             if self.stays_closed(job, history).await {
@@ -247,7 +251,7 @@
     }
 
     /// The refusal to return if no target of the service accepts requests from this entry now.
-    fn current_throttle_refusal(&self, job: &Job, history: &Tries) -> Option<Refusal> {
+    fn current_throttle_refusal(&self, job: &Job, history: &AttemptHistory) -> Option<Refusal> {
         let targets = self.board.targets()?;
         self.throttle_refusal(job, history.service.as_deref()?, &targets.value)
     }
@@ -258,7 +262,7 @@
         job: &Job,
         instance: Seat,
         outcome: AttemptOutcome,
-        history: &mut Tries,
+        history: &mut AttemptHistory,
     ) -> Result<Option<Answer>, Refusal> {
         match outcome {
             AttemptOutcome::Answered(answer) => {
@@ -267,15 +271,15 @@
                     self.gates.record_answer(&membership.group);
                 }
                 if matches!(answer, Answer::Complete(_)) {
-                    self.board.quarantine.note_answer(&job.outbound.fingerprint);
+                    self.board.quarantine.record_answer(&job.outbound.fingerprint);
                 }
-                history.tried.push(instance);
+                history.attempted_targets.push(instance);
                 return Ok(Some(answer));
             }
             // The next attempt was charged to the budget when the target was abandoned.
             AttemptOutcome::Abandoned => {
                 history.unknown_outcome_refusal = Some(Refusal::new(Reason::NoAnswer));
-                history.tried.push(instance);
+                history.attempted_targets.push(instance);
                 return Ok(None);
             }
             AttemptOutcome::NotSent => {
@@ -287,7 +291,8 @@
             }
             AttemptOutcome::Rejected(rejection) if rejection.is_replaced(&instance.target) => {
                 self.loads.record_replaced(instance.key);
-                let may_retry = |history: &Tries| self.charge_retry_budget(job, history, RetryReason::Replaced);
+                let may_retry =
+                    |history: &AttemptHistory| self.charge_retry_budget(job, history, RetryReason::Replaced);
                 return history.skip_unavailable(
                     Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY),
                     may_retry,
@@ -301,8 +306,8 @@
             AttemptOutcome::Failed(reply) => history.error_reply = Some(reply),
             AttemptOutcome::ReplyLost(error) => self.record_lost_reply(job, &instance, error, history).await?,
         }
-        history.tried.push(instance);
-        if self.may_send_again(job, history) {
+        history.attempted_targets.push(instance);
+        if self.may_retry(job, history) {
             return Ok(None);
         }
         if history.not_run_refusal.is_some() {
@@ -314,20 +319,20 @@
     /// Runs one attempt, up to a complete reply or the first event. A target that turns out to be a straggler, or that
     /// is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each pass
     /// of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
-    async fn attempt(&self, job: &Job, instance: &Seat, history: &Tries) -> AttemptOutcome {
+    async fn attempt(&self, job: &Job, instance: &Seat, history: &AttemptHistory) -> AttemptOutcome {
         let mut sending = std::pin::pin!(self.send(job, instance));
         if let Some(membership) = &instance.target.membership {
-            match tokio::time::timeout(gate::TAKEN_AFTER, &mut sending).await {
+            match tokio::time::timeout(gate::ACCEPTED_AFTER, &mut sending).await {
                 Ok(outcome) => return outcome,
                 Err(_elapsed) => self.gates.record_accepted(&membership.group),
             }
         }
-        let attempts_made = history.tried.len() + 1;
+        let attempts_made = history.attempted_targets.len() + 1;
         let abandoned = tokio::select! {
             outcome = &mut sending => return outcome,
-            () = self.loads.slow.becomes(instance.key) => self.may_leave(job, &instance.target.id, attempts_made, history),
-            verdict = self.silences.outlasted(job.first_wait(instance)) => {
-                self.may_leave_silent(job, instance, verdict, attempts_made, history)
+            () = self.loads.stragglers.wait_until_straggler(instance.key) => self.may_abandon_straggler(job, &instance.target.id, attempts_made, history),
+            verdict = self.response_monitor.wait_until_unresponsive(job.first_wait(instance)) => {
+                self.may_abandon_unresponsive(job, instance, verdict, attempts_made, history)
             }
         };
         if abandoned {
@@ -340,19 +345,21 @@
     async fn send(&self, job: &Job, instance: &Seat) -> AttemptOutcome {
         let in_flight = self.loads.begin_request(instance);
         let since = Instant::now();
-        let outcome = self.caller.send(instance, &job.outbound).await;
+        let outcome = self.target_client.send(instance, &job.outbound).await;
         if matches!(outcome, SendOutcome::Complete(_)) {
-            self.silences.note(instance, Awaited::Complete, since);
+            self.response_monitor
+                .record_response(instance, ResponsePart::FullResponse, since);
         }
         match outcome {
             SendOutcome::Partial(partial) => match self.begin_reply(job, partial, in_flight).await {
                 Ok(answer) => {
-                    self.silences.note(instance, job.first_awaited(), since);
+                    self.response_monitor
+                        .record_response(instance, job.first_awaited(), since);
                     AttemptOutcome::Answered(answer)
                 }
                 Err(error) => AttemptOutcome::ReplyLost(error),
             },
-            SendOutcome::Complete(reply) if is_failure(reply.status) && job.outbound.may_repeat => {
+            SendOutcome::Complete(reply) if is_failure(reply.status) && job.outbound.retryable => {
                 AttemptOutcome::Failed(reply)
             }
             SendOutcome::Complete(reply) => AttemptOutcome::Answered(Answer::Complete(reply)),
@@ -367,39 +374,39 @@
         &self,
         job: &Job,
         instance: &Seat,
-        error: Loss,
-        history: &mut Tries,
+        error: ResponseError,
+        history: &mut AttemptHistory,
     ) -> Result<(), Refusal> {
         self.loads.record_failure(instance.key);
-        self.look_after(job, instance, error).await;
-        let reason = if error == Loss::Timeout {
+        self.investigate_lost_response(job, instance, error).await;
+        let reason = if error == ResponseError::Timeout {
             Reason::NoAnswer
         } else {
             Reason::BrokenAnswer
         };
         history.unknown_outcome_refusal = Some(Refusal::new(reason));
-        if job.outbound.may_repeat {
+        if job.outbound.retryable {
             return Ok(());
         }
-        history.tried.push(instance.clone());
+        history.attempted_targets.push(instance.clone());
         Err(Refusal::new(reason))
     }
 
     /// The refusal of a request that is quarantined because targets terminated while running it.
     pub(crate) fn quarantine_refusal(&self, request: Fingerprint) -> Option<Refusal> {
-        let quarantine = self.board.quarantine.held(&request)?;
+        let quarantine = self.board.quarantine.active_hold(&request)?;
         log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = quarantine.ends, left_ms = quarantine.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
         Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.left))
     }
 
     /// Checks whether the target that did not complete its reply has terminated or only the connection was lost. A
     /// termination is recorded against the request, which may have caused it.
-    pub(crate) async fn look_after(&self, job: &Job, instance: &Seat, error: Loss) {
-        let terminated = error == Loss::Broken && self.caller.pool.has_ended(instance).await;
+    pub(crate) async fn investigate_lost_response(&self, job: &Job, instance: &Seat, error: ResponseError) {
+        let terminated = error == ResponseError::ConnectionLost && self.target_client.pool.has_ended(instance).await;
         if terminated {
             self.board
                 .quarantine
-                .note_end(job.outbound.fingerprint, End::from(instance.start));
+                .record_end(job.outbound.fingerprint, End::from(instance.start));
         }
         log::info!(
             target: DECISION,
@@ -414,46 +421,46 @@
     }
 
     /// Whether the route and the retry budget allow another attempt, which is then charged to the budget.
-    pub(crate) fn may_send_again(&self, job: &Job, history: &Tries) -> bool {
-        if history.tried.len() >= job.route().attempts as usize {
+    pub(crate) fn may_retry(&self, job: &Job, history: &AttemptHistory) -> bool {
+        if history.attempted_targets.len() >= job.route().attempts as usize {
             return false;
         }
         let allowed = self.charge_retry_budget(job, history, RetryReason::NotServed);
         let counter = if allowed {
-            &self.figures.repeats
+            &self.metrics.repeats
         } else {
-            &self.figures.unpaid_repeats
+            &self.metrics.unpaid_repeats
         };
         counter.add_one();
         allowed
     }
 
     /// Credits one request to the retry budgets of the services of its route.
-    pub(crate) fn earn(&self, job: &Job) {
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+    pub(crate) fn credit_retry_budgets(&self, job: &Job) {
+        let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.board.now();
         for share in &job.route().shares {
             let budget = budgets
                 .entry(share.service.clone())
-                .or_insert_with(|| Budget::new(self.allowance, self.started));
-            budget.earn(now);
+                .or_insert_with(|| Budget::new(self.allowance, self.started_at));
+            budget.record_request(now);
         }
     }
 
     /// Charges one more attempt to the budget of the service; returns whether the budget allows it.
-    fn charge_retry_budget(&self, job: &Job, history: &Tries, reason: RetryReason) -> bool {
+    fn charge_retry_budget(&self, job: &Job, history: &AttemptHistory, reason: RetryReason) -> bool {
         let Some(service) = history.service.as_deref() else {
             return false;
         };
         let sharers = self.sharers.load(Ordering::Relaxed);
-        let share = self.allowance.share((sharers > 0).then_some(sharers));
+        let share = self.allowance.slack_share((sharers > 0).then_some(sharers));
         let now = self.board.now();
         let verdict = {
-            let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-            budgets.get_mut(service).map(|budget| budget.spend(share, now))
+            let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
+            budgets.get_mut(service).map(|budget| budget.try_spend(share, now))
         };
         let Some(verdict) = verdict else { return false };
-        let uptime_ms = now.since(self.started).as_millis() as u64;
+        let uptime_ms = now.since(self.started_at).as_millis() as u64;
         log::info!(
             target: DECISION,
             decision = "repeat",
@@ -473,13 +480,18 @@
     }
 
     /// Waits for the first event of a stream. Other long replies are returned as they are.
-    async fn begin_reply(&self, job: &Job, partial: Begun, in_flight: Running) -> Result<Answer, Loss> {
+    async fn begin_reply(
+        &self,
+        job: &Job,
+        partial: PartialResponse,
+        in_flight: InFlightGuard,
+    ) -> Result<Answer, ResponseError> {
         if !is_stream(job) || !partial.status.is_success() {
             return Ok(Answer::Long(Box::new(partial), in_flight));
         }
-        let last_event = job.outbound.last_event.or(job.outbound.head.last_event);
-        let mut run = Run::new(partial.rest, last_event);
-        let first = run.next(job.outbound.until).await?;
+        let last_event = job.outbound.last_event_id.or(job.outbound.head.last_event);
+        let mut run = Run::new(partial.remainder, last_event);
+        let first = run.next(job.outbound.deadline).await?;
         Ok(Answer::Stream(Box::new(Stream {
             status: partial.status,
             headers: partial.headers,
@@ -490,8 +502,8 @@
     }
 
     /// Records the end of a request. Failures are logged as warnings, which the log never drops.
-    pub(crate) fn end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
-        self.figures.end(job.route().kind, outcome, job.began.elapsed());
+    pub(crate) fn record_end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
+        self.metrics.end(job.route().kind, outcome, job.arrived_at.elapsed());
         let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
         let level = if is_success { log::Level::Info } else { log::Level::Warn };
         log::log!(
@@ -506,7 +518,7 @@
             status,
             targets:? = attempted.ids(),
             prompt_tokens = job.outbound.head.size.prompt,
-            took_ms = job.began.elapsed().as_millis() as u64;
+            took_ms = job.arrived_at.elapsed().as_millis() as u64;
             "request finished"
         );
     }
@@ -518,7 +530,7 @@
 }
 
 /// Longest pause between events that the route of the request allows.
-pub(crate) fn pause_of(job: &Job) -> Duration {
+pub(crate) fn longest_pause_of(job: &Job) -> Duration {
     match job.route().kind {
         Kind::Stream { longest_pause, .. } => longest_pause.unwrap_or_default(),
         Kind::Once | Kind::Repeatable => Duration::ZERO,
--- a/crates/sparscale_gateway/src/exchange/choice.rs
+++ b/crates/sparscale_gateway/src/exchange/choice.rs
@@ -2,20 +2,20 @@
 
 use http::StatusCode;
 use sparscale_catalog::{Directory, Seat};
-use sparscale_policy::patience;
+use sparscale_policy::caller_timeout;
 use sparscale_telemetry::DECISION;
 use sparscale_wire::RankLoad;
 
-use super::{Gateway, Job, pause_of};
+use super::{Gateway, Job, longest_pause_of};
 use crate::attempt::{Rejection, is_named};
+use crate::attempt_history::AttemptHistory;
+use crate::attempted_targets::AttemptedTargets;
 use crate::gate::GateDecision;
 use crate::loads::TargetFilter;
-use crate::tried::AttemptedTargets;
-use crate::tries::Tries;
 
 impl Gateway {
     /// Switches to another group of the service if the chosen one is closed.
-    pub(super) fn switch_from_closed_group(&self, job: &Job, history: &mut Tries) {
+    pub(super) fn switch_from_closed_group(&self, job: &Job, history: &mut AttemptHistory) {
         if history.group.as_ref().is_some_and(|group| self.gates.is_closed(group)) {
             self.switch_group(job, history);
         }
@@ -23,13 +23,14 @@
 
     /// Switches to another group of the service, if one is serving. Two ranks of a group that has just stopped
     /// serving would both reject the request, and a route allows only a limited number of attempts.
-    pub(super) fn switch_group(&self, job: &Job, history: &mut Tries) {
+    pub(super) fn switch_group(&self, job: &Job, history: &mut AttemptHistory) {
         let (Some(group), Some(service)) = (&history.group, &history.service) else {
             return;
         };
         let Some(targets) = self.board.targets() else { return };
         let groups = targets.value.groups_of(service);
-        let is_serving = |name: &str| name != group && !self.gates.is_closed(name) && self.mesh.group(name).is_some();
+        let is_serving =
+            |name: &str| name != group && !self.gates.is_closed(name) && self.mesh.group_load(name).is_some();
         let others: Vec<&str> = groups.map(|other| other.name).filter(|name| is_serving(name)).collect();
         if others.is_empty() {
             return;
@@ -40,14 +41,17 @@
     }
 
     /// Waits for the request's group to open; returns whether it stays closed for longer than the request can wait.
-    pub(super) async fn stays_closed(&self, job: &Job, history: &Tries) -> bool {
+    pub(super) async fn stays_closed(&self, job: &Job, history: &AttemptHistory) -> bool {
         let Some(group) = &history.group else { return false };
-        let until = job.began + patience::longest_wait(job.route().objective, pause_of(job));
-        self.gates.wait_until_open(group, until.min(job.outbound.until)).await == GateDecision::Closed
+        let until = job.arrived_at + caller_timeout::max_admission_wait(job.route().objective, longest_pause_of(job));
+        self.gates
+            .wait_until_open(group, until.min(job.outbound.deadline))
+            .await
+            == GateDecision::Closed
     }
 
     /// The target for the next attempt: an untried one of the request's group, or else any untried one.
-    pub(super) fn next_target(&self, job: &Job, history: &mut Tries) -> Option<Seat> {
+    pub(super) fn next_target(&self, job: &Job, history: &mut AttemptHistory) -> Option<Seat> {
         let targets = self.board.targets()?.value;
         if history.service.is_none() {
             history.service = self.choose_service(job, &targets);
@@ -55,7 +59,7 @@
         let service = history.service.clone()?;
         let reported_load = |instance: &Seat| self.reported_load(instance);
         let throttle = &self.board.throttle;
-        let no_limits = throttle.is_idle();
+        let no_limits = throttle.is_unrestricted();
         let may_take = |instance: &Seat| no_limits || throttle.is_open(instance);
         let choose = |excluded: &AttemptedTargets, group: Option<&str>| {
             let filter = TargetFilter {
@@ -65,17 +69,17 @@
                 hall: &self.hall,
             };
             let chosen = self.loads.choose(&targets, &filter, may_take, reported_load);
-            chosen.filter(|instance| throttle.take(instance))
+            chosen.filter(|instance| throttle.try_acquire(instance))
         };
         let in_group = history
             .group
             .as_deref()
-            .and_then(|group| choose(&history.tried, Some(group)));
-        let untried = in_group.or_else(|| choose(&history.tried, None));
+            .and_then(|group| choose(&history.attempted_targets, Some(group)));
+        let untried = in_group.or_else(|| choose(&history.attempted_targets, None));
         // All targets were tried: a request that may run more than once may go to one of them again.
         untried.or_else(|| {
             job.outbound
-                .may_repeat
+                .retryable
                 .then(|| choose(&AttemptedTargets::default(), None))
                 .flatten()
         })
@@ -85,7 +89,7 @@
     /// A rank that has started since the report counts as having no requests.
     fn reported_load(&self, instance: &Seat) -> Option<RankLoad> {
         let membership = instance.target.membership.as_ref()?;
-        let group = self.mesh.group(&membership.group)?;
+        let group = self.mesh.group_load(&membership.group)?;
         group.ranks.get(membership.rank).copied().flatten()?;
         let start = instance.target.start_mark();
         let load = group.rank(membership.rank, start);
@@ -99,7 +103,7 @@
     pub(super) fn choose_service(&self, job: &Job, targets: &Directory) -> Option<String> {
         let shares = &job.route().shares;
         let has_targets = |service: &str| targets.of_service(service).next().is_some();
-        self.splits.next_service(&job.route().name, shares, has_targets)
+        self.traffic_split.next_service(&job.route().name, shares, has_targets)
     }
 
     /// Records a rejection, and what it says about the target itself or about another target at fault.
--- a/crates/sparscale_gateway/src/exchange/throttling.rs
+++ b/crates/sparscale_gateway/src/exchange/throttling.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Directory, Group, Seat, Standing};
-use sparscale_clock::Moment;
-use sparscale_policy::throttle::Opening;
+use sparscale_clock::Timestamp;
+use sparscale_policy::throttle::Availability;
 use sparscale_telemetry::DECISION;
 
 use super::{Gateway, Job};
@@ -16,7 +16,7 @@
     /// first one does.
     pub(super) fn throttle_refusal(&self, job: &Job, service: &str, targets: &Directory) -> Option<Refusal> {
         let throttle = &self.board.throttle;
-        if throttle.is_idle() {
+        if throttle.is_unrestricted() {
             return None;
         }
         let is_ready = |instance: &&Seat| instance.target.standing == Standing::Ready;
@@ -24,20 +24,20 @@
         let mut opens_at = None;
         for instance in &ready {
             match throttle.opening(instance) {
-                Opening::Now => return None,
-                Opening::At(at) => opens_at = Some(opens_at.map_or(at, |earliest: Moment| earliest.min(at))),
-                Opening::Never => {}
+                Availability::Now => return None,
+                Availability::At(at) => opens_at = Some(opens_at.map_or(at, |earliest: Timestamp| earliest.min(at))),
+                Availability::Never => {}
             }
         }
         let opens_at = opens_at?;
         // Callers may retry at any entry, and each entry assigns retry times independently.
-        let entries = self.mesh.line().borrow().entries;
+        let entries = self.mesh.status().borrow().entries;
         let rate: f64 = ready.iter().filter_map(|instance| throttle.rate(instance)).sum();
         let gap = Duration::try_from_secs_f64(entries as f64 / rate).unwrap_or_default();
         let retry_after = {
-            let mut schedules = self.returns.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut schedules = self.retry_schedules.lock().unwrap_or_else(PoisonError::into_inner);
             let schedule = schedules.entry(service.to_owned()).or_default();
-            schedule.promise(opens_at, gap, self.board.now())
+            schedule.next_delay(opens_at, gap, self.board.now())
         };
         log::info!(
             target: DECISION,
@@ -52,8 +52,8 @@
     }
 
     /// Fraction of the ranks of `group` that accept requests from this entry now, 0 to 1.
-    pub(crate) fn open_part(&self, targets: &Directory, group: Group<'_>) -> f64 {
-        if self.board.throttle.is_idle() {
+    pub(crate) fn open_fraction(&self, targets: &Directory, group: Group<'_>) -> f64 {
+        if self.board.throttle.is_unrestricted() {
             return 1.0;
         }
         let in_group = |instance: &&Seat| {
--- a/crates/sparscale_gateway/src/figures.rs
+++ b/crates/sparscale_gateway/src/figures.rs
@@ -9,7 +9,7 @@
 use sparscale_mesh::Mesh;
 use sparscale_telemetry::{Counter, Histogram, Registry};
 
-use crate::phase::Progress;
+use crate::phase::ConnectionCounter;
 use crate::refusal::Reason;
 
 /// Figures that requests change.
@@ -87,7 +87,12 @@
 }
 
 /// Tells levels that are read off the entry's parts.
-pub(crate) fn tell_levels(registry: &Arc<Registry>, board: &Arc<Board>, mesh: &Arc<Mesh>, progress: &Arc<Progress>) {
+pub(crate) fn tell_levels(
+    registry: &Arc<Registry>,
+    board: &Arc<Board>,
+    mesh: &Arc<Mesh>,
+    progress: &Arc<ConnectionCounter>,
+) {
     let gauge = |name, help| registry.gauge(name, help, &[]);
     let catalog_age = gauge(
         "sparscale_catalog_age_seconds",
@@ -107,13 +112,13 @@
         "Entries that share the room of groups, this one included.",
     );
     let connections = gauge("sparscale_caller_connections", "Connections from callers.");
-    let (board, line, progress) = (Arc::clone(board), mesh.line(), Arc::clone(progress));
+    let (board, line, progress) = (Arc::clone(board), mesh.status(), Arc::clone(progress));
     registry.before_telling(move || {
         let seconds = |age: Option<Duration>| age.map_or(-1.0, |age| age.as_secs_f64());
         catalog_age.set(seconds(board.catalog_age()));
         roster_age.set(seconds(board.roster_age()));
         version.set(board.catalog().map_or(0.0, |belief| belief.position.offset as f64));
-        place.set(line.borrow().place as f64);
+        place.set(line.borrow().index as f64);
         entries.set(line.borrow().entries as f64);
         connections.set(progress.connections.load(Ordering::Relaxed) as f64);
     });
--- a/crates/sparscale_gateway/src/gate.rs
+++ b/crates/sparscale_gateway/src/gate.rs
@@ -50,10 +50,12 @@
                 let Some(group_gate) = gates.get_mut(group) else {
                     return GateDecision::Send;
                 };
-                match group_gate.gate.pass(until.into_std(), now()) {
-                    gate::Pass::Go => return GateDecision::Send,
-                    gate::Pass::Closed => return GateDecision::Closed,
-                    gate::Pass::Wait(next_probe) => (Instant::from_std(next_probe), group_gate.openings.subscribe()),
+                match group_gate.gate.decide(until.into_std(), now()) {
+                    gate::GateDecision::Send => return GateDecision::Send,
+                    gate::GateDecision::Closed => return GateDecision::Closed,
+                    gate::GateDecision::Wait(next_probe) => {
+                        (Instant::from_std(next_probe), group_gate.openings.subscribe())
+                    }
                 }
             };
             tokio::select! {
@@ -74,7 +76,7 @@
     pub(crate) fn record_rejection(&self, group: &str) {
         let mut gates = self.lock();
         let group_gate = gates.entry(group.to_owned()).or_default();
-        if let Some(rejections) = group_gate.gate.turned_away(now()) {
+        if let Some(rejections) = group_gate.gate.record_rejection(now()) {
             log::info!(target: DECISION, decision = "gate_closed", group, turned_away = rejections; "group rejects all requests");
         }
     }
@@ -83,7 +85,7 @@
     pub(crate) fn record_accepted(&self, group: &str) {
         let mut gates = self.lock();
         let Some(group_gate) = gates.get_mut(group) else { return };
-        if let Some(closed_for) = group_gate.gate.taken(now()) {
+        if let Some(closed_for) = group_gate.gate.record_acceptance(now()) {
             group_gate.record_open(group, closed_for);
         }
     }
@@ -92,7 +94,7 @@
     pub(crate) fn record_answer(&self, group: &str) {
         let mut gates = self.lock();
         let Some(group_gate) = gates.get_mut(group) else { return };
-        if let Some(closed_for) = group_gate.gate.answered(now()) {
+        if let Some(closed_for) = group_gate.gate.record_response(now()) {
             group_gate.record_open(group, closed_for);
         }
     }
--- a/crates/sparscale_gateway/src/incoming.rs
+++ b/crates/sparscale_gateway/src/incoming.rs
@@ -17,10 +17,10 @@
     let mut length = 0;
     loop {
         let frame = tokio::time::timeout(limits.header_time, incoming.frame()).await;
-        let Some(frame) = frame.map_err(|_elapsed| Refusal::at_once(Reason::BodyLate))? else {
+        let Some(frame) = frame.map_err(|_elapsed| Refusal::retry_immediately(Reason::BodyTimeout))? else {
             break;
         };
-        let frame = frame.map_err(|_broken| Refusal::new(Reason::BodyBroken))?;
+        let frame = frame.map_err(|_broken| Refusal::new(Reason::BodyUnreadable))?;
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
         if length > limits.body_bytes {
--- a/crates/sparscale_gateway/src/loads.rs
+++ b/crates/sparscale_gateway/src/loads.rs
@@ -13,8 +13,8 @@
 use sparscale_wire::RankLoad;
 use tokio::time::Instant;
 
-use crate::slow::Stragglers;
-use crate::tried::AttemptedTargets;
+use crate::attempted_targets::AttemptedTargets;
+use crate::stragglers::Stragglers;
 
 /// How long a target is avoided after its first failure; doubled with each consecutive failure.
 const INITIAL_AVOIDANCE: Duration = Duration::from_millis(250);
@@ -67,7 +67,7 @@
     /// Sends of this entry to targets in groups within the last [`RATE_WINDOW`].
     group_sends: Mutex<VecDeque<Instant>>,
     /// Targets that slow their groups down.
-    pub(crate) slow: Stragglers,
+    pub(crate) stragglers: Stragglers,
 }
 
 /// Selects the targets that a request may be sent to.
@@ -84,7 +84,7 @@
 
 /// Counts a request as in flight at a target until dropped.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct InFlightGuard {
     loads: Arc<Loads>,
     /// Key of the target.
     pub(crate) target: Incarnation,
@@ -97,7 +97,7 @@
             targets: Mutex::default(),
             entry_count,
             group_sends: Mutex::default(),
-            slow: Stragglers::default(),
+            stragglers: Stragglers::default(),
         }
     }
 
@@ -133,8 +133,11 @@
             .iter()
             .filter_map(|instance| reported(instance).map(|load| (*instance, load)))
             .collect();
-        if with_load.iter().any(|(instance, _)| !self.slow.contains(instance.key)) {
-            with_load.retain(|(instance, _)| !self.slow.contains(instance.key));
+        if with_load
+            .iter()
+            .any(|(instance, _)| !self.stragglers.contains(instance.key))
+        {
+            with_load.retain(|(instance, _)| !self.stragglers.contains(instance.key));
         }
         if with_load.is_empty() {
             return self.least_loaded(eligible.into_iter(), filter.hall).cloned();
@@ -231,7 +234,7 @@
     }
 
     /// Counts a request as in flight at the target of `instance`.
-    pub(crate) fn begin_request(self: &Arc<Self>, instance: &Seat) -> Running {
+    pub(crate) fn begin_request(self: &Arc<Self>, instance: &Seat) -> InFlightGuard {
         let now = Instant::now();
         if instance.target.membership.is_some() {
             let mut sends = self.group_sends.lock().unwrap_or_else(PoisonError::into_inner);
@@ -249,7 +252,7 @@
         }
         state.recent_sends.push_back(now);
         drop(targets);
-        Running {
+        InFlightGuard {
             loads: Arc::clone(self),
             target: instance.key,
         }
@@ -292,7 +295,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(state) = self.loads.lock().get_mut(&self.target) {
             state.in_flight = state.in_flight.saturating_sub(1);
--- a/crates/sparscale_gateway/src/phase.rs
+++ b/crates/sparscale_gateway/src/phase.rs
@@ -8,13 +8,13 @@
     /// Callers are served normally.
     Serving,
     /// The load balancer is being notified; new requests are still served, and each answer closes its connection.
-    Leaving,
+    Draining,
     /// Idle connections are closed, and no new ones are accepted.
     Closing,
 }
 
 /// Counts the open connections from callers.
 #[derive(Debug, Default)]
-pub(crate) struct Progress {
+pub(crate) struct ConnectionCounter {
     pub(crate) connections: AtomicUsize,
 }
--- a/crates/sparscale_gateway/src/pool.rs
+++ b/crates/sparscale_gateway/src/pool.rs
@@ -13,7 +13,7 @@
 use snafu::{ResultExt as _, Snafu};
 use socket2::SockRef;
 use sparscale_catalog::{Directory, Incarnation, Seat};
-use sparscale_clock::{Clock, Moment};
+use sparscale_clock::{Clock, Timestamp};
 use sparscale_policy::budget;
 use tokio::net::TcpStream;
 
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time for which sent bytes may stay unacknowledged before the kernel gives the connection up. A box without power
 /// says nothing. The budget counts on nothing being on its way for longer.
-const UNACKNOWLEDGED_TIMEOUT: Duration = budget::LATE;
+const UNACKNOWLEDGED_TIMEOUT: Duration = budget::MAX_SEND_DELAY;
 /// Part of the time that a target keeps an idle connection for which it is still used, so that a request does not
 /// meet its close.
 const KEEP_ALIVE_PART: f64 = 0.5;
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
-    since: Moment,
+    since: Timestamp,
     /// Rest after which the target may close it.
     rest: Duration,
 }
--- a/crates/sparscale_gateway/src/waiting.rs
+++ b/crates/sparscale_gateway/src/queues.rs
@@ -9,8 +9,8 @@
 
 use sparscale_catalog::{Engine, Group};
 use sparscale_mesh::Mesh;
+use sparscale_policy::backlog::Ticket;
 use sparscale_policy::group;
-use sparscale_policy::line::Ticket;
 use sparscale_policy::queue::{self, Decision, Queue, Request};
 use sparscale_telemetry::DECISION;
 use tokio::sync::oneshot;
@@ -93,16 +93,16 @@
             return Some(*arrival);
         }
         // While any group has a leader, groups without one are excluded: their targets may belong to another writer.
-        let has_leader = |arrival: &Arrival<'_>| self.mesh.group(arrival.group).is_some();
+        let has_leader = |arrival: &Arrival<'_>| self.mesh.group_load(arrival.group).is_some();
         let any_has_leader = arrivals.iter().any(has_leader);
         let mut queues = self.lock();
         let candidate = |arrival: &Arrival<'a>| {
             let group_queue = self.refreshed_queue(&mut queues, *arrival);
             group::Candidate {
                 open: is_open(arrival.group) && (has_leader(arrival) || !any_has_leader),
-                room: group_queue.queue.room().timely - group_queue.queue.waiting() as f64,
-                wait: group_queue.queue.expected_wait(group_queue.in_flight()).as_secs_f64(),
-                ranks: arrival.rank_count,
+                headroom: group_queue.queue.headroom().timely - group_queue.queue.backlog_len() as f64,
+                expected_wait_secs: group_queue.queue.expected_wait(group_queue.in_flight()).as_secs_f64(),
+                rank_count: arrival.rank_count,
             }
         };
         let candidates: Vec<group::Candidate> = arrivals.iter().map(candidate).collect();
@@ -119,17 +119,20 @@
                 .queue
                 .decide(&arrival.request(), group_queue.in_flight(), rand::random(), now());
             match decision {
-                Decision::Enter => return Ok(self.permit(arrival.group, group_queue.admit())),
-                Decision::Refuse { expected, retry } => {
+                Decision::Admit => return Ok(self.permit(arrival.group, group_queue.admit())),
+                Decision::Reject {
+                    expected_wait: expected,
+                    retry_after: retry,
+                } => {
                     group_queue.log_refusal(&arrival, expected, retry);
                     return Err(Refusal::with_retry_after(Reason::Busy, retry));
                 }
                 Decision::Wait {
                     timely_until,
-                    limit: deadline,
+                    admit_at: deadline,
                 } => {
                     let (sender, receiver) = oneshot::channel();
-                    group_queue.queue.join(ticket, timely_until, sender);
+                    group_queue.queue.enqueue(ticket, timely_until, sender);
                     (receiver, deadline)
                 }
             }
@@ -170,9 +173,11 @@
     }
 
     /// Groups with requests in their backlog.
-    pub(crate) fn crowded(&self) -> Vec<String> {
+    pub(crate) fn groups_with_backlog(&self) -> Vec<String> {
         let queues = self.lock();
-        let with_backlog = queues.iter().filter(|(_, group_queue)| group_queue.queue.waiting() > 0);
+        let with_backlog = queues
+            .iter()
+            .filter(|(_, group_queue)| group_queue.queue.backlog_len() > 0);
         with_backlog.map(|(group, _)| group.clone()).collect()
     }
 
@@ -194,12 +199,12 @@
         let group_queue = queues.entry(arrival.group.to_owned()).or_insert_with(GroupQueue::new);
         let group = queue::Group {
             engine: arrival.engine,
-            pause: arrival.longest_pause,
-            ranks: arrival.rank_count,
-            open_part: arrival.open_fraction,
-            entries: self.entry_count.load(Ordering::Relaxed),
+            max_pause: arrival.longest_pause,
+            rank_count: arrival.rank_count,
+            open_fraction: arrival.open_fraction,
+            entry_count: self.entry_count.load(Ordering::Relaxed),
         };
-        let load = self.mesh.group(arrival.group);
+        let load = self.mesh.group_load(arrival.group);
         group_queue
             .queue
             .refresh(load.as_deref(), &group, group_queue.in_flight(), now());
@@ -215,11 +220,11 @@
 impl Arrival<'_> {
     fn request(&self) -> Request {
         Request {
-            began: self.received_at.into_std(),
+            arrived_at: self.received_at.into_std(),
             objective: self.objective,
-            pause: self.longest_pause,
-            spent: self.time_in_earlier_attempts,
-            left: self.time_left,
+            max_pause: self.longest_pause,
+            retry_age: self.time_in_earlier_attempts,
+            remaining: self.time_left,
         }
     }
 }
@@ -234,16 +239,16 @@
 impl Drop for BacklogGuard<'_> {
     fn drop(&mut self) {
         if let Some(group_queue) = self.queues.lock().get_mut(self.group) {
-            group_queue.queue.give_up(self.ticket);
+            group_queue.queue.cancel(self.ticket);
         }
     }
 }
 
 impl Permit {
     /// Records that the stream admitted by this permit has received its first event.
-    pub(crate) fn first_event(&self) {
+    pub(crate) fn record_first_event(&self) {
         if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
-            group_queue.queue.first_event(self.admitted_at.elapsed());
+            group_queue.queue.record_first_event(self.admitted_at.elapsed());
         }
     }
 }
@@ -251,7 +256,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
-            group_queue.queue.leave(self.admitted_at.elapsed());
+            group_queue.queue.record_end(self.admitted_at.elapsed());
             group_queue.admit_waiting();
         }
     }
@@ -286,8 +291,8 @@
 
     fn log_refusal(&self, arrival: &Arrival<'_>, expected: Duration, retry: Duration) {
         let queue = &self.queue;
-        let headroom = queue.room();
-        log::info!(target: DECISION, decision = "turn_back", request = arrival.request_id, group = arrival.group, load:? = queue.order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = headroom.timely, late_room = headroom.late, waiting = queue.waiting(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
+        let headroom = queue.headroom();
+        log::info!(target: DECISION, decision = "turn_back", request = arrival.request_id, group = arrival.group, load:? = queue.load_order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = headroom.timely, late_room = headroom.late, waiting = queue.backlog_len(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
     }
 }
 
--- a/crates/sparscale_gateway/src/refusal.rs
+++ b/crates/sparscale_gateway/src/refusal.rs
@@ -25,9 +25,9 @@
     /// The body is longer than allowed.
     BodyTooLong,
     /// The body did not arrive in time.
-    BodyLate,
+    BodyTimeout,
     /// The body could not be read.
-    BodyBroken,
+    BodyUnreadable,
     /// No target of the service accepts requests.
     NoTarget,
     /// All targets already have as many requests as they can serve in time.
@@ -62,8 +62,8 @@
             Self::UnknownKey => "no_key",
             Self::HeadTooLong => "head_too_long",
             Self::BodyTooLong => "body_too_long",
-            Self::BodyLate => "body_late",
-            Self::BodyBroken => "body_broken",
+            Self::BodyTimeout => "body_late",
+            Self::BodyUnreadable => "body_broken",
             Self::NoTarget => "no_target",
             Self::Busy => "busy",
             Self::GroupClosed => "group_closed",
@@ -85,8 +85,8 @@
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::BodyBroken => StatusCode::BAD_REQUEST,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyUnreadable => StatusCode::BAD_REQUEST,
             Self::Busy => StatusCode::TOO_MANY_REQUESTS,
             Self::NoCatalog
             | Self::StaleCatalog
@@ -123,7 +123,7 @@
     }
 
     /// A refusal of a request whose time ran out; a new request may be sent at once.
-    pub fn at_once(reason: Reason) -> Self {
+    pub fn retry_immediately(reason: Reason) -> Self {
         Self::with_retry_after(reason, Duration::ZERO)
     }
 
--- a/crates/sparscale_gateway/src/relay.rs
+++ b/crates/sparscale_gateway/src/relay.rs
@@ -3,14 +3,14 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use crate::attempt::{Loss, Rest};
+use crate::attempt::{RemainingBody, ResponseError};
 use crate::events::{Event, Splitter};
 
 /// The events of one run of a request.
 #[derive(Debug)]
 pub(crate) struct Run {
     /// None once it was left.
-    rest: Option<Rest>,
+    rest: Option<RemainingBody>,
     splitter: Splitter,
     /// Last event that was handed out.
     last: Option<u64>,
@@ -18,7 +18,7 @@
 
 impl Run {
     /// The events of an answer whose head has arrived. Events up to `last` are known to the caller already.
-    pub(crate) fn new(rest: Rest, last: Option<u64>) -> Self {
+    pub(crate) fn new(rest: RemainingBody, last: Option<u64>) -> Self {
         Self {
             rest: Some(rest),
             splitter: Splitter::default(),
@@ -27,7 +27,7 @@
     }
 
     /// The next event that the caller does not have; none at the proper end.
-    pub(crate) async fn next(&mut self, until: Instant) -> Result<Option<Event>, Loss> {
+    pub(crate) async fn next(&mut self, until: Instant) -> Result<Option<Event>, ResponseError> {
         loop {
             while let Some(event) = self.splitter.next() {
                 if self.is_new(&event) {
@@ -35,18 +35,20 @@
                 }
             }
             let Some(rest) = &mut self.rest else {
-                return Err(Loss::Broken);
+                return Err(ResponseError::ConnectionLost);
             };
             let arrived = tokio::time::timeout_at(until, rest.next()).await;
-            let Some(bytes) = arrived.map_err(|_elapsed| Loss::Timeout)?? else {
+            let Some(bytes) = arrived.map_err(|_elapsed| ResponseError::Timeout)?? else {
                 // An answer that ends inside an event has lost its end.
                 return if self.splitter.is_torn() {
-                    Err(Loss::Broken)
+                    Err(ResponseError::ConnectionLost)
                 } else {
                     Ok(None)
                 };
             };
-            self.splitter.feed(&bytes).map_err(|_too_long| Loss::Spoiled)?;
+            self.splitter
+                .feed(&bytes)
+                .map_err(|_too_long| ResponseError::Malformed)?;
         }
     }
 
--- a/crates/sparscale_gateway/src/respond.rs
+++ b/crates/sparscale_gateway/src/respond.rs
@@ -8,28 +8,28 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::Frame;
-use sparscale_policy::heard::Wait;
-use sparscale_policy::silence::Awaited;
+use sparscale_policy::response_timeout::ResponsePart;
+use sparscale_policy::response_tracker::PendingResponse;
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
 use crate::answer::{Answer, CALLER_LEFT};
-use crate::attempt::{Loss, Rest};
+use crate::attempt::{RemainingBody, ResponseError};
+use crate::attempt_history::AttemptHistory;
 use crate::body::Body;
 use crate::events::Event;
-use crate::exchange::{Gateway, Job, pause_of};
-use crate::loads::Running;
+use crate::exchange::{Gateway, Job, longest_pause_of};
+use crate::loads::InFlightGuard;
+use crate::queues::Permit;
 use crate::relay::{Run, join};
-use crate::silences::Verdict;
-use crate::tries::Tries;
-use crate::waiting::Permit;
+use crate::response_monitor::UnresponsiveTarget;
 
 impl Gateway {
     /// Serves a request that has passed all checks.
     pub(crate) async fn serve(self: &Arc<Self>, job: Job) -> Response<Body> {
-        self.earn(&job);
-        let mut tries = Tries::default();
-        let served = match self.permit(&job, &mut tries).await {
+        self.credit_retry_budgets(&job);
+        let mut tries = AttemptHistory::default();
+        let served = match self.acquire_permit(&job, &mut tries).await {
             Ok(permit) => self.answer(&job, &mut tries).await.map(|answer| (permit, answer)),
             Err(refusal) => Err(refusal),
         };
@@ -37,38 +37,44 @@
             Ok((permit, answer)) => respond(self, job, tries, permit, answer),
             Err(refusal) => {
                 let status = refusal.reason.status().as_u16();
-                self.end(&job, refusal.reason.name(), &tries.tried, status);
-                refusal.response(&self.caller.dialect.request_id, job.outbound.head.id.as_ref())
+                self.record_end(&job, refusal.reason.name(), &tries.attempted_targets, status);
+                refusal.response(&self.target_client.dialect.request_id, job.outbound.head.id.as_ref())
             }
         }
     }
 }
 
 /// The answer as the caller gets it.
-fn respond(gateway: &Arc<Gateway>, job: Job, tries: Tries, permit: Option<Permit>, answer: Answer) -> Response<Body> {
-    gateway.figures.first(job.route().kind, job.began.elapsed());
+fn respond(
+    gateway: &Arc<Gateway>,
+    job: Job,
+    tries: AttemptHistory,
+    permit: Option<Permit>,
+    answer: Answer,
+) -> Response<Body> {
+    gateway.metrics.first(job.route().kind, job.arrived_at.elapsed());
     match answer {
         Answer::Complete(whole) => {
-            gateway.end(&job, "answered", &tries.tried, whole.status.as_u16());
+            gateway.record_end(&job, "answered", &tries.attempted_targets, whole.status.as_u16());
             let body = Full::new(whole.body).map_err(|never| match never {}).boxed_unsync();
             response(whole.status, whole.headers, body)
         }
         Answer::Long(begun, running) => {
-            gateway.end(&job, "passed_on", &tries.tried, begun.status.as_u16());
+            gateway.record_end(&job, "passed_on", &tries.attempted_targets, begun.status.as_u16());
             let (status, headers) = (begun.status, begun.headers);
             let long = Long {
                 gateway: Arc::clone(gateway),
                 job,
                 tries,
-                collected: Some(begun.collected),
-                rest: begun.rest,
+                collected: Some(begun.buffered),
+                rest: begun.remainder,
                 _running: running,
             };
             response(status, headers, long.into_body())
         }
         Answer::Stream(stream) => {
             if let Some(permit) = &permit {
-                permit.first_event();
+                permit.record_first_event();
             }
             let (status, headers) = (stream.status, stream.headers);
             let relay = Relay {
@@ -95,9 +101,9 @@
     first: Option<Event>,
     run: Run,
     /// Counts as load of the target for as long as it is held.
-    running: Running,
+    running: InFlightGuard,
     _permit: Option<Permit>,
-    tries: Tries,
+    tries: AttemptHistory,
     pauses: Pauses,
     /// Whether it stays where it is, even if that is slow.
     stays: bool,
@@ -153,8 +159,8 @@
             }
             let next = tokio::select! {
                 biased;
-                next = self.run.next(self.job.outbound.until) => next,
-                () = self.gateway.loads.slow.becomes(self.running.target), if !self.stays => {
+                next = self.run.next(self.job.outbound.deadline) => next,
+                () = self.gateway.loads.stragglers.wait_until_straggler(self.running.target), if !self.stays => {
                     self.leave_slow().await;
                     continue;
                 }
@@ -170,7 +176,7 @@
                 }
                 Ok(None) => {
                     let request = &self.job.outbound.fingerprint;
-                    self.gateway.board.quarantine.note_answer(request);
+                    self.gateway.board.quarantine.record_answer(request);
                     self.end("streamed");
                     return None;
                 }
@@ -186,8 +192,10 @@
 
     /// Another event is there.
     fn note_event(&mut self) {
-        if let Some(seat) = self.tries.tried.last() {
-            self.gateway.silences.note(seat, Awaited::Next, self.pauses.last);
+        if let Some(seat) = self.tries.attempted_targets.last() {
+            self.gateway
+                .response_monitor
+                .record_response(seat, ResponsePart::NextEvent, self.pauses.last);
         }
         self.pauses.note();
     }
@@ -195,20 +203,20 @@
     /// Leaves a target that holds its group back, if the stream can go on elsewhere. If that fails in the end, the run that
     /// was left shows as broken.
     async fn leave_slow(&mut self) {
-        let sends = self.tries.tried.len();
-        let at = self.tries.tried.last().map_or("", |seat| &seat.target.id);
-        let left = self.gateway.may_leave(&self.job, at, sends, &self.tries);
+        let sends = self.tries.attempted_targets.len();
+        let at = self.tries.attempted_targets.last().map_or("", |seat| &seat.target.id);
+        let left = self.gateway.may_abandon_straggler(&self.job, at, sends, &self.tries);
         self.leave(left).await;
     }
 
     /// The same for one that is silent.
-    async fn leave_silent(&mut self, verdict: Verdict) {
-        let sends = self.tries.tried.len();
+    async fn leave_silent(&mut self, verdict: UnresponsiveTarget) {
+        let sends = self.tries.attempted_targets.len();
         let may_leave = |seat| {
             self.gateway
-                .may_leave_silent(&self.job, seat, verdict, sends, &self.tries)
+                .may_abandon_unresponsive(&self.job, seat, verdict, sends, &self.tries)
         };
-        let left = self.tries.tried.last().is_some_and(may_leave);
+        let left = self.tries.attempted_targets.last().is_some_and(may_leave);
         self.leave(left).await;
     }
 
@@ -216,27 +224,27 @@
         self.stays = !left;
         if left {
             self.run.leave();
-            self.go_on(Loss::Broken).await;
+            self.go_on(ResponseError::ConnectionLost).await;
         }
     }
 
     /// Goes on elsewhere after the last event that the caller has, if that may be.
-    async fn resume(&mut self, loss: Loss) -> bool {
-        if let Some(seat) = self.tries.tried.last() {
-            self.gateway.look_after(&self.job, seat, loss).await;
+    async fn resume(&mut self, loss: ResponseError) -> bool {
+        if let Some(seat) = self.tries.attempted_targets.last() {
+            self.gateway.investigate_lost_response(&self.job, seat, loss).await;
         }
-        let resumable = self.job.outbound.may_repeat && loss != Loss::Timeout;
-        resumable && self.gateway.may_send_again(&self.job, &self.tries) && self.go_on(loss).await
+        let resumable = self.job.outbound.retryable && loss != ResponseError::Timeout;
+        resumable && self.gateway.may_retry(&self.job, &self.tries) && self.go_on(loss).await
     }
 
     /// Sends the rest of the stream elsewhere.
-    async fn go_on(&mut self, loss: Loss) -> bool {
-        self.job.outbound.last_event = self.run.last().or(self.job.outbound.last_event);
+    async fn go_on(&mut self, loss: ResponseError) -> bool {
+        self.job.outbound.last_event_id = self.run.last().or(self.job.outbound.last_event_id);
         let Ok(Answer::Stream(stream)) = self.gateway.answer(&self.job, &mut self.tries).await else {
             return false;
         };
-        log::info!(target: DECISION, decision = "resumed", request = self.job.outbound.head.id_text(), after = self.job.outbound.last_event, loss = loss.name(); "stream goes on elsewhere");
-        self.gateway.figures.resumed.add_one();
+        log::info!(target: DECISION, decision = "resumed", request = self.job.outbound.head.id_text(), after = self.job.outbound.last_event_id, loss = loss.name(); "stream goes on elsewhere");
+        self.gateway.metrics.resumed.add_one();
         self.first = stream.first;
         self.run = stream.run;
         self.running = stream.running;
@@ -245,36 +253,38 @@
 
     /// Says of a stream that its caller had to wait for events how long, and for which.
     fn log_pauses(&self) {
-        let first = self.pauses.began.saturating_duration_since(self.job.began);
+        let first = self.pauses.began.saturating_duration_since(self.job.arrived_at);
         log::info!(target: DECISION, decision = "pauses", request = self.job.outbound.head.id_text(), first_ms = first.as_millis() as u64, longest_pause_ms = self.pauses.longest.as_millis() as u64; "stream");
     }
 
     fn end(&mut self, outcome: &str) {
         self.over = true;
         self.log_pauses();
-        self.gateway.end(&self.job, outcome, &self.tries.tried, 200);
+        self.gateway
+            .record_end(&self.job, outcome, &self.tries.attempted_targets, 200);
     }
 }
 
 /// Returns once the target of a stream has been silent for too long.
-async fn silence(gateway: &Gateway, job: &Job, tries: &Tries) -> Verdict {
-    let pause = pause_of(job);
-    let Some(seat) = tries.tried.last().filter(|_| !pause.is_zero()) else {
+async fn silence(gateway: &Gateway, job: &Job, tries: &AttemptHistory) -> UnresponsiveTarget {
+    let pause = longest_pause_of(job);
+    let Some(seat) = tries.attempted_targets.last().filter(|_| !pause.is_zero()) else {
         return std::future::pending().await;
     };
-    let wait = Wait {
-        seat,
-        awaited: Awaited::Next,
-        allowed: pause,
-        given_up_after: job.given_up_after(),
+    let wait = PendingResponse {
+        instance: seat,
+        response_part: ResponsePart::NextEvent,
+        due_within: pause,
+        caller_timeout: job.given_up_after(),
     };
-    gateway.silences.outlasted(wait).await
+    gateway.response_monitor.wait_until_unresponsive(wait).await
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.over {
-            self.gateway.end(&self.job, CALLER_LEFT, &self.tries.tried, 200);
+            self.gateway
+                .record_end(&self.job, CALLER_LEFT, &self.tries.attempted_targets, 200);
         }
     }
 }
@@ -290,12 +300,12 @@
 struct Long {
     gateway: Arc<Gateway>,
     job: Job,
-    tries: Tries,
+    tries: AttemptHistory,
     /// What was collected before it was found to be long.
     collected: Option<Bytes>,
-    rest: Rest,
+    rest: RemainingBody,
     /// Counts as load of the target for as long as it is held.
-    _running: Running,
+    _running: InFlightGuard,
 }
 
 impl Long {
@@ -311,13 +321,13 @@
         if let Some(bytes) = self.collected.take() {
             return Some(Ok(bytes));
         }
-        let next = tokio::time::timeout_at(self.job.outbound.until, self.rest.next()).await;
-        match next.unwrap_or(Err(Loss::Timeout)) {
+        let next = tokio::time::timeout_at(self.job.outbound.deadline, self.rest.next()).await;
+        match next.unwrap_or(Err(ResponseError::Timeout)) {
             Ok(Some(bytes)) => Some(Ok(bytes)),
             Ok(None) => None,
             Err(loss) => {
-                if let Some(seat) = self.tries.tried.last() {
-                    self.gateway.look_after(&self.job, seat, loss).await;
+                if let Some(seat) = self.tries.attempted_targets.last() {
+                    self.gateway.investigate_lost_response(&self.job, seat, loss).await;
                 }
                 Some(Err(std::io::Error::other(loss.name())))
             }
--- a/crates/sparscale_gateway/src/silences.rs
+++ b/crates/sparscale_gateway/src/response_monitor.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use sparscale_catalog::{Directory, Seat};
-use sparscale_policy::heard::{Register, Wait};
-use sparscale_policy::silence::{Awaited, Evidence};
+use sparscale_policy::response_timeout::{Evidence, ResponsePart};
+use sparscale_policy::response_tracker::{PendingResponse, Tracker};
 use sparscale_wire::GroupLoad;
 use tokio::time::Instant;
 
@@ -22,28 +22,28 @@
 
 /// A target found unresponsive, and the evidence for it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Verdict {
+pub(crate) struct UnresponsiveTarget {
     pub(crate) evidence: Evidence,
     pub(crate) unresponsive_for: Duration,
 }
 
 /// Response times and load reports of all targets that serve requests of this entry.
 #[derive(Debug, Default)]
-pub(crate) struct Silences {
-    tracker: Mutex<Register>,
+pub(crate) struct ResponseMonitor {
+    tracker: Mutex<Tracker>,
 }
 
-impl Silences {
+impl ResponseMonitor {
     /// Records that a target has sent the awaited response; the wait began at `since`.
-    pub(crate) fn note(&self, instance: &Seat, awaited: Awaited, since: Instant) {
+    pub(crate) fn record_response(&self, instance: &Seat, awaited: ResponsePart, since: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(since);
-        self.lock().note(instance, awaited, took, now.into_std());
+        self.lock().record_response(instance, awaited, took, now.into_std());
     }
 
     /// Records a load report from the leader of a group.
-    pub(crate) fn note_told(&self, load: &GroupLoad) {
-        self.lock().note_told(load, Instant::now().into_std());
+    pub(crate) fn record_report(&self, load: &GroupLoad) {
+        self.lock().record_group_load(load, Instant::now().into_std());
     }
 
     /// Drops the state of groups and services that `targets` no longer contains.
@@ -52,8 +52,8 @@
     }
 
     /// Returns once the target of `wait` has been unresponsive for too long, counted from the call.
-    pub(crate) async fn outlasted(&self, wait: Wait<'_>) -> Verdict {
-        let _guard = WaitGuard::new(self, wait.seat);
+    pub(crate) async fn wait_until_unresponsive(&self, wait: PendingResponse<'_>) -> UnresponsiveTarget {
+        let _guard = WaitGuard::new(self, wait.instance);
         let mut since = Instant::now();
         let mut next_check = since + FIRST_CHECK_DELAY;
         loop {
@@ -69,28 +69,28 @@
         }
     }
 
-    fn check(&self, wait: &Wait<'_>, since: Instant, now: Instant) -> Option<Verdict> {
+    fn check(&self, wait: &PendingResponse<'_>, since: Instant, now: Instant) -> Option<UnresponsiveTarget> {
         let unresponsive_for = now.saturating_duration_since(since);
         let evidence = self.lock().evidence(wait, now.into_std())?;
-        evidence.leaves(unresponsive_for).then_some(Verdict {
+        evidence.should_abandon(unresponsive_for).then_some(UnresponsiveTarget {
             evidence,
             unresponsive_for,
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Register> {
+    fn lock(&self) -> MutexGuard<'_, Tracker> {
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Counts a wait for a target until dropped.
 struct WaitGuard<'a> {
-    monitor: &'a Silences,
+    monitor: &'a ResponseMonitor,
     instance: &'a Seat,
 }
 
 impl<'a> WaitGuard<'a> {
-    fn new(monitor: &'a Silences, instance: &'a Seat) -> Self {
+    fn new(monitor: &'a ResponseMonitor, instance: &'a Seat) -> Self {
         monitor.lock().begin_wait(instance);
         Self { monitor, instance }
     }
--- a/crates/sparscale_gateway/src/server.rs
+++ b/crates/sparscale_gateway/src/server.rs
@@ -22,7 +22,7 @@
 
 use crate::admission::Admission;
 use crate::body::Body;
-use crate::phase::{Phase, Progress};
+use crate::phase::{ConnectionCounter, Phase};
 
 /// Pause after a connection could not be accepted: descriptors are short, and waiting frees some.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -158,7 +158,7 @@
 pub(crate) async fn serve(
     listener: TcpListener,
     admission: Arc<Admission>,
-    progress: Arc<Progress>,
+    progress: Arc<ConnectionCounter>,
     mut phase: watch::Receiver<Phase>,
 ) {
     loop {
@@ -184,11 +184,11 @@
 }
 
 struct Counted {
-    progress: Arc<Progress>,
+    progress: Arc<ConnectionCounter>,
 }
 
 impl Counted {
-    fn new(progress: Arc<Progress>) -> Self {
+    fn new(progress: Arc<ConnectionCounter>) -> Self {
         progress.connections.fetch_add(1, Ordering::Relaxed);
         Self { progress }
     }
--- a/crates/sparscale_gateway/src/slow.rs
+++ b/crates/sparscale_gateway/src/stragglers.rs
@@ -5,7 +5,7 @@
 
 use sparscale_catalog::{Directory, Incarnation};
 use sparscale_mesh::Mesh;
-use sparscale_policy::slow;
+use sparscale_policy::straggler;
 use sparscale_telemetry::DECISION;
 use sparscale_wire::GroupLoad;
 use tokio::sync::watch;
@@ -31,8 +31,8 @@
                 continue;
             };
             let report = groups.entry(&membership.group).or_insert_with(|| {
-                let load = mesh.group(&membership.group)?;
-                let slow_ranks = slow::ranks(&load);
+                let load = mesh.group_load(&membership.group)?;
+                let slow_ranks = straggler::find(&load);
                 Some((load, slow_ranks))
             });
             let Some((load, slow_ranks)) = report else { continue };
@@ -57,7 +57,7 @@
     }
 
     /// Returns once `target` is a straggler.
-    pub(crate) async fn becomes(&self, target: Incarnation) {
+    pub(crate) async fn wait_until_straggler(&self, target: Incarnation) {
         let mut targets = self.targets.subscribe();
         if targets
             .wait_for(|stragglers| stragglers.contains(&target))
--- a/crates/sparscale_gateway/src/split.rs
+++ b/crates/sparscale_gateway/src/traffic_split.rs
@@ -7,11 +7,11 @@
 
 /// Credit of each service, by route: the share of past requests that it has not received yet, in units of weight.
 #[derive(Debug, Default)]
-pub(crate) struct Splits {
+pub(crate) struct TrafficSplit {
     credits: Mutex<HashMap<String, HashMap<String, i64>>>,
 }
 
-impl Splits {
+impl TrafficSplit {
     /// Chooses the service for the next request; services without targets are skipped while another one has some.
     ///
     /// Each call adds to the credit of each candidate its weight and subtracts the sum of these weights from the chosen
--- a/crates/sparscale_gateway/tests/path/beliefs.rs
+++ b/crates/sparscale_gateway/tests/path/beliefs.rs
@@ -32,8 +32,8 @@
 fn stale_keys_refused() {
     let target = good();
     let mut settings = settings();
-    settings.freshness.keyed = Duration::from_millis(700);
-    settings.freshness.denial = Duration::from_millis(500);
+    settings.freshness.max_age_with_key = Duration::from_millis(700);
+    settings.freshness.max_age_for_denial = Duration::from_millis(500);
     let world = World::with(settings, samples::document(1), &[&target], &[]);
     world.catalogs.take_away();
     world.rosters.take_away();
@@ -58,8 +58,8 @@
 fn known_keys_hold() {
     let target = good();
     let mut settings = settings();
-    settings.freshness.keyed = Duration::MAX;
-    settings.freshness.denial = Duration::from_millis(500);
+    settings.freshness.max_age_with_key = Duration::MAX;
+    settings.freshness.max_age_for_denial = Duration::from_millis(500);
     let world = World::with(settings, samples::document(1), &[&target], &[]);
     world.catalogs.take_away();
     world.rosters.take_away();
@@ -75,7 +75,7 @@
 fn never_older() {
     let target = good();
     let mut settings = settings();
-    settings.freshness.keyed = Duration::from_millis(700);
+    settings.freshness.max_age_with_key = Duration::from_millis(700);
     let world = World::with(settings, samples::document(5), &[&target], &[]);
     let without = Document {
         routes: Vec::new(),
--- a/crates/sparscale_gateway/tests/path/crashing.rs
+++ b/crates/sparscale_gateway/tests/path/crashing.rs
@@ -135,7 +135,7 @@
     let targets = targets(run);
     let first = plain(&targets);
     let linked = first.beside(seeded(&first));
-    wait("a link", || linked.entry.mesh.line().borrow().sharers == Some(2));
+    wait("a link", || linked.entry.mesh.status().borrow().sharers == Some(2));
     let strange = first.beside(settings());
     for time in 0..3 {
         first.ask(&deadly("/any/x", &format!("f-{time}")));
--- a/crates/sparscale_gateway/tests/path/entry.rs
+++ b/crates/sparscale_gateway/tests/path/entry.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use async_trait::async_trait;
-use sparscale_belief::{Archive, Error, Reading, Source};
+use sparscale_belief::{Archive, Error, Source, Versioned};
 use sparscale_catalog::{Catalog, Document, Roster, Standing, Target as Listed};
 use sparscale_clock::Clock;
 use sparscale_gateway::{Allowance, Dialect, Entry, Freshness, Parts, Settings};
@@ -45,12 +45,12 @@
 
 #[async_trait]
 impl<T: Send + Sync + 'static> Source<T> for Store<T> {
-    async fn read(&mut self) -> Result<Reading<T>, Error> {
+    async fn read(&mut self) -> Result<Versioned<T>, Error> {
         let held = self.0.lock().expect("no panic");
         let held = held.as_ref().ok_or_else(|| Error::Unavailable {
             message: "away".to_owned(),
         })?;
-        Ok(Reading {
+        Ok(Versioned {
             value: Arc::clone(&held.value),
             position: held.position.into(),
         })
@@ -63,9 +63,9 @@
 
 #[async_trait]
 impl Source<Vec<Strike>> for Strikes {
-    async fn read(&mut self) -> Result<Reading<Vec<Strike>>, Error> {
+    async fn read(&mut self) -> Result<Versioned<Vec<Strike>>, Error> {
         let kept = self.0.lock().expect("no panic");
-        Ok(Reading {
+        Ok(Versioned {
             value: Arc::new(kept.clone()),
             position: (kept.len() as u64).into(),
         })
@@ -108,8 +108,8 @@
         seeds: Vec::new(),
         interval: Duration::from_millis(100),
         freshness: Freshness {
-            keyed: Duration::from_secs(3),
-            denial: Duration::from_secs(2),
+            max_age_with_key: Duration::from_secs(3),
+            max_age_for_denial: Duration::from_secs(2),
         },
         // A process that has just started has nothing to spend but what requests earn: here the first earns enough.
         allowance: Allowance {
--- a/crates/sparscale_gateway/tests/path/groups.rs
+++ b/crates/sparscale_gateway/tests/path/groups.rs
@@ -93,7 +93,7 @@
         })
         .collect();
     let world = world(&targets);
-    world.entry.mesh.offer_group(load(1, &[1_000, 1_000, 1_000]), true);
+    world.entry.mesh.merge_group_load(load(1, &[1_000, 1_000, 1_000]), true);
     let answer = std::thread::scope(|scope| {
         let asking = scope.spawn(|| world.ask(&Request::new("POST", "/stream/x", "r-1")));
         let has_it = |target: &Target| !target.arrivals().is_empty();
@@ -101,7 +101,7 @@
         let slow = targets.iter().position(has_it).expect("one has it");
         let mut paces = [1_000; 3];
         paces[slow] = 8_000;
-        world.entry.mesh.offer_group(load(2, &paces), true);
+        world.entry.mesh.merge_group_load(load(2, &paces), true);
         asking.join().expect("no panic")
     });
     assert_eq!((answer.status, answer.whole), (200, true));
@@ -116,7 +116,7 @@
         .map(|_| Target::start(|arrival, wire| serve_from(arrival, wire, 0)))
         .collect();
     let world = world(&targets);
-    world.entry.mesh.offer_group(load(1, &[1_000, 8_000, 1_000]), true);
+    world.entry.mesh.merge_group_load(load(1, &[1_000, 8_000, 1_000]), true);
     // The entry takes the news in while it serves; only what comes afterwards counts.
     wait("the slow target to be spared", || {
         let before = targets[1].arrivals().len();
@@ -271,7 +271,7 @@
             group: group.to_owned(),
             ..load(1, &[1_000; 2])
         };
-        world.entry.mesh.offer_group(told, true);
+        world.entry.mesh.merge_group_load(told, true);
     }
     for round in 0..30 {
         let answer = world.ask(&Request::new("POST", "/stream/x", &format!("r-{round}")));
--- a/crates/sparscale_gateway/tests/path/leaving_targets.rs
+++ b/crates/sparscale_gateway/tests/path/leaving_targets.rs
@@ -40,7 +40,7 @@
     let sound = Target::start(serve);
     let first = World::new(&[&leaving, &sound], &[]);
     let second = first.beside(seeded(&first));
-    wait("a link", || second.entry.mesh.line().borrow().sharers == Some(2));
+    wait("a link", || second.entry.mesh.status().borrow().sharers == Some(2));
     load(&first, "/any/x", Duration::from_millis(300));
     std::thread::sleep(Duration::from_millis(500));
     let before = leaving.times().len();
--- a/crates/sparscale_gateway/tests/path/rate_limits.rs
+++ b/crates/sparscale_gateway/tests/path/rate_limits.rs
@@ -36,7 +36,7 @@
         worlds.push(next);
     }
     for world in &worlds {
-        wait("links", || world.entry.mesh.line().borrow().sharers == Some(ENTRIES));
+        wait("links", || world.entry.mesh.status().borrow().sharers == Some(ENTRIES));
     }
     worlds
 }
--- a/crates/sparscale_gateway/tests/path/returned.rs
+++ b/crates/sparscale_gateway/tests/path/returned.rs
@@ -109,7 +109,7 @@
     for rank in told.ranks.iter_mut().flatten() {
         rank.start = sparscale_catalog::start_mark(Some(1_000));
     }
-    world.entry.mesh.offer_group(told, true);
+    world.entry.mesh.merge_group_load(told, true);
     let stream = |id: &str| world.ask(&Request::new("POST", "/stream/x", id)).status;
     for round in 0..8 {
         assert_eq!(stream(&format!("r-{round}")), 200);
--- a/crates/sparscale_gateway/tests/path/silent.rs
+++ b/crates/sparscale_gateway/tests/path/silent.rs
@@ -123,7 +123,7 @@
     if let Some(asleep) = ranks.asleep() {
         told.ranks[asleep] = None;
     }
-    world.entry.mesh.offer_group(told, true);
+    world.entry.mesh.merge_group_load(told, true);
 }
 
 /// A request whose target falls silent before the first event is served elsewhere while its caller waits, by what the
@@ -171,7 +171,7 @@
     let world = world(&ranks.targets);
     let mut told = load(1, &[1_000; 4]);
     told.ranks[2] = None;
-    world.entry.mesh.offer_group(told, true);
+    world.entry.mesh.merge_group_load(told, true);
     for round in 0..40 {
         assert_eq!(world.ask(&stream(&format!("r-{round}"))).status, 200);
     }
@@ -190,7 +190,7 @@
         })
         .collect();
     let world = world(&targets);
-    world.entry.mesh.offer_group(load(1, &[1_000; 4]), true);
+    world.entry.mesh.merge_group_load(load(1, &[1_000; 4]), true);
     let answers = std::thread::scope(|scope| {
         let asking: Vec<_> = (0..8)
             .map(|number| {
@@ -224,7 +224,7 @@
         })
         .collect();
     let world = world(&targets);
-    world.entry.mesh.offer_group(load(1, &[1_000; 4]), true);
+    world.entry.mesh.merge_group_load(load(1, &[1_000; 4]), true);
     std::thread::scope(|scope| {
         for number in 0..12 {
             let world = &world;
--- a/crates/sparscale_history/src/lib.rs
+++ b/crates/sparscale_history/src/lib.rs
@@ -9,14 +9,14 @@
 
 /// A position in a history, ordered by era, then by offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Place {
+pub struct Position {
     /// Number of times that the history was restored from an older snapshot.
     pub era: u64,
     /// Offset or version within the era.
     pub offset: u64,
 }
 
-impl Place {
+impl Position {
     /// The position at `offset` in `era`.
     pub const fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
@@ -32,14 +32,14 @@
     }
 }
 
-impl From<u64> for Place {
+impl From<u64> for Position {
     /// A position in a history that is never restored, such as the versions of a catalog.
     fn from(offset: u64) -> Self {
         Self { era: 0, offset }
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.era, self.offset)
     }
--- a/crates/sparscale_mesh/src/lib.rs
+++ b/crates/sparscale_mesh/src/lib.rs
@@ -9,4 +9,4 @@
 mod mesh;
 
 pub use link_clock::LinkClock;
-pub use mesh::{FEW_ENTRIES, LOAD_INTERVAL_STEP, Line, Mesh, Settings, Traffic};
+pub use mesh::{DEFAULT_ENTRIES_PER_LOAD_STEP, LOAD_INTERVAL_STEP, Mesh, MeshStatus, Settings, Traffic};
--- a/crates/sparscale_mesh/src/link.rs
+++ b/crates/sparscale_mesh/src/link.rs
@@ -8,8 +8,8 @@
 
 use sparscale_belief::Observation;
 use sparscale_catalog::{Catalog, Document, Roster};
-use sparscale_clock::Moment;
-use sparscale_history::Place;
+use sparscale_clock::Timestamp;
+use sparscale_history::Position;
 use sparscale_policy::rate_limit::Rate;
 use sparscale_policy::throttle;
 use sparscale_quarantine::Strike;
@@ -59,8 +59,8 @@
     clock: LinkClock,
     /// Address of the peer; `None` until its first exchange.
     peer: Option<SocketAddr>,
-    peer_catalog_position: Place,
-    peer_roster_position: Place,
+    peer_catalog_position: Position,
+    peer_roster_position: Position,
     /// What the peer has requested and not been sent yet.
     peer_request: ValueRequest,
     /// What to request from the peer in the next exchange.
@@ -89,8 +89,8 @@
             mesh,
             role,
             peer: None,
-            peer_catalog_position: Place::default(),
-            peer_roster_position: Place::default(),
+            peer_catalog_position: Position::default(),
+            peer_roster_position: Position::default(),
             peer_request: ValueRequest::default(),
             own_request: ValueRequest::default(),
             sent_roster_digest: None,
@@ -120,7 +120,7 @@
     async fn exchange_messages(&mut self, sender: &mut Sender, receiver: &mut Receiver) {
         let mesh = Arc::clone(&self.mesh);
         let mut catalogs = mesh.board.subscribe_catalogs();
-        let mut rosters = mesh.board.target_lists();
+        let mut rosters = mesh.board.subscribe_targets();
         let mut groups = mesh.groups.subscribe();
         let mut strikes = mesh.board.quarantine.subscribe();
         strikes.mark_changed();
@@ -353,7 +353,7 @@
 
     fn handle_load(&mut self, load: GroupLoad) {
         self.mesh.received.loads.fetch_add(1, Ordering::Relaxed);
-        self.mesh.offer_group(load, self.role == Role::Agent);
+        self.mesh.merge_group_load(load, self.role == Role::Agent);
     }
 
     fn handle_catalog(&mut self, document: Document) {
@@ -408,9 +408,9 @@
     }
 
     /// Merges the pending catalog if the peer's observation is of that version; else only confirms the known catalog.
-    fn merge_catalog(&mut self, known: Known, as_of: Moment, source: &str) {
+    fn merge_catalog(&mut self, known: Known, as_of: Timestamp, source: &str) {
         let pending = self.pending_catalog.as_ref();
-        match pending.filter(|catalog| Place::from(catalog.version()) == known.position) {
+        match pending.filter(|catalog| Position::from(catalog.version()) == known.position) {
             Some(catalog) => self.mesh.board.merge_catalog(Arc::clone(catalog), as_of, source),
             None => self.mesh.board.confirm_catalog(known.position.offset, as_of),
         };
@@ -418,7 +418,7 @@
 
     /// Merges the peer's observation of the roster if this process has a roster with the same digest, which is usual
     /// also at a later position; else requests the roster.
-    fn merge_roster(&mut self, observed: KnownRoster, as_of: Moment, source: &str) {
+    fn merge_roster(&mut self, observed: KnownRoster, as_of: Timestamp, source: &str) {
         let KnownRoster { known, digest } = observed;
         let own = self.mesh.board.store_roster().map(|roster| roster.value);
         let mut rosters = [self.pending_roster.clone(), own].into_iter().flatten();
@@ -430,7 +430,7 @@
 }
 
 /// The position and age of an observation, as an exchange carries them.
-fn to_known<T: PartialEq>(observed: &Observation<T>, now: Moment) -> Known {
+fn to_known<T: PartialEq>(observed: &Observation<T>, now: Timestamp) -> Known {
     Known {
         position: observed.position,
         // Rounded up, because an age must not look smaller than it is.
--- a/crates/sparscale_mesh/src/link_clock.rs
+++ b/crates/sparscale_mesh/src/link_clock.rs
@@ -5,19 +5,19 @@
 
 use std::time::Duration;
 
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 use sparscale_wire::Echo;
 
 /// Stamps that one side of a link has sent and received.
 #[derive(Debug)]
 pub struct LinkClock {
-    started_at: Moment,
-    latest_received: Option<(u64, Moment)>,
+    started_at: Timestamp,
+    latest_received: Option<(u64, Timestamp)>,
 }
 
 impl LinkClock {
     /// A clock whose stamps count milliseconds from `started_at`.
-    pub fn new(started_at: Moment) -> Self {
+    pub fn new(started_at: Timestamp) -> Self {
         Self {
             started_at,
             latest_received: None,
@@ -25,19 +25,19 @@
     }
 
     /// The stamp of a message that is sent at `now`.
-    pub fn stamp(&self, now: Moment) -> u64 {
+    pub fn stamp(&self, now: Timestamp) -> u64 {
         millis(now.since(self.started_at))
     }
 
     /// Records a stamp of the peer that was received at `now`.
-    pub fn record_received(&mut self, stamp_ms: u64, now: Moment) {
+    pub fn record_received(&mut self, stamp_ms: u64, now: Timestamp) {
         if self.latest_received.is_none_or(|(latest_ms, _)| stamp_ms > latest_ms) {
             self.latest_received = Some((stamp_ms, now));
         }
     }
 
     /// The peer's latest stamp, for a message that is sent at `now`.
-    pub fn echo(&self, now: Moment) -> Option<Echo> {
+    pub fn echo(&self, now: Timestamp) -> Option<Echo> {
         self.latest_received.map(|(stamp_ms, received_at)| Echo {
             stamp_ms,
             held_ms: millis(now.since(received_at)),
@@ -46,12 +46,12 @@
 
     /// The earliest time at which a message with this echo can have been sent: the stamp left this process before the
     /// peer received it, and the peer sent the message after it had held the stamp for the time in the echo.
-    pub fn earliest_sent_at(&self, echo: Echo) -> Moment {
+    pub fn earliest_sent_at(&self, echo: Echo) -> Timestamp {
         self.started_at + Duration::from_millis(echo.stamp_ms) + Duration::from_millis(echo.held_ms)
     }
 
     /// The time at which an observation was current that was `age_ms` old when the message with this echo was sent.
-    pub fn as_of(&self, echo: Echo, age_ms: u64) -> Option<Moment> {
+    pub fn as_of(&self, echo: Echo, age_ms: u64) -> Option<Timestamp> {
         self.earliest_sent_at(echo).checked_sub(Duration::from_millis(age_ms))
     }
 }
--- a/crates/sparscale_mesh/src/mesh.rs
+++ b/crates/sparscale_mesh/src/mesh.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use sparscale_belief::Board;
-use sparscale_clock::Moment;
-use sparscale_history::Place;
+use sparscale_clock::Timestamp;
+use sparscale_history::Position;
 use sparscale_policy::rate_limit::{self, Members};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::{Ask, Channel, Endpoint, Frame, GroupLoad, Peer, Role};
@@ -52,11 +52,11 @@
     /// Number of entries up to which each forwards loads to all others at once. Among more, the time between two load
     /// messages on a link grows by [`LOAD_INTERVAL_STEP`] for each further such number of entries, so that all links
     /// together carry about as much as among twice this number without that delay.
-    pub few_entries: usize,
+    pub entries_per_load_step: usize,
 }
 
 /// Default number of entries up to which loads are forwarded at once; known deployments have at most 15 entries.
-pub const FEW_ENTRIES: usize = 16;
+pub const DEFAULT_ENTRIES_PER_LOAD_STEP: usize = 16;
 /// Step by which the time between two load messages on a link grows with the number of entries; see [`Settings`].
 pub const LOAD_INTERVAL_STEP: Duration = Duration::from_millis(100);
 /// Longest time between two load messages on a link; the loads of a group are used for about a second.
@@ -64,9 +64,9 @@
 
 /// Index of this entry among the live ones, and their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Line {
+pub struct MeshStatus {
     /// Number of linked entries with a smaller address: 0 for the first entry.
-    pub place: usize,
+    pub index: usize,
     /// Number of entries that are live or were recently, including this one.
     pub entries: usize,
     /// Number of entries among which common limits are divided: all known ones, including this one. `None` unless this
@@ -79,20 +79,20 @@
 #[derive(Debug, Clone, Copy)]
 struct EntryState {
     link_count: usize,
-    last_seen: Option<Moment>,
+    last_seen: Option<Timestamp>,
     next_dial_at: Instant,
     dial_failures: u32,
-    discovered_at: Moment,
+    discovered_at: Timestamp,
 }
 
 /// The position that was requested last from any entry, and the time of the request.
 #[derive(Debug, Default)]
-struct LatestRequest(Mutex<Option<(Place, Instant)>>);
+struct LatestRequest(Mutex<Option<(Position, Instant)>>);
 
 impl LatestRequest {
     /// Records a request for `position` and returns true, unless this position or a later one was requested within
     /// [`REQUEST_TIMEOUT`].
-    fn try_record(&self, position: Place) -> bool {
+    fn try_record(&self, position: Position) -> bool {
         let now = Instant::now();
         let mut latest = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if latest.is_some_and(|(requested, at)| requested >= position && now < at + REQUEST_TIMEOUT) {
@@ -130,10 +130,10 @@
 pub struct Mesh {
     pub(crate) settings: Settings,
     pub(crate) board: Arc<Board>,
-    pub(crate) started_at: Moment,
+    pub(crate) started_at: Timestamp,
     endpoint: Arc<Endpoint>,
     entries: Mutex<BTreeMap<SocketAddr, EntryState>>,
-    status: watch::Sender<Line>,
+    status: watch::Sender<MeshStatus>,
     members: watch::Sender<Members>,
     latest_catalog_request: LatestRequest,
     latest_roster_request: LatestRequest,
@@ -158,8 +158,8 @@
             board,
             endpoint,
             entries: Mutex::default(),
-            status: watch::Sender::new(Line {
-                place: 0,
+            status: watch::Sender::new(MeshStatus {
+                index: 0,
                 entries: 1,
                 sharers: None,
             }),
@@ -190,7 +190,7 @@
     }
 
     /// Subscribes to this entry's index among the live ones, and their number.
-    pub fn line(&self) -> watch::Receiver<Line> {
+    pub fn status(&self) -> watch::Receiver<MeshStatus> {
         self.status.subscribe()
     }
 
@@ -200,12 +200,12 @@
     }
 
     /// Latest loads of a group.
-    pub fn group(&self, name: &str) -> Option<Arc<GroupLoad>> {
+    pub fn group_load(&self, name: &str) -> Option<Arc<GroupLoad>> {
         self.groups.borrow().get(name).map(|report| Arc::clone(&report.load))
     }
 
     /// Latest loads of all groups.
-    pub fn groups(&self) -> Vec<Arc<GroupLoad>> {
+    pub fn group_loads(&self) -> Vec<Arc<GroupLoad>> {
         self.groups
             .borrow()
             .values()
@@ -214,13 +214,13 @@
     }
 
     /// Subscribes to the loads of all groups.
-    pub fn group_news(&self) -> GroupChanges {
+    pub fn subscribe_group_loads(&self) -> GroupChanges {
         GroupChanges(self.groups.subscribe())
     }
 
     /// Merges loads of a group, unless later ones are known; `from_leader` if the group leader sent them to this
     /// process itself.
-    pub fn offer_group(&self, load: GroupLoad, from_leader: bool) {
+    pub fn merge_group_load(&self, load: GroupLoad, from_leader: bool) {
         self.groups.send_if_modified(|groups| {
             let is_newer = groups
                 .get(&load.group)
@@ -235,7 +235,7 @@
     }
 
     /// Keeps links to all other entries; never returns.
-    pub async fn link_entries(self: Arc<Self>) {
+    pub async fn run_entry_links(self: Arc<Self>) {
         loop {
             for address in self.take_due_dials() {
                 tokio::spawn(Arc::clone(&self).dial(address));
@@ -248,7 +248,7 @@
 
     /// Keeps a link to one entry, and to the next one when it ends; never returns. Agents start at an entry that
     /// depends on their address, so that they spread over the entries.
-    pub async fn follow_one(self: Arc<Self>) {
+    pub async fn run_agent_link(self: Arc<Self>) {
         let mut index = spread_index(self.settings.address);
         loop {
             let entries: Vec<SocketAddr> = self.lock_entries().keys().copied().collect();
@@ -308,7 +308,7 @@
 
     /// Whether to request the catalog of this version from an entry; if so, records the request. An agent receives it
     /// without a request.
-    pub(crate) fn try_request_catalog(&self, version: Place) -> bool {
+    pub(crate) fn try_request_catalog(&self, version: Position) -> bool {
         let known_position = self.board.catalog().map(|observed| observed.position);
         self.settings.role == Role::Entry
             && known_position < Some(version)
@@ -317,7 +317,7 @@
 
     /// Whether to request the roster at this position from an entry; if so, records the request. An agent receives it
     /// without a request.
-    pub(crate) fn try_request_roster(&self, position: Place) -> bool {
+    pub(crate) fn try_request_roster(&self, position: Position) -> bool {
         let known_position = self.board.store_roster().map(|observed| observed.position);
         self.settings.role == Role::Entry
             && known_position < Some(position)
@@ -326,7 +326,7 @@
 
     /// Time between two load messages on a link.
     pub(crate) fn load_interval(&self) -> Duration {
-        let steps = (self.status.borrow().entries.saturating_sub(1)) / self.settings.few_entries.max(1);
+        let steps = (self.status.borrow().entries.saturating_sub(1)) / self.settings.entries_per_load_step.max(1);
         let steps = u32::try_from(steps).unwrap_or(u32::MAX);
         LOAD_INTERVAL_STEP.saturating_mul(steps).min(MAX_LOAD_INTERVAL)
     }
@@ -429,8 +429,8 @@
                     .is_some_and(|last_seen| now.since(last_seen) < RECENTLY_SEEN_LIMIT);
                 entry.link_count > 0 || seen_recently
             };
-            Line {
-                place: entries.iter().filter(precedes).count(),
+            MeshStatus {
+                index: entries.iter().filter(precedes).count(),
                 entries: entries.values().filter(is_live).count() + 1,
                 sharers: (2 * linked_count > known_count).then_some(known_count),
             }
@@ -445,8 +445,8 @@
         let entries = self.lock_entries();
         let peer = |(address, entry): (&SocketAddr, &EntryState)| rate_limit::Peer {
             address: *address,
-            linked: entry.link_count > 0,
-            silent: entry.last_seen.map(|last_seen| now.since(last_seen)),
+            is_linked: entry.link_count > 0,
+            since_last_message: entry.last_seen.map(|last_seen| now.since(last_seen)),
         };
         let peers: Vec<rate_limit::Peer> = entries.iter().map(peer).collect();
         Members::new(self.settings.address, &peers)
