--- a/crates/sparscale_mesh/tests/belief_exchange.rs
+++ b/crates/sparscale_mesh/tests/belief_exchange.rs
@@ -7,7 +7,7 @@
 use quickcheck::{Gen, QuickCheck};
 use sparscale_belief::Board;
 use sparscale_catalog::{Catalog, Directory, Document, Incarnations, Roster};
-use sparscale_clock::{Clock, Machine};
+use sparscale_clock::{Clock, SystemClock};
 use sparscale_mesh::{LOAD_INTERVAL_STEP, LinkClock, Mesh, Settings};
 use sparscale_policy::rate_limit::Rate;
 use sparscale_samples as samples;
@@ -25,7 +25,7 @@
 }
 
 fn process_with_limit(role: Role, seeds: &[SocketAddr], few_entries: usize) -> Process {
-    process_with_clock(sparscale_clock::machine(), role, seeds, few_entries)
+    process_with_clock(sparscale_clock::system_clock(), role, seeds, few_entries)
 }
 
 fn process_with_clock(clock: Arc<dyn Clock>, role: Role, seeds: &[SocketAddr], few_entries: usize) -> Process {
@@ -38,12 +38,12 @@
         role,
         seeds: seeds.to_vec(),
         interval: Duration::from_millis(20),
-        few_entries,
+        entries_per_load_step: few_entries,
     };
     let mesh = Mesh::new(settings, Arc::clone(&board), Arc::new(endpoint));
     match role {
-        Role::Entry => drop(tokio::spawn(Arc::clone(&mesh).link_entries())),
-        Role::Agent => drop(tokio::spawn(Arc::clone(&mesh).follow_one())),
+        Role::Entry => drop(tokio::spawn(Arc::clone(&mesh).run_entry_links())),
+        Role::Agent => drop(tokio::spawn(Arc::clone(&mesh).run_agent_link())),
     }
     tokio::spawn(Arc::clone(&mesh).accept());
     Process { board, mesh, address }
@@ -54,7 +54,7 @@
     let first = process(Role::Entry, &[]);
     let others: Vec<Process> = (0..count).map(|_| process(Role::Entry, &[first.address])).collect();
     for other in &others {
-        let mut status = other.mesh.line();
+        let mut status = other.mesh.status();
         let complete = status.wait_for(|status| status.entries == count + 1).await;
         drop(complete.expect("a mesh"));
     }
@@ -94,7 +94,7 @@
         .board
         .merge_roster(Arc::new(samples::roster()), 9, queried_at, "test");
     let mut catalogs = third.board.subscribe_catalogs();
-    let mut rosters = third.board.target_lists();
+    let mut rosters = third.board.subscribe_targets();
     let received = catalogs.wait_for(Option::is_some).await.expect("a board").clone();
     let observed = received.expect("a catalog");
     assert_eq!(observed.value.version(), 4);
@@ -154,7 +154,7 @@
         let roster = Arc::new(Roster::new(vec![target]));
         first.board.merge_roster(roster, position, first.board.now(), "test");
         for other in &others {
-            let mut rosters = other.board.target_lists();
+            let mut rosters = other.board.subscribe_targets();
             let received =
                 rosters.wait_for(|latest| latest.as_ref().is_some_and(|latest| latest.position == position.into()));
             drop(received.await.expect("a board"));
@@ -197,14 +197,14 @@
     let second = process(Role::Entry, &[first.address]);
     let third = process(Role::Entry, &[first.address]);
     for entry in [&first, &second, &third] {
-        let mut status = entry.mesh.line();
+        let mut status = entry.mesh.status();
         drop(status.wait_for(|status| status.entries == 3).await.expect("a mesh"));
     }
-    first.mesh.offer_group(load_of("g", 1), true);
-    let mut changes = third.mesh.group_news();
+    first.mesh.merge_group_load(load_of("g", 1), true);
+    let mut changes = third.mesh.subscribe_group_loads();
     for message in 1..=MESSAGES {
-        second.mesh.offer_group(load_of("h", message), true);
-        while third.mesh.group("h").is_none_or(|load| load.order.1 < message) {
+        second.mesh.merge_group_load(load_of("h", message), true);
+        while third.mesh.group_load("h").is_none_or(|load| load.order.1 < message) {
             assert!(changes.next().await);
         }
         // Messages that the first entry sends in response arrive.
@@ -217,7 +217,7 @@
         "{received} messages about {} loads",
         MESSAGES + 1
     );
-    assert!(third.mesh.group("g").is_some());
+    assert!(third.mesh.group_load("g").is_some());
 }
 
 /// Among many entries, loads are forwarded less often, and only the latest ones.
@@ -226,15 +226,15 @@
     let first = process_with_limit(Role::Entry, &[], 1);
     let second = process_with_limit(Role::Entry, &[first.address], 1);
     for entry in [&first, &second] {
-        let mut status = entry.mesh.line();
+        let mut status = entry.mesh.status();
         drop(status.wait_for(|status| status.entries == 2).await.expect("a mesh"));
     }
     let started_at = Instant::now();
     for message in 1..=30 {
-        first.mesh.offer_group(load_of("g", message), true);
+        first.mesh.merge_group_load(load_of("g", message), true);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    while second.mesh.group("g").is_none_or(|load| load.order.1 < 30) {
+    while second.mesh.group_load("g").is_none_or(|load| load.order.1 < 30) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let intervals = started_at.elapsed().as_millis() / LOAD_INTERVAL_STEP.as_millis();
@@ -272,10 +272,10 @@
         .board
         .merge_catalog(catalog(without_routes), agent.board.now(), "test");
     // Loads arrive on the same stream after anything that the agent sent before; several exchanges pass between them.
-    let mut changes = entry.mesh.group_news();
+    let mut changes = entry.mesh.subscribe_group_loads();
     for message in 1..=5 {
-        agent.mesh.offer_group(load(message), true);
-        while entry.mesh.group("g").is_none_or(|load| load.order.1 < message) {
+        agent.mesh.merge_group_load(load(message), true);
+        while entry.mesh.group_load("g").is_none_or(|load| load.order.1 < message) {
             assert!(changes.next().await);
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -320,7 +320,7 @@
 #[test]
 fn ages_never_shrink() {
     fn holds(delay_to: u16, held: u16, age: u16, delay_back: u16) -> bool {
-        let start = Machine::default().now();
+        let start = SystemClock::default().now();
         let at = |millis: u64| start + Duration::from_millis(millis);
         let (delay_to, held, delay_back) = (u64::from(delay_to), u64::from(held), u64::from(delay_back));
         let mut own = LinkClock::new(start);
@@ -352,7 +352,7 @@
     let instance = directory.seats().first().expect("a target");
     for rate in [Some(2.0), None] {
         let announced = rate.map(|rate| Rate::try_from(rate).expect("a rate"));
-        others[0].board.throttle.note(instance, announced, false);
+        others[0].board.throttle.record_notice(instance, announced, false);
         for process in [&first, &others[1]] {
             let mut changes = process.board.throttle.subscribe();
             let received = async {
--- a/crates/sparscale_mesh/tests/slack_sharers.rs
+++ b/crates/sparscale_mesh/tests/slack_sharers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sparscale_belief::Board;
-use sparscale_mesh::{FEW_ENTRIES, Line, Mesh, Settings};
+use sparscale_mesh::{DEFAULT_ENTRIES_PER_LOAD_STEP, Mesh, MeshStatus, Settings};
 use sparscale_wire::{Endpoint, Identity, Role};
 use tokio::runtime::Runtime;
 
@@ -32,17 +32,17 @@
             role: Role::Entry,
             seeds: seeds.to_vec(),
             interval: Duration::from_millis(20),
-            few_entries: FEW_ENTRIES,
+            entries_per_load_step: DEFAULT_ENTRIES_PER_LOAD_STEP,
         };
         let mesh = Mesh::new(settings, Arc::new(Board::default()), Arc::new(endpoint));
-        runtime.spawn(Arc::clone(&mesh).link_entries());
+        runtime.spawn(Arc::clone(&mesh).run_entry_links());
         runtime.spawn(Arc::clone(&mesh).accept());
         drop(guard);
         Self { runtime, mesh, address }
     }
 
-    fn wait_for_status(&self, condition: impl FnMut(&Line) -> bool) -> Line {
-        let mut status = self.mesh.line();
+    fn wait_for_status(&self, condition: impl FnMut(&MeshStatus) -> bool) -> MeshStatus {
+        let mut status = self.mesh.status();
         let reached = async move {
             let result = tokio::time::timeout(Duration::from_secs(20), status.wait_for(condition)).await;
             *result.expect("the condition must hold within 20 s").expect("a mesh")
@@ -63,7 +63,7 @@
     terminated.terminate();
     let unlinked = Entry::start(&[address]);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(unlinked.mesh.line().borrow().sharers, None);
+    assert_eq!(unlinked.mesh.status().borrow().sharers, None);
 }
 
 /// Unresponsive entries still count, because they may only be partitioned and use their shares. If they are a majority,
--- a/crates/sparscale_place/src/barrier/coordinator.rs
+++ b/crates/sparscale_place/src/barrier/coordinator.rs
@@ -86,7 +86,7 @@
 
 /// Moves all ranks of one group from one expert map to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Conductor {
+pub struct Coordinator {
     /// Rank beside the coordinator; it places the hold of a change.
     own_rank: usize,
     /// Steps between the highest step seen and the step to hold.
@@ -107,7 +107,7 @@
     has_unresponsive_rank: bool,
 }
 
-impl Conductor {
+impl Coordinator {
     /// A coordinator for `ranks` ranks that runs beside rank `own_rank`. `fence` is its first fence: it must exceed the
     /// fences of all earlier coordinators, and the first fence of each later one must leave room for two fences per
     /// change.
@@ -168,12 +168,12 @@
     }
 
     /// Number of surveys begun; many in a row mean that the ranks' states do not agree.
-    pub fn surveys(&self) -> u64 {
+    pub fn survey_count(&self) -> u64 {
         self.survey_count
     }
 
     /// Ranks that the current phase still waits for.
-    pub fn awaited(&self) -> Vec<usize> {
+    pub fn awaited_ranks(&self) -> Vec<usize> {
         let ranks_not_done =
             |done: &dyn Fn(usize) -> bool| (0..self.members.len()).filter(|rank| !done(*rank)).collect();
         let ranks_without =
@@ -196,7 +196,7 @@
     }
 
     /// Action of the unanswered order to a rank, if there is one.
-    pub fn pending(&self, rank: usize) -> Option<Act> {
+    pub fn pending_act(&self, rank: usize) -> Option<Act> {
         let pending = self.members.get(rank)?.pending;
         pending.map(|order| order.act)
     }
@@ -225,7 +225,7 @@
 
     /// Records whether a rank is unresponsive. No hold is begun while one is: a rank that is armed, or may be, and does
     /// not respond keeps the whole group held until it does.
-    pub fn set_silent(&mut self, unresponsive: bool) {
+    pub fn set_unresponsive(&mut self, unresponsive: bool) {
         if self.has_unresponsive_rank != unresponsive {
             self.has_unresponsive_rank = unresponsive;
             self.advance();
@@ -234,7 +234,7 @@
 
     /// Starts a change to map `number`, which no rank has staged before in this epoch. Returns false if a change is
     /// under way or a rank holds the group.
-    pub fn begin(&mut self, number: u64) -> bool {
+    pub fn begin_change(&mut self, number: u64) -> bool {
         if self.phase != Phase::Idle || self.overtaken || self.any_view(|view| view.held.is_some()) {
             return false;
         }
@@ -245,7 +245,7 @@
     }
 
     /// Abandons the change under way, unless it can no longer be undone.
-    pub fn abandon(&mut self) {
+    pub fn abandon_change(&mut self) {
         match &self.phase {
             Phase::Stage { .. } => self.fail_change(Phase::Idle),
             Phase::Hold { step, .. } => {
@@ -284,7 +284,7 @@
 
     /// An order that queries the state of `rank`, for a rank whose state is not reported without a query. None while
     /// another order to the rank is unanswered.
-    pub fn look_at(&mut self, rank: usize) -> Option<Order> {
+    pub fn query_rank(&mut self, rank: usize) -> Option<Order> {
         let member = self.members.get_mut(rank).filter(|member| member.pending.is_none())?;
         self.serial += 1;
         let order = Order {
@@ -298,7 +298,7 @@
     }
 
     /// Records the report of a rank's agent and advances the change.
-    pub fn report(&mut self, rank: usize, report: Report) {
+    pub fn record_report(&mut self, rank: usize, report: Report) {
         let Some(member) = self.members.get_mut(rank) else {
             return;
         };
@@ -314,7 +314,7 @@
     }
 
     /// Records that the unanswered order to a rank, if there is one, will not be answered.
-    pub fn lost(&mut self, rank: usize) {
+    pub fn record_no_answer(&mut self, rank: usize) {
         let Some(order) = self.members.get_mut(rank).and_then(|member| member.pending.take()) else {
             return;
         };
--- a/crates/sparscale_place/src/barrier/mod.rs
+++ b/crates/sparscale_place/src/barrier/mod.rs
@@ -13,7 +13,7 @@
 
 mod coordinator;
 
-pub use coordinator::{Conductor, Progress};
+pub use coordinator::{Coordinator, Progress};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/sparscale_place/src/baseline.rs
+++ b/crates/sparscale_place/src/baseline.rs
@@ -1,11 +1,11 @@
 //! Placements from scratch, as a baseline for decisions.
 
-use crate::counts::Counts;
+use crate::counts::TokenCounts;
 use crate::map::{Layer, Map};
 
 /// A map packed from scratch, as published balancers for expert parallelism do it: spare slots go to replicas of the
 /// most loaded experts, then replicas are packed, heaviest first, each on the least loaded rank with a free slot.
-pub fn greedy_from_scratch(counts: &Counts) -> Map {
+pub fn greedy_from_scratch(counts: &TokenCounts) -> Map {
     let shape = counts.shape();
     let layers = (0..shape.layers).map(|layer| greedy_layer(counts.layer(layer), shape.ranks, shape.slots));
     Map {
--- a/crates/sparscale_place/src/counts.rs
+++ b/crates/sparscale_place/src/counts.rs
@@ -6,13 +6,13 @@
 
 /// Decayed token counts of each expert in each layer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Counts {
+pub struct TokenCounts {
     shape: Shape,
     half_life: Duration,
     tokens: Vec<f64>,
 }
 
-impl Counts {
+impl TokenCounts {
     /// Empty counts. A count loses half its weight in each `half_life`.
     pub fn new(shape: Shape, half_life: Duration) -> Self {
         Self {
--- a/crates/sparscale_place/src/decide.rs
+++ b/crates/sparscale_place/src/decide.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::baseline::greedy_layer;
-use crate::counts::Counts;
+use crate::counts::TokenCounts;
 use crate::load::{rank_loads, skew};
 use crate::map::{Layer, Map};
 use crate::search::{LayerSearch, PathPoint, SearchPath};
@@ -24,11 +24,11 @@
     /// Time to load one replica on one rank at the weight store's rate, in seconds.
     pub seconds_per_load: f64,
     /// Share by which responses are slower while a replica loads; it adds to the cost of each second.
-    pub slowed: f64,
+    pub slowdown_share: f64,
     /// Largest number of replicas that one change of the map may load.
     pub move_budget: u32,
     /// Whether moves are forbidden at this hour.
-    pub quiet: bool,
+    pub in_quiet_hours: bool,
 }
 
 /// Reason for a decision.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     /// The next map; none to stay.
-    pub next: Option<Map>,
+    pub next_map: Option<Map>,
     /// Reason for the decision.
     pub reason: Reason,
     /// Skew of the current map.
@@ -59,7 +59,7 @@
     /// Skew of the next map, or of the best one found.
     pub skew_next: f64,
     /// Replicas that the next map loads.
-    pub loads: u32,
+    pub replica_loads: u32,
     /// Cost of staying.
     pub cost_stay: f64,
     /// Cost of moving.
@@ -67,14 +67,14 @@
 }
 
 /// Decides whether the group's map changes from `current`, and to which.
-pub fn decide(counts: &Counts, current: &Map, costs: &Costs) -> Decision {
+pub fn decide(counts: &TokenCounts, current: &Map, costs: &Costs) -> Decision {
     let skew_now = skew(current, counts);
     let stay = |reason| Decision {
-        next: None,
+        next_map: None,
         reason,
         skew_now,
         skew_next: skew_now,
-        loads: 0,
+        replica_loads: 0,
         cost_stay: costs.weight_skew * (skew_now - 1.0),
         cost_move: f64::INFINITY,
     };
@@ -82,11 +82,11 @@
     if counts.total() < MIN_TOKENS_PER_EXPERT * (shape.layers * shape.experts) as f64 {
         return stay(Reason::TooFewTokens);
     }
-    if costs.quiet {
+    if costs.in_quiet_hours {
         return stay(Reason::QuietHours);
     }
     let next = improve_map(counts, current, costs);
-    let loads = current.loads_of(&next) as u32;
+    let loads = current.replicas_to_load(&next) as u32;
     if loads == 0 {
         return stay(Reason::TooDear);
     }
@@ -101,18 +101,18 @@
         Reason::Pays
     };
     Decision {
-        next: (reason == Reason::Pays).then_some(next),
+        next_map: (reason == Reason::Pays).then_some(next),
         reason,
         skew_now,
         skew_next,
-        loads,
+        replica_loads: loads,
         cost_stay,
         cost_move,
     }
 }
 
 fn replica_load_cost(costs: &Costs) -> f64 {
-    costs.weight_move * costs.seconds_per_load * (1.0 + costs.slowed)
+    costs.weight_move * costs.seconds_per_load * (1.0 + costs.slowdown_share)
 }
 
 /// A layer that may change: by changes along a search path, or by one jump to a layer packed from scratch.
@@ -217,7 +217,7 @@
 
 /// Changes each layer as far as that pays. If this exceeds the budget, the price of a replica load is raised until it
 /// does not.
-fn improve_map(counts: &Counts, current: &Map, costs: &Costs) -> Map {
+fn improve_map(counts: &TokenCounts, current: &Map, costs: &Costs) -> Map {
     const PRICE_SEARCH_STEPS: usize = 32;
     let mean_rank_load = counts.total() / counts.shape().ranks as f64;
     // Tokens by which the largest rank loads have to fall for one replica load to be worth its cost.
@@ -253,7 +253,7 @@
 }
 
 /// Layers in which at least one replica load could pay.
-fn candidates<'a>(counts: &'a Counts, current: &Map, costs: &Costs, price: f64) -> Vec<Candidate<'a>> {
+fn candidates<'a>(counts: &'a TokenCounts, current: &Map, costs: &Costs, price: f64) -> Vec<Candidate<'a>> {
     let shape = counts.shape();
     let candidate = |(layer_index, layer): (usize, &Layer)| {
         let tokens = counts.layer(layer_index);
--- a/crates/sparscale_place/src/lib.rs
+++ b/crates/sparscale_place/src/lib.rs
@@ -13,10 +13,10 @@
 mod search;
 pub mod switch;
 
-pub use counts::Counts;
+pub use counts::TokenCounts;
 pub use decide::{Costs, Decision, Reason, decide};
 pub use load::skew;
 pub use map::{Layer, Map, Shape};
 pub use patch::{Mismatch, Patch};
 pub use popularity::{Popularity, Trend};
-pub use refine::{Bounds, Refined, refine, skew_now};
+pub use refine::{LoadLimits, Refinement, mean_skew, refine};
--- a/crates/sparscale_place/src/load.rs
+++ b/crates/sparscale_place/src/load.rs
@@ -1,11 +1,11 @@
 //! How evenly an expert map spreads load over the ranks.
 
-use crate::counts::Counts;
+use crate::counts::TokenCounts;
 use crate::map::{Layer, Map};
 
 /// Step-time skew of `map` under `counts`: the sum over layers of the largest rank load, divided by the sum of the mean
 /// rank loads. Every layer ends with a barrier, so each layer waits for its own slowest rank. 1 is perfect balance.
-pub fn skew(map: &Map, counts: &Counts) -> f64 {
+pub fn skew(map: &Map, counts: &TokenCounts) -> f64 {
     let mut sum_of_largest = 0.0;
     let mut sum_of_means = 0.0;
     for (index, layer) in map.layers.iter().enumerate() {
--- a/crates/sparscale_place/src/map.rs
+++ b/crates/sparscale_place/src/map.rs
@@ -67,7 +67,7 @@
     }
 
     /// Number of replicas to load for a switch to `next`: those that `next` holds and this map does not.
-    pub fn loads_of(&self, next: &Self) -> usize {
+    pub fn replicas_to_load(&self, next: &Self) -> usize {
         let pairs = self.layers.iter().zip(&next.layers);
         pairs.map(|(old, new)| old.replicas_to_load(new)).sum()
     }
--- a/crates/sparscale_place/src/patch.rs
+++ b/crates/sparscale_place/src/patch.rs
@@ -64,7 +64,7 @@
     }
 
     /// Encoded size of the edits, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.edits.len()
     }
 
--- a/crates/sparscale_place/src/popularity.rs
+++ b/crates/sparscale_place/src/popularity.rs
@@ -37,7 +37,7 @@
     /// It differs from the earlier samples and replaced them.
     Shifted,
     /// It is too small to compare.
-    Small,
+    TooSmall,
 }
 
 impl Popularity {
@@ -54,11 +54,11 @@
     /// Records the selection counts of the last `span`, set by set. A sample of another shape is ignored.
     pub fn observe(&mut self, sample: &[f64], span: Duration) -> Trend {
         if sample.len() != self.selections.len() {
-            return Trend::Small;
+            return Trend::TooSmall;
         }
         let total: f64 = sample.iter().sum();
         if total < MIN_SAMPLE_SELECTIONS {
-            return Trend::Small;
+            return Trend::TooSmall;
         }
         if self.sample_count > 0 && self.mean_distance(sample) > SHIFT_DISTANCE {
             self.selections = self.part_after_shift(sample);
@@ -79,7 +79,7 @@
     }
 
     /// Number of samples since the last shift.
-    pub fn samples(&self) -> u32 {
+    pub fn sample_count(&self) -> u32 {
         self.sample_count
     }
 
--- a/crates/sparscale_place/src/refine.rs
+++ b/crates/sparscale_place/src/refine.rs
@@ -16,31 +16,31 @@
 
 /// Limits on what one change may load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct LoadLimits {
     /// Experts that one rank may load over all sets; they load one after the other, each in the same time.
-    pub per_rank: usize,
+    pub loads_per_rank: usize,
     /// Experts that one rank may load in one set.
-    pub per_set: usize,
+    pub loads_per_set: usize,
 }
 
 /// A refined map with its costs and gains.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Refined {
+pub struct Refinement {
     /// The new map.
     pub map: Map,
     /// Experts loaded, over all ranks.
-    pub loads: u32,
+    pub replica_loads: u32,
     /// Largest number of experts that one rank loads.
-    pub deepest: u32,
+    pub max_loads_per_rank: u32,
     /// Skew of the old map: the mean over the sets of the largest rank load divided by the mean rank load.
-    pub before: f64,
+    pub skew_before: f64,
     /// Skew of the new map.
-    pub after: f64,
+    pub skew_after: f64,
 }
 
 /// Improves `map` within `limits`. `slowdowns` has a factor for each rank, 1 if nominal: a straggler gets
 /// proportionally less load.
-pub fn refine(popularity: &Popularity, map: &Map, shape: Shape, limits: Bounds, slowdowns: &[f64]) -> Refined {
+pub fn refine(popularity: &Popularity, map: &Map, shape: Shape, limits: LoadLimits, slowdowns: &[f64]) -> Refinement {
     let mut sets: Vec<LayerSet> = (0..shape.layers)
         .map(|set| LayerSet::new(&map.layers[set], popularity.counts_of_set(set), shape.slots, slowdowns))
         .collect();
@@ -55,7 +55,7 @@
         };
         if change
             .loading_rank
-            .is_some_and(|rank| load_counts[rank] >= limits.per_rank)
+            .is_some_and(|rank| load_counts[rank] >= limits.loads_per_rank)
         {
             // Changes of other sets have used up the limit of this rank.
             best_changes[index] = sets[index].best_change(&load_counts, limits);
@@ -73,17 +73,17 @@
         layers: sets.into_iter().map(|set| Layer { ranks: set.ranks }).collect(),
     };
     map.sort();
-    Refined {
-        after,
-        before,
-        loads,
-        deepest: load_counts.iter().copied().max().unwrap_or(0) as u32,
+    Refinement {
+        skew_after: after,
+        skew_before: before,
+        replica_loads: loads,
+        max_loads_per_rank: load_counts.iter().copied().max().unwrap_or(0) as u32,
         map,
     }
 }
 
 /// Skew of `map`: the mean over the sets of the largest rank load divided by the mean rank load.
-pub fn skew_now(popularity: &Popularity, map: &Map, shape: Shape, slowdowns: &[f64]) -> f64 {
+pub fn mean_skew(popularity: &Popularity, map: &Map, shape: Shape, slowdowns: &[f64]) -> f64 {
     let sets = (0..shape.layers)
         .map(|set| LayerSet::new(&map.layers[set], popularity.counts_of_set(set), shape.slots, slowdowns));
     mean_set_skew(&sets.collect::<Vec<_>>())
@@ -178,7 +178,7 @@
     }
 
     /// The change that lowers the smooth largest load most.
-    fn best_change(&self, load_counts: &[usize], limits: Bounds) -> Option<SetChange> {
+    fn best_change(&self, load_counts: &[usize], limits: LoadLimits) -> Option<SetChange> {
         let norm_before = smooth_max(&self.loads);
         let source = (0..self.loads.len()).max_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]))?;
         let mut best: Option<SetChange> = None;
@@ -202,7 +202,7 @@
     }
 
     /// Changes that take load of `expert` off rank `source`.
-    fn changes(&self, expert: u16, source: usize, load_counts: &[usize], limits: Bounds) -> Vec<SetChange> {
+    fn changes(&self, expert: u16, source: usize, load_counts: &[usize], limits: LoadLimits) -> Vec<SetChange> {
         let change = |loading_rank, edits| SetChange {
             gain: 0.0,
             loading_rank,
@@ -237,10 +237,10 @@
     }
 
     /// Least loaded ranks that may load `expert`.
-    fn least_loaded_ranks(&self, expert: u16, load_counts: &[usize], limits: Bounds) -> Vec<usize> {
+    fn least_loaded_ranks(&self, expert: u16, load_counts: &[usize], limits: LoadLimits) -> Vec<usize> {
         let may_load = |rank: &usize| {
-            load_counts[*rank] < limits.per_rank
-                && self.load_counts[*rank] < limits.per_set
+            load_counts[*rank] < limits.loads_per_rank
+                && self.load_counts[*rank] < limits.loads_per_set
                 && !self.ranks[*rank].contains(&expert)
         };
         let mut ranks: Vec<usize> = (0..self.loads.len()).filter(may_load).collect();
--- a/crates/sparscale_place/src/switch/coordinator.rs
+++ b/crates/sparscale_place/src/switch/coordinator.rs
@@ -35,7 +35,7 @@
 
 /// Drives all ranks of one group to one map under one fence.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Conductor {
+pub struct Coordinator {
     fence: u64,
     goal_map: u64,
     reports: Vec<Option<Report>>,
@@ -51,7 +51,7 @@
     overtaken: bool,
 }
 
-impl Conductor {
+impl Coordinator {
     /// A coordinator that drives `ranks` ranks to map `goal_map`.
     pub fn new(fence: u64, ranks: usize, goal_map: u64) -> Self {
         Self::with_lead_steps(fence, ranks, goal_map, LEAD_STEPS)
@@ -73,7 +73,7 @@
     }
 
     /// Records a rank's report; reports under a lower fence are ignored.
-    pub fn reported(&mut self, rank: usize, report: Report) {
+    pub fn record_report(&mut self, rank: usize, report: Report) {
         if report.fence > self.fence {
             self.overtaken = true;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Discards the report of a rank that did not answer or was replaced.
-    pub fn lost(&mut self, rank: usize) {
+    pub fn discard_report(&mut self, rank: usize) {
         self.reports[rank] = None;
     }
 
@@ -277,7 +277,7 @@
     }
 
     /// Abandons the attempt if a rank has reached its step unarmed: that rank would refuse to be armed.
-    pub fn drop_missed_attempt(&mut self) {
+    pub fn abandon_missed_attempt(&mut self) {
         let Some(attempt) = self.attempt else { return };
         let missed_step = |report: &Report| report.armed != Some(attempt) && report.step >= attempt.at;
         let is_decided = self
--- a/crates/sparscale_place/src/switch/mod.rs
+++ b/crates/sparscale_place/src/switch/mod.rs
@@ -8,7 +8,7 @@
 mod coordinator;
 mod rank;
 
-pub use coordinator::{Conductor, Progress};
+pub use coordinator::{Coordinator, Progress};
 pub use rank::Rank;
 
 use serde::{Deserialize, Serialize};
--- a/crates/sparscale_place/src/switch/rank.rs
+++ b/crates/sparscale_place/src/switch/rank.rs
@@ -17,7 +17,7 @@
 
 impl Rank {
     /// A rank of a group that has never run a step: it starts on the initial map, number 0.
-    pub fn cold(incarnation: u64) -> Self {
+    pub fn cold_start(incarnation: u64) -> Self {
         Self {
             plan: Some(Plan { number: 0, next: None }),
             ..Self::joining(incarnation)
@@ -43,7 +43,7 @@
 
     /// Carries out `order` if its fence is high enough and the state allows it. `loaded` says whether the weights of
     /// the map in an [`Act::Stage`] are already in memory.
-    pub fn order(&mut self, order: &Order, loaded: bool) -> Report {
+    pub fn handle_order(&mut self, order: &Order, loaded: bool) -> Report {
         if order.fence < self.fence {
             return self.report(false);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Begins `step` and returns the number of the map to run it on, or none if the rank has to wait.
-    pub fn begin(&mut self, step: u64) -> Option<u64> {
+    pub fn begin_step(&mut self, step: u64) -> Option<u64> {
         let plan = self.plan?;
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
@@ -75,7 +75,7 @@
     }
 
     /// The number of the map that `step` would run on, without beginning the step.
-    pub fn peek(&self, step: u64) -> Option<u64> {
+    pub fn peek_map(&self, step: u64) -> Option<u64> {
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
         }
--- a/crates/sparscale_place/tests/barrier_switch/late_answers.rs
+++ b/crates/sparscale_place/tests/barrier_switch/late_answers.rs
@@ -4,7 +4,7 @@
 //! map, a refusal would end its change, and a rank that has answered would never be ordered to load it while the change
 //! waits for that rank.
 
-use sparscale_place::barrier::{Act, Answer, Conductor, Order, Progress, Report};
+use sparscale_place::barrier::{Act, Answer, Coordinator, Order, Progress, Report};
 
 use crate::unresponsive_rank::view;
 
@@ -24,29 +24,29 @@
 
 /// A coordinator that abandoned a first change and began the next one, and the order to load the first map that one
 /// rank has not answered.
-fn second_change() -> (Conductor, Order) {
-    let mut coordinator = Conductor::new(RANKS, 0, 100);
+fn second_change() -> (Coordinator, Order) {
+    let mut coordinator = Coordinator::new(RANKS, 0, 100);
     for (rank, order) in coordinator.orders() {
-        coordinator.report(rank, report(order, Answer::Done, None));
+        coordinator.record_report(rank, report(order, Answer::Done, None));
     }
-    assert!(coordinator.begin(FIRST_MAP));
+    assert!(coordinator.begin_change(FIRST_MAP));
     let mut unanswered = None;
     for (rank, order) in coordinator.orders() {
         if rank == LATE_RANK {
             unanswered = Some(order);
         } else {
-            coordinator.report(rank, report(order, Answer::Done, Some(FIRST_MAP)));
+            coordinator.record_report(rank, report(order, Answer::Done, Some(FIRST_MAP)));
         }
     }
-    coordinator.abandon();
-    assert!(coordinator.begin(NEXT_MAP));
+    coordinator.abandon_change();
+    assert!(coordinator.begin_change(NEXT_MAP));
     for (rank, order) in coordinator.orders() {
-        coordinator.report(rank, report(order, Answer::Done, Some(NEXT_MAP)));
+        coordinator.record_report(rank, report(order, Answer::Done, Some(NEXT_MAP)));
     }
     (coordinator, unanswered.expect("one order is unanswered"))
 }
 
-fn is_ordered_to_load_next(coordinator: &mut Conductor) -> bool {
+fn is_ordered_to_load_next(coordinator: &mut Coordinator) -> bool {
     let stage = Act::Stage { number: NEXT_MAP };
     let orders = coordinator.orders();
     orders
@@ -57,7 +57,7 @@
 #[test]
 fn late_done() {
     let (mut coordinator, unanswered) = second_change();
-    coordinator.report(LATE_RANK, report(unanswered, Answer::Done, Some(FIRST_MAP)));
+    coordinator.record_report(LATE_RANK, report(unanswered, Answer::Done, Some(FIRST_MAP)));
     assert!(
         is_ordered_to_load_next(&mut coordinator),
         "the rank was not ordered to load the next map"
@@ -67,7 +67,7 @@
 #[test]
 fn late_refusal() {
     let (mut coordinator, unanswered) = second_change();
-    coordinator.report(LATE_RANK, report(unanswered, Answer::Refused, None));
+    coordinator.record_report(LATE_RANK, report(unanswered, Answer::Refused, None));
     assert_eq!(coordinator.progress(), Progress::Staging);
     assert!(is_ordered_to_load_next(&mut coordinator));
 }
--- a/crates/sparscale_place/tests/barrier_switch/main.rs
+++ b/crates/sparscale_place/tests/barrier_switch/main.rs
@@ -7,7 +7,7 @@
 mod unresponsive_rank;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_place::barrier::{Answer, Conductor, Order, Progress, Report};
+use sparscale_place::barrier::{Answer, Coordinator, Order, Progress, Report};
 
 use crate::group::Group;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
     group: Group,
-    coordinators: Vec<Option<(u64, Conductor)>>,
+    coordinators: Vec<Option<(u64, Coordinator)>>,
     /// Number of claims made.
     claim_count: u64,
     list: ClaimList,
@@ -164,16 +164,16 @@
                 self.last_map_number += 1;
                 let number = self.last_map_number;
                 self.coordinator(coordinator)
-                    .is_some_and(|coordinator| coordinator.begin(number))
+                    .is_some_and(|coordinator| coordinator.begin_change(number))
             }
             Action::AbandonChange(coordinator) => self.coordinator(coordinator).is_some_and(|coordinator| {
-                coordinator.abandon();
+                coordinator.abandon_change();
                 true
             }),
         }
     }
 
-    fn coordinator(&mut self, index: usize) -> Option<&mut Conductor> {
+    fn coordinator(&mut self, index: usize) -> Option<&mut Coordinator> {
         self.coordinators[index].as_mut().map(|(_, coordinator)| coordinator)
     }
 
@@ -200,7 +200,7 @@
             return;
         };
         let claim = *claim;
-        let order = coordinator.look_at(rank);
+        let order = coordinator.query_rank(rank);
         self.sent_orders.extend(order.map(|order| SentOrder {
             coordinator: index,
             claim,
@@ -247,7 +247,7 @@
         if let Some((claim, coordinator)) = &mut self.coordinators[sent.coordinator]
             && *claim == sent.claim
         {
-            coordinator.report(sent.rank, sent.report);
+            coordinator.record_report(sent.rank, sent.report);
         }
     }
 
@@ -260,7 +260,7 @@
         if let Some((claim, coordinator)) = &mut self.coordinators[sent.coordinator]
             && *claim == sent.claim
         {
-            coordinator.lost(sent.rank);
+            coordinator.record_no_answer(sent.rank);
         }
         true
     }
@@ -296,7 +296,7 @@
         }
         self.claim_count += 1;
         let claim = self.list.claim();
-        let coordinator = Conductor::new(RANKS, index, claim * FENCES_PER_CLAIM);
+        let coordinator = Coordinator::new(RANKS, index, claim * FENCES_PER_CLAIM);
         self.coordinators[index] = Some((claim, coordinator));
         true
     }
@@ -307,7 +307,7 @@
         self.sent_orders.clear();
         self.sent_reports.clear();
         let claim = self.list.claim();
-        let coordinator = Conductor::new(RANKS, 0, claim * FENCES_PER_CLAIM);
+        let coordinator = Coordinator::new(RANKS, 0, claim * FENCES_PER_CLAIM);
         self.coordinators = vec![Some((claim, coordinator)), None];
         self.last_map_number += 1;
         let goal = self.last_map_number;
--- a/crates/sparscale_place/tests/expert_placement.rs
+++ b/crates/sparscale_place/tests/expert_placement.rs
@@ -5,15 +5,15 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_place::baseline::greedy_from_scratch;
-use sparscale_place::{Costs, Counts, Map, Reason, Shape, decide, skew};
+use sparscale_place::{Costs, Map, Reason, Shape, TokenCounts, decide, skew};
 
 const COSTS: Costs = Costs {
     weight_skew: 1.0,
     weight_move: 0.001,
     seconds_per_load: 0.1,
-    slowed: 0.0,
+    slowdown_share: 0.0,
     move_budget: 1_000,
-    quiet: false,
+    in_quiet_hours: false,
 };
 
 /// A group with heavy-tailed token counts.
@@ -41,8 +41,8 @@
     }
 }
 
-fn counts(case: &Case) -> Counts {
-    let mut counts = Counts::new(case.shape, Duration::from_mins(1));
+fn counts(case: &Case) -> TokenCounts {
+    let mut counts = TokenCounts::new(case.shape, Duration::from_mins(1));
     counts.observe(&case.tokens, Duration::ZERO);
     counts
 }
@@ -64,13 +64,13 @@
             ..COSTS
         };
         let decision = decide(&counts, &current, &costs);
-        let Some(next) = &decision.next else {
+        let Some(next) = &decision.next_map else {
             return decision.reason != Reason::Pays;
         };
-        let loads = current.loads_of(next) as u32;
+        let loads = current.replicas_to_load(next) as u32;
         let is_repeatable = decide(&counts, &current, &costs) == decision;
         next.fits(case.shape)
-            && loads == decision.loads
+            && loads == decision.replica_loads
             && loads <= case.budget
             && (skew(next, &counts) - decision.skew_next).abs() < 1e-9
             && decision.skew_next < decision.skew_now
@@ -91,7 +91,9 @@
     let mut g = Gen::from_size_and_seed(50, 53);
     let moves = (0..200).filter(|_| {
         let case = Case::arbitrary(&mut g);
-        decide(&counts(&case), &Map::initial(case.shape), &COSTS).next.is_some()
+        decide(&counts(&case), &Map::initial(case.shape), &COSTS)
+            .next_map
+            .is_some()
     });
     let moved_count = moves.count();
     assert!(moved_count > 150, "only {moved_count} of 200 groups moved an expert");
@@ -109,9 +111,13 @@
             weight_move: 0.5,
             ..COSTS
         };
-        cheap_loads += decide(&counts, &current, &COSTS).loads;
+        cheap_loads += decide(&counts, &current, &COSTS).replica_loads;
         let decision = decide(&counts, &current, &costly_moves);
-        costly_loads += if decision.next.is_some() { decision.loads } else { 0 };
+        costly_loads += if decision.next_map.is_some() {
+            decision.replica_loads
+        } else {
+            0
+        };
     }
     assert!(costly_loads * 2 < cheap_loads, "{costly_loads} against {cheap_loads}");
 }
@@ -120,9 +126,12 @@
 fn quiet_hours() {
     let mut g = Gen::from_size_and_seed(50, 55);
     let case = Case::arbitrary(&mut g);
-    let quiet = Costs { quiet: true, ..COSTS };
+    let quiet = Costs {
+        in_quiet_hours: true,
+        ..COSTS
+    };
     let decision = decide(&counts(&case), &Map::initial(case.shape), &quiet);
-    assert_eq!((decision.next, decision.reason), (None, Reason::QuietHours));
+    assert_eq!((decision.next_map, decision.reason), (None, Reason::QuietHours));
 }
 
 #[test]
@@ -133,7 +142,7 @@
         experts: 1,
         slots: 1,
     };
-    let mut counts = Counts::new(shape, Duration::from_secs(10));
+    let mut counts = TokenCounts::new(shape, Duration::from_secs(10));
     counts.observe(&[100.0], Duration::ZERO);
     counts.observe(&[0.0], Duration::from_secs(10));
     assert!((counts.total() - 50.0).abs() < 1e-9);
--- a/crates/sparscale_place/tests/map_patch.rs
+++ b/crates/sparscale_place/tests/map_patch.rs
@@ -83,5 +83,5 @@
     new.sort();
     let patch = Patch::between(&old, &new);
     assert_eq!(patch.apply(&old), Ok(new));
-    assert!(patch.bytes() < PACKET_BYTES, "{} bytes", patch.bytes());
+    assert!(patch.size_bytes() < PACKET_BYTES, "{} bytes", patch.size_bytes());
 }
--- a/crates/sparscale_place/tests/map_refinement.rs
+++ b/crates/sparscale_place/tests/map_refinement.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck};
-use sparscale_place::{Bounds, Map, Popularity, Shape, Trend, refine, skew_now};
+use sparscale_place::{LoadLimits, Map, Popularity, Shape, Trend, mean_skew, refine};
 
 const SHAPE: Shape = Shape {
     ranks: 12,
@@ -39,23 +39,23 @@
     popularity
 }
 
-const ONE_LOAD_PER_RANK: Bounds = Bounds {
-    per_rank: 1,
-    per_set: 3,
+const ONE_LOAD_PER_RANK: LoadLimits = LoadLimits {
+    loads_per_rank: 1,
+    loads_per_set: 3,
 };
 
 #[test]
 fn limits_kept() {
     fn keeps_limits(seed: u64, per_rank: u8, rounds: u8) -> bool {
-        let limits = Bounds {
-            per_rank: usize::from(per_rank % 4) + 1,
-            per_set: 3,
+        let limits = LoadLimits {
+            loads_per_rank: usize::from(per_rank % 4) + 1,
+            loads_per_set: 3,
         };
         let mut map = Map::initial(SHAPE);
         for round in 0..=u64::from(rounds % 5) {
             let popularity = popularity(seed.wrapping_add(round));
             let refined = refine(&popularity, &map, SHAPE, limits, &[]);
-            let loads = map.loads_of(&refined.map);
+            let loads = map.replicas_to_load(&refined.map);
             let new_expert_counts = |rank: usize| {
                 let layers = map.layers.iter().zip(&refined.map.layers);
                 let new = layers.map(|(old, new)| {
@@ -69,10 +69,10 @@
             };
             let is_within = (0..SHAPE.ranks).all(|rank| {
                 let new = new_expert_counts(rank);
-                new.iter().sum::<usize>() <= limits.per_rank && new.iter().all(|new| *new <= limits.per_set)
+                new.iter().sum::<usize>() <= limits.loads_per_rank && new.iter().all(|new| *new <= limits.loads_per_set)
             });
-            let is_better = refined.after <= refined.before + 1e-9;
-            if !refined.map.fits(SHAPE) || !is_within || !is_better || loads > refined.loads as usize {
+            let is_better = refined.skew_after <= refined.skew_before + 1e-9;
+            if !refined.map.fits(SHAPE) || !is_within || !is_better || loads > refined.replica_loads as usize {
                 return false;
             }
             map = refined.map;
@@ -90,11 +90,11 @@
     let mut map = Map::initial(SHAPE);
     for seed in 0..20 {
         let popularity = popularity(seed);
-        let before = skew_now(&popularity, &map, SHAPE, &[]);
+        let before = mean_skew(&popularity, &map, SHAPE, &[]);
         for _ in 0..4 {
             map = refine(&popularity, &map, SHAPE, ONE_LOAD_PER_RANK, &[]).map;
         }
-        let after = skew_now(&popularity, &map, SHAPE, &[]);
+        let after = mean_skew(&popularity, &map, SHAPE, &[]);
         assert!(after < 1.35, "seed {seed}: from {before} to {after}");
     }
 }
@@ -133,8 +133,8 @@
 fn small_sample_ignored() {
     let mut popularity = popularity(1);
     let small: Vec<f64> = demand(2).iter().map(|tokens| tokens / 1_000.0).collect();
-    assert_eq!(popularity.observe(&small, Duration::from_millis(100)), Trend::Small);
-    assert_eq!(popularity.observe(&[1.0], Duration::from_millis(100)), Trend::Small);
+    assert_eq!(popularity.observe(&small, Duration::from_millis(100)), Trend::TooSmall);
+    assert_eq!(popularity.observe(&[1.0], Duration::from_millis(100)), Trend::TooSmall);
 }
 
 /// A rank with a slowdown of six gets little load; the other ranks share the remainder.
@@ -147,10 +147,10 @@
         map = refine(&popularity, &map, SHAPE, ONE_LOAD_PER_RANK, &slowdowns).map;
     }
     slowdowns[3] = 6.0;
-    let before = skew_now(&popularity, &map, SHAPE, &slowdowns);
+    let before = mean_skew(&popularity, &map, SHAPE, &slowdowns);
     for _ in 0..6 {
         map = refine(&popularity, &map, SHAPE, ONE_LOAD_PER_RANK, &slowdowns).map;
     }
-    let after = skew_now(&popularity, &map, SHAPE, &slowdowns);
+    let after = mean_skew(&popularity, &map, SHAPE, &slowdowns);
     assert!(before > 4.0 && after < 1.6, "from {before} to {after}");
 }
--- a/crates/sparscale_place/tests/map_switch.rs
+++ b/crates/sparscale_place/tests/map_switch.rs
@@ -5,7 +5,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_place::switch::{Act, Change, Conductor, Order, Plan, Progress, Rank, Report};
+use sparscale_place::switch::{Act, Change, Coordinator, Order, Plan, Progress, Rank, Report};
 
 const RANKS: usize = 3;
 const LEAD_STEPS: u64 = 1;
@@ -23,7 +23,7 @@
     ranks: Vec<Rank>,
     latest_steps: Vec<u64>,
     used_maps: BTreeMap<(u64, usize), u64>,
-    placers: Vec<Option<Conductor>>,
+    placers: Vec<Option<Coordinator>>,
     /// Fence of the latest claim in the log; the next placer claims a higher one.
     latest_claim: u64,
     network: Vec<Message>,
@@ -44,12 +44,12 @@
 
 impl World {
     fn new() -> Self {
-        let ranks = (0..RANKS as u64).map(Rank::cold).collect();
+        let ranks = (0..RANKS as u64).map(Rank::cold_start).collect();
         Self {
             ranks,
             latest_steps: vec![0; RANKS],
             used_maps: BTreeMap::new(),
-            placers: vec![Some(Conductor::with_lead_steps(1, RANKS, GOAL_MAP, LEAD_STEPS)), None],
+            placers: vec![Some(Coordinator::with_lead_steps(1, RANKS, GOAL_MAP, LEAD_STEPS)), None],
             latest_claim: 1,
             network: Vec::new(),
             last_incarnation: RANKS as u64,
@@ -86,7 +86,7 @@
         if self.latest_steps.iter().any(|latest| *latest + 1 < step) {
             return false;
         }
-        let Some(number) = self.ranks[rank].begin(step) else {
+        let Some(number) = self.ranks[rank].begin_step(step) else {
             return false;
         };
         self.latest_steps[rank] = step;
@@ -100,7 +100,7 @@
         let Some(coordinator) = &mut self.placers[placer] else {
             return false;
         };
-        coordinator.drop_missed_attempt();
+        coordinator.abandon_missed_attempt();
         for (rank, order) in coordinator.orders().into_iter().enumerate() {
             let message = Message::Order { placer, rank, order };
             if !self.network.contains(&message) {
@@ -113,7 +113,7 @@
     fn deliver(&mut self, message: Message) -> bool {
         match message {
             Message::Order { placer, rank, order } => {
-                let report = self.ranks[rank].order(&order, true);
+                let report = self.ranks[rank].handle_order(&order, true);
                 let message = Message::Report { placer, rank, report };
                 if !self.network.contains(&message) {
                     self.network.push(message);
@@ -121,7 +121,7 @@
             }
             Message::Report { placer, rank, report } => {
                 if let Some(coordinator) = &mut self.placers[placer] {
-                    coordinator.reported(rank, report);
+                    coordinator.record_report(rank, report);
                 }
             }
         }
@@ -146,7 +146,7 @@
             return false;
         }
         self.latest_claim += 1;
-        self.placers[placer] = Some(Conductor::with_lead_steps(
+        self.placers[placer] = Some(Coordinator::with_lead_steps(
             self.latest_claim,
             RANKS,
             GOAL_MAP,
@@ -197,11 +197,11 @@
     };
     let mut rank = Rank::joining(5);
     assert_eq!(
-        rank.order(&join(4), false).plan,
+        rank.handle_order(&join(4), false).plan,
         None,
         "the order was for the rank's predecessor"
     );
-    assert_eq!(rank.order(&join(5), false).plan, Some(plan));
+    assert_eq!(rank.handle_order(&join(5), false).plan, Some(plan));
 }
 
 #[test]
@@ -214,12 +214,12 @@
         fence: 1,
         act: Act::Stage { number: GOAL_MAP },
     };
-    let mut rank = Rank::cold(1);
-    rank.order(&stage, true);
-    assert!(rank.order(&arm(20), false).done);
-    assert!(!rank.order(&arm(10), false).done);
+    let mut rank = Rank::cold_start(1);
+    rank.handle_order(&stage, true);
+    assert!(rank.handle_order(&arm(20), false).done);
+    assert!(!rank.handle_order(&arm(10), false).done);
     assert_eq!(
-        rank.order(&enlist_order(), false).armed.map(|change| change.at),
+        rank.handle_order(&enlist_order(), false).armed.map(|change| change.at),
         Some(20)
     );
 }
@@ -327,7 +327,7 @@
         world.latest_claim += 1;
         // Ranks begin steps between two rounds of orders, so the lead must cover them.
         world.placers = vec![
-            Some(Conductor::with_lead_steps(
+            Some(Coordinator::with_lead_steps(
                 world.latest_claim,
                 RANKS,
                 GOAL_MAP,
--- a/crates/sparscale_policy/src/budget.rs
+++ b/crates/sparscale_policy/src/budget.rs
@@ -19,7 +19,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 /// Fraction of the ratio that requests earn one by one; the remainder limits the credit that may be held for a burst.
 /// One half for each suits a group that stops and opens again: all its streams are resumed at once.
@@ -31,7 +31,7 @@
 /// most entries on one side have started during it, each side takes itself for the whole.
 const SHARED_FRACTION: f64 = 0.5;
 /// Longest time that a send can take to arrive; the connection is then given up.
-pub const LATE: Duration = Duration::from_millis(2_500);
+pub const MAX_SEND_DELAY: Duration = Duration::from_millis(2_500);
 /// Number of buckets of a window; the events of a bucket are counted together.
 const BUCKETS_PER_WINDOW: u32 = 20;
 
@@ -48,7 +48,7 @@
 
 impl Allowance {
     /// Retries that one of `sharers` entries may pay for from the slack in a window; 0 if their number is unknown.
-    pub fn share(&self, sharers: Option<usize>) -> f64 {
+    pub fn slack_share(&self, sharers: Option<usize>) -> f64 {
         sharers.map_or(0.0, |sharers| self.slack * SHARED_FRACTION / sharers.max(1) as f64)
     }
 }
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 struct BucketCounter {
     /// Start and number of events of each bucket.
-    buckets: VecDeque<(Moment, u32)>,
+    buckets: VecDeque<(Timestamp, u32)>,
     bucket_length: Duration,
     /// Time after the start of a bucket at which it is dropped.
     retention: Duration,
@@ -106,7 +106,7 @@
         }
     }
 
-    fn add(&mut self, now: Moment) {
+    fn add(&mut self, now: Timestamp) {
         self.total += 1;
         match self.buckets.back_mut() {
             Some((start, count)) if now < *start + self.bucket_length => *count += 1,
@@ -114,7 +114,7 @@
         }
     }
 
-    fn total(&mut self, now: Moment) -> u32 {
+    fn total(&mut self, now: Timestamp) -> u32 {
         while let Some((_, count)) = self.buckets.pop_front_if(|(start, _)| *start + self.retention <= now) {
             self.total -= count;
         }
@@ -127,7 +127,7 @@
 pub struct Budget {
     allowance: Allowance,
     /// When the process is older than a window and no send of its predecessor can still arrive.
-    slack_available_at: Moment,
+    slack_available_at: Timestamp,
     /// Requests of the last window; a bucket is dropped too early rather than too late.
     requests: BucketCounter,
     /// Retries paid for from the slack; dropped when none of them can arrive in the same window as the next one.
@@ -137,27 +137,27 @@
 
 impl Budget {
     /// Creates the part of the budget for a process that started at `started`.
-    pub fn new(allowance: Allowance, started: Moment) -> Self {
+    pub fn new(allowance: Allowance, started: Timestamp) -> Self {
         let window = allowance.window;
         let bucket_length = window / BUCKETS_PER_WINDOW;
         Self {
             allowance,
-            slack_available_at: started + window + LATE,
+            slack_available_at: started + window + MAX_SEND_DELAY,
             requests: BucketCounter::new(bucket_length, window),
-            slack_used: BucketCounter::new(bucket_length, window + bucket_length + LATE),
+            slack_used: BucketCounter::new(bucket_length, window + bucket_length + MAX_SEND_DELAY),
             credit: 0.0,
         }
     }
 
     /// Counts a request, which earns credit.
-    pub fn earn(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.requests.add(now);
         self.credit += self.allowance.ratio * EARNED_FRACTION;
         self.limit_credit(MIN_CREDIT_LIMIT, now);
     }
 
     /// Asks for a retry and pays for it if it is allowed; `share` is this entry's share of the slack in a window.
-    pub fn spend(&mut self, share: f64, now: Moment) -> SpendOutcome {
+    pub fn try_spend(&mut self, share: f64, now: Timestamp) -> SpendOutcome {
         let share = if now < self.slack_available_at { 0.0 } else { share };
         let min_limit = if share < 1.0 { MIN_CREDIT_LIMIT } else { 0.0 };
         let requests = self.limit_credit(min_limit, now);
@@ -184,7 +184,7 @@
     }
 
     /// Drops credit beyond the limit, which is at least `min_limit`. Returns the requests of the last window.
-    fn limit_credit(&mut self, min_limit: f64, now: Moment) -> u32 {
+    fn limit_credit(&mut self, min_limit: f64, now: Timestamp) -> u32 {
         let requests = self.requests.total(now);
         let limit = self.allowance.ratio * (1.0 - EARNED_FRACTION) * f64::from(requests);
         self.credit = self.credit.min(limit.max(min_limit));
--- a/crates/sparscale_policy/src/patience.rs
+++ b/crates/sparscale_policy/src/caller_timeout.rs
@@ -17,13 +17,13 @@
 
 /// Time without an event after which callers treat a stream as dead, if its first event is due within `objective` and
 /// the pauses between its events may be as long as `max_pause`.
-pub fn longest_silence(objective: Duration, max_pause: Duration) -> Duration {
+pub fn stream_timeout(objective: Duration, max_pause: Duration) -> Duration {
     MIN_STREAM_TIMEOUT
         .max(objective * TIMEOUT_OBJECTIVES)
         .max(max_pause * TIMEOUT_PAUSES)
 }
 
 /// How long a request may wait for admission before its caller gives up.
-pub fn longest_wait(objective: Duration, max_pause: Duration) -> Duration {
-    longest_silence(objective, max_pause).mul_f64(MAX_WAIT_FRACTION)
+pub fn max_admission_wait(objective: Duration, max_pause: Duration) -> Duration {
+    stream_timeout(objective, max_pause).mul_f64(MAX_WAIT_FRACTION)
 }
--- a/crates/sparscale_policy/src/spent.rs
+++ b/crates/sparscale_policy/src/deadlines.rs
@@ -23,13 +23,13 @@
 
 /// The longest recent deadlines of all routes.
 #[derive(Debug, Default)]
-pub struct Deadlines {
+pub struct DeadlineTracker {
     by_route: HashMap<String, LongestDeadlines>,
 }
 
-impl Deadlines {
+impl DeadlineTracker {
     /// Records the deadline of a request on `route` and returns the time that its caller spent on earlier attempts.
-    pub fn spent(&mut self, route: &str, deadline: Duration, now: Instant) -> Duration {
+    pub fn retry_age(&mut self, route: &str, deadline: Duration, now: Instant) -> Duration {
         let longest = self.by_route.entry(route.to_owned()).or_insert(LongestDeadlines {
             current: deadline,
             previous: Duration::ZERO,
--- a/crates/sparscale_policy/src/gate.rs
+++ b/crates/sparscale_policy/src/gate.rs
@@ -12,16 +12,16 @@
 /// Time between two requests that probe whether a closed group accepts requests again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a rejection after which a request counts as accepted: a group that does not run answers within 5 ms.
-pub const TAKEN_AFTER: Duration = Duration::from_millis(40);
+pub const ACCEPTED_AFTER: Duration = Duration::from_millis(40);
 /// Time after which requests no longer wait for a closed group: its ranks have then been missing for longer than a
 /// restart takes.
 const MAX_CLOSED_WAIT: Duration = Duration::from_secs(2);
 
 /// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pass {
+pub enum GateDecision {
     /// Send it.
-    Go,
+    Send,
     /// Let it wait until the group opens, and ask again at this time at the latest.
     Wait(Instant),
     /// Reject it: the group stays closed for longer than it can wait.
@@ -44,18 +44,18 @@
 
 impl Gate {
     /// Decides about a request that can wait until `until`.
-    pub fn pass(&mut self, until: Instant, now: Instant) -> Pass {
+    pub fn decide(&mut self, until: Instant, now: Instant) -> GateDecision {
         let Some(closure) = &mut self.closure else {
-            return Pass::Go;
+            return GateDecision::Send;
         };
         if now >= closure.next_probe {
             closure.next_probe = now + PROBE_INTERVAL;
-            return Pass::Go;
+            return GateDecision::Send;
         }
         if now >= until || now.saturating_duration_since(closure.since) > MAX_CLOSED_WAIT {
-            return Pass::Closed;
+            return GateDecision::Closed;
         }
-        Pass::Wait(closure.next_probe.min(until))
+        GateDecision::Wait(closure.next_probe.min(until))
     }
 
     /// Whether the group counts as closed and no probe is due yet.
@@ -65,7 +65,7 @@
 
     /// Records that a target of the group rejected a request. Returns the number of consecutive rejections if this one
     /// closed the gate.
-    pub fn turned_away(&mut self, now: Instant) -> Option<u32> {
+    pub fn record_rejection(&mut self, now: Instant) -> Option<u32> {
         self.consecutive_rejections += 1;
         if self.consecutive_rejections < REJECTIONS_TO_CLOSE || self.closure.is_some() {
             return None;
@@ -79,13 +79,13 @@
 
     /// Records that a request was not rejected in the time after which it counts as accepted, which opens the gate: a
     /// group that does not run rejects at once. Returns how long it was closed, if it was.
-    pub fn taken(&mut self, now: Instant) -> Option<Duration> {
+    pub fn record_acceptance(&mut self, now: Instant) -> Option<Duration> {
         self.closure?;
-        self.answered(now)
+        self.record_response(now)
     }
 
     /// Records that a target of the group began to respond. Returns how long the gate was closed, if this opened it.
-    pub fn answered(&mut self, now: Instant) -> Option<Duration> {
+    pub fn record_response(&mut self, now: Instant) -> Option<Duration> {
         self.consecutive_rejections = 0;
         let closure = self.closure.take()?;
         Some(now.saturating_duration_since(closure.since))
--- a/crates/sparscale_policy/src/group.rs
+++ b/crates/sparscale_policy/src/group.rs
@@ -11,11 +11,11 @@
     /// Whether the group runs, as far as is known.
     pub open: bool,
     /// Requests that this entry may still admit while they can be on time.
-    pub room: f64,
+    pub headroom: f64,
     /// Expected time until a request that joins the backlog now is admitted, in seconds.
-    pub wait: f64,
+    pub expected_wait_secs: f64,
     /// Number of its ranks.
-    pub ranks: usize,
+    pub rank_count: usize,
 }
 
 /// Chooses the group for the next request; none if there are no candidates. `sample` is uniform in 0..1.
@@ -31,9 +31,9 @@
         .filter(|(_, candidate)| candidate.open || !any_open);
     let eligible: Vec<(usize, &Candidate)> = eligible.collect();
     let headroom = |candidate: &Candidate| {
-        if candidate.room >= 1.0 {
+        if candidate.headroom >= 1.0 {
             // The headroom is unlimited while no loads are known: the number of ranks then serves as the weight.
-            candidate.room.min(candidate.ranks as f64)
+            candidate.headroom.min(candidate.rank_count as f64)
         } else {
             0.0
         }
@@ -42,7 +42,7 @@
     if total <= 0.0 {
         let shortest_wait = eligible
             .iter()
-            .min_by(|(_, left), (_, right)| left.wait.total_cmp(&right.wait));
+            .min_by(|(_, left), (_, right)| left.expected_wait_secs.total_cmp(&right.expected_wait_secs));
         return shortest_wait.map(|(index, _)| *index);
     }
     let mut remaining = sample.clamp(0.0, 1.0) * total;
--- a/crates/sparscale_policy/src/lib.rs
+++ b/crates/sparscale_policy/src/lib.rs
@@ -2,18 +2,18 @@
 //! timestamps and loads go in, a decision comes out, without a clock, a socket or a lock. Each module names the load
 //! pattern that it handles.
 
+pub mod backlog;
 pub mod budget;
+pub mod caller_timeout;
+pub mod deadlines;
 pub mod gate;
 pub mod group;
 pub mod headroom;
-pub mod heard;
-pub mod line;
-pub mod patience;
 pub mod queue;
 pub mod rate_limit;
-pub mod returns;
-pub mod silence;
-pub mod slow;
-pub mod spent;
+pub mod response_timeout;
+pub mod response_tracker;
+pub mod retry_schedule;
 pub mod spread;
+pub mod straggler;
 pub mod throttle;
--- a/crates/sparscale_policy/src/queue.rs
+++ b/crates/sparscale_policy/src/queue.rs
@@ -17,9 +17,9 @@
 use sparscale_catalog::Engine;
 use sparscale_wire::GroupLoad;
 
+use crate::backlog::{Backlog, Ticket};
+use crate::caller_timeout;
 use crate::headroom::{self, Headroom};
-use crate::line::{Backlog, Ticket};
-use crate::patience;
 
 /// Smallest fraction of the latency objective for which a request may wait and still count as on time.
 const MIN_WAIT_FRACTION: f64 = 0.4;
@@ -52,21 +52,21 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
     /// Its arrival.
-    pub began: Instant,
+    pub arrived_at: Instant,
     /// Time within which its first event is due.
     pub objective: Duration,
     /// Longest pause between events that its route allows.
-    pub pause: Duration,
+    pub max_pause: Duration,
     /// Time that its caller spent on earlier attempts; the worth of a response counts from the first one.
-    pub spent: Duration,
+    pub retry_age: Duration,
     /// How long its caller still waits, if the caller sent that.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
 impl Request {
     /// Whether its caller was rejected before.
     fn is_retry(&self) -> bool {
-        self.spent >= MIN_RETRY_AGE
+        self.retry_age >= MIN_RETRY_AGE
     }
 }
 
@@ -74,20 +74,20 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
     /// It is admitted.
-    Enter,
+    Admit,
     /// It joins the backlog.
     Wait {
         /// Latest time at which it can be admitted and still be on time.
         timely_until: Instant,
         /// When it is admitted regardless of the headroom: too little of its time is left for a rejection to be useful.
-        limit: Instant,
+        admit_at: Instant,
     },
     /// It is rejected.
-    Refuse {
+    Reject {
         /// Expected time until it would have been admitted.
-        expected: Duration,
+        expected_wait: Duration,
         /// Delay after which its caller should retry.
-        retry: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -131,16 +131,16 @@
     /// Recomputes the headroom if `load` is a new report. Without a new report for a while, as after a restart of all
     /// processes, it follows from `in_flight`, the requests of this entry that are in flight.
     pub fn refresh(&mut self, load: Option<&GroupLoad>, group: &Group<'_>, in_flight: usize, now: Instant) {
-        let entries = group.entries.max(1) as f64;
+        let entries = group.entry_count.max(1) as f64;
         if let Some(load) = load.filter(|load| load.order != self.load_order) {
             self.load_order = load.order;
             self.load_received_at = now;
             self.unreported.retain(|admitted_at| *admitted_at + REPORT_DELAY > now);
-            let capacity = headroom::capacity_at_current_skew(load, group.engine, group.pause);
+            let capacity = headroom::capacity_at_current_skew(load, group.engine, group.max_pause);
             let requests = headroom::reported_requests(load);
             self.share_of_requests = requests / entries;
             let share =
-                |capacity: f64| (capacity * group.open_part - requests) / entries - self.unreported.len() as f64;
+                |capacity: f64| (capacity * group.open_fraction - requests) / entries - self.unreported.len() as f64;
             self.headroom = Headroom {
                 timely: share(capacity.timely),
                 late: share(capacity.late),
@@ -148,7 +148,8 @@
         } else if now.saturating_duration_since(self.load_received_at) > MAX_LOAD_AGE {
             self.share_of_requests = 0.0;
             self.headroom = Headroom::uniform(
-                UNREPORTED_REQUESTS_PER_RANK * group.ranks as f64 * group.open_part / entries - in_flight as f64,
+                UNREPORTED_REQUESTS_PER_RANK * group.rank_count as f64 * group.open_fraction / entries
+                    - in_flight as f64,
             );
         }
     }
@@ -156,10 +157,10 @@
     /// Decides about `request` while `in_flight` requests of this entry are in flight. `sample` is uniform in 0..1.
     pub fn decide(&mut self, request: &Request, in_flight: usize, sample: f64, now: Instant) -> Decision {
         if self.backlog.is_empty() && self.headroom.timely >= 1.0 {
-            return Decision::Enter;
+            return Decision::Admit;
         }
         let expected = self.expected_wait(in_flight);
-        let longest = patience::longest_wait(request.objective, request.pause);
+        let longest = caller_timeout::max_admission_wait(request.objective, request.max_pause);
         let timely = self.max_timely_wait(request.objective);
         // While passes are too long for any request to be on time, only late requests are admitted: being late is then
         // the worst that waiting can cause.
@@ -169,14 +170,17 @@
         } else {
             longest
         };
-        if now.saturating_duration_since(request.began) + expected > max_wait {
+        if now.saturating_duration_since(request.arrived_at) + expected > max_wait {
             let retry = self.schedule_retry(request, in_flight, expected, sample, now);
-            return Decision::Refuse { expected, retry };
+            return Decision::Reject {
+                expected_wait: expected,
+                retry_after: retry,
+            };
         }
-        let timely_wait = timely.saturating_sub(request.spent);
+        let timely_wait = timely.saturating_sub(request.retry_age);
         Decision::Wait {
-            timely_until: request.began + timely_wait,
-            limit: request.began + longest,
+            timely_until: request.arrived_at + timely_wait,
+            admit_at: request.arrived_at + longest,
         }
     }
 
@@ -191,7 +195,7 @@
         now: Instant,
     ) -> Duration {
         let longest = request
-            .left
+            .remaining
             .map_or(MAX_RETRY_DELAY, |remaining| remaining.mul_f64(MAX_RETRY_FRACTION));
         let retry_at = self.next_retry.max(now + expected).min(now + longest);
         let place_interval = self.residence.div_f64(self.sharable_places(in_flight));
@@ -207,12 +211,12 @@
     }
 
     /// Adds a request to the backlog, until [`Queue::next`] returns its `waiter`.
-    pub fn join(&mut self, ticket: Ticket, timely_until: Instant, waiter: T) {
+    pub fn enqueue(&mut self, ticket: Ticket, timely_until: Instant, waiter: T) {
         self.backlog.insert(ticket, timely_until, waiter);
     }
 
     /// Removes a request that no longer waits from the backlog.
-    pub fn give_up(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.backlog.remove(ticket);
     }
 
@@ -229,13 +233,13 @@
     }
 
     /// Counts an admitted request as ended, `residence` after its admission.
-    pub fn leave(&mut self, residence: Duration) {
+    pub fn record_end(&mut self, residence: Duration) {
         self.headroom.add(1.0);
         self.residence = (self.residence * 9 + residence) / 10;
     }
 
     /// Records that a stream had its first event `elapsed` after its admission.
-    pub fn first_event(&mut self, elapsed: Duration) {
+    pub fn record_first_event(&mut self, elapsed: Duration) {
         let mean = self.first_event_time.unwrap_or(elapsed);
         self.first_event_time =
             Some(mean.mul_f64(1.0 - FIRST_EVENT_SAMPLE_WEIGHT) + elapsed.mul_f64(FIRST_EVENT_SAMPLE_WEIGHT));
@@ -255,7 +259,7 @@
     }
 
     /// Position of the load report that the headroom was computed from.
-    pub fn order(&self) -> (u64, u64) {
+    pub fn load_order(&self) -> (u64, u64) {
         self.load_order
     }
 
@@ -265,12 +269,12 @@
     }
 
     /// This entry's share of the headroom.
-    pub fn room(&self) -> Headroom {
+    pub fn headroom(&self) -> Headroom {
         self.headroom
     }
 
     /// Number of requests in the backlog.
-    pub fn waiting(&self) -> usize {
+    pub fn backlog_len(&self) -> usize {
         self.backlog.len()
     }
 
@@ -293,12 +297,12 @@
     /// Performance model of its engines.
     pub engine: &'a Engine,
     /// Longest allowed pause between the events of its streams.
-    pub pause: Duration,
+    pub max_pause: Duration,
     /// Number of its ranks.
-    pub ranks: usize,
+    pub rank_count: usize,
     /// Fraction of the ranks that accept requests from this entry; ranks that limit or reject its requests count as
     /// full.
-    pub open_part: f64,
+    pub open_fraction: f64,
     /// Number of entries that share the headroom, including this one.
-    pub entries: usize,
+    pub entry_count: usize,
 }
--- a/crates/sparscale_policy/src/rate_limit.rs
+++ b/crates/sparscale_policy/src/rate_limit.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use sparscale_catalog::Start;
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 /// Window in which a target counts its requests.
 pub const WINDOW: Duration = Duration::from_secs(4);
@@ -95,19 +95,19 @@
     /// Its address.
     pub address: SocketAddr,
     /// Whether there is a link to it.
-    pub linked: bool,
+    pub is_linked: bool,
     /// Time since its last message; none if there was none.
-    pub silent: Option<Duration>,
+    pub since_last_message: Option<Duration>,
 }
 
 impl Members {
     /// Creates the view of the entry `own_address`, which knows all `peers`.
     pub fn new(own_address: SocketAddr, peers: &[Peer]) -> Self {
-        let linked = peers.iter().filter(|peer| peer.linked).count() + 1;
+        let linked = peers.iter().filter(|peer| peer.is_linked).count() + 1;
         let is_live = |peer: &&Peer| {
-            peer.linked
+            peer.is_linked
                 || peer
-                    .silent
+                    .since_last_message
                     .is_some_and(|since_message| since_message < TAKEOVER_TIMEOUT)
         };
         let mut live = Vec::new();
@@ -118,7 +118,9 @@
         Self {
             own_address,
             live,
-            is_complete: peers.iter().all(|peer| peer.linked || peer.silent.is_none()),
+            is_complete: peers
+                .iter()
+                .all(|peer| peer.is_linked || peer.since_last_message.is_none()),
         }
     }
 
@@ -185,15 +187,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Pacer {
     /// Time of the latest send, or when the entry began to hold a share.
-    last_send: Moment,
+    last_send: Timestamp,
     /// When the target was last known to limit its rate.
-    confirmed_at: Moment,
+    confirmed_at: Timestamp,
     share: Share,
 }
 
 impl Pacer {
     /// Creates the pacer of an entry without a share.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Self {
             last_send: now,
             confirmed_at: now,
@@ -202,7 +204,7 @@
     }
 
     /// Sets the share of the entry.
-    pub fn set_share(&mut self, share: Share, now: Moment) {
+    pub fn set_share(&mut self, share: Share, now: Timestamp) {
         if !matches!(self.share, Share::Interval(_)) && matches!(share, Share::Interval(_)) {
             self.last_send = now;
         }
@@ -210,12 +212,12 @@
     }
 
     /// Records that the target limited its rate at `as_of`.
-    pub fn confirm(&mut self, as_of: Moment) {
+    pub fn confirm(&mut self, as_of: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(as_of);
     }
 
     /// Time of the next allowed send; none while the entry may send nothing.
-    pub fn next_send(&self) -> Option<Moment> {
+    pub fn next_send(&self) -> Option<Timestamp> {
         match self.share {
             Share::None => None,
             Share::Interval(interval) => Some(self.last_send + interval),
@@ -224,7 +226,7 @@
     }
 
     /// Returns whether a request may be sent now, and counts it as sent if so.
-    pub fn try_acquire(&mut self, now: Moment) -> bool {
+    pub fn try_acquire(&mut self, now: Timestamp) -> bool {
         let is_allowed = self.next_send().is_some_and(|next_send| next_send <= now);
         if is_allowed {
             self.last_send = now;
--- a/crates/sparscale_policy/src/silence.rs
+++ b/crates/sparscale_policy/src/response_timeout.rs
@@ -18,22 +18,22 @@
 
 /// The part of a response that a target is expected to send next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Awaited {
+pub enum ResponsePart {
     /// The first event of a stream.
-    First,
+    FirstEvent,
     /// The next event of a stream.
-    Next,
+    NextEvent,
     /// A complete response that is not streamed.
-    Complete,
+    FullResponse,
 }
 
-impl Awaited {
+impl ResponsePart {
     /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Self::First => "first_event",
-            Self::Next => "next_event",
-            Self::Complete => "answer",
+            Self::FirstEvent => "first_event",
+            Self::NextEvent => "next_event",
+            Self::FullResponse => "answer",
         }
     }
 }
@@ -64,17 +64,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
     /// The part of the response that is pending.
-    pub awaited: Awaited,
+    pub response_part: ResponsePart,
     /// Time within which that part is on time.
     pub due_within: Duration,
     /// Mean time that this part took recently over all targets of the group or service; none without a sample.
-    pub usual: Option<Duration>,
+    pub mean_time: Option<Duration>,
     /// What the group leader reports about the target's box.
     pub health: Health,
     /// Time since another target of the group or service responded, or since the group completed a pass.
-    pub others_heard: Option<Duration>,
+    pub since_others_active: Option<Duration>,
     /// Whether no other target has a pending response to this entry, by which it could show progress.
-    pub others_idle: bool,
+    pub are_others_idle: bool,
     /// Time without a response after which the caller gives up.
     pub caller_timeout: Duration,
 }
@@ -89,9 +89,9 @@
 impl Evidence {
     /// Time without a response after which the target is abandoned; none if the request stays there as long as its
     /// caller waits.
-    pub fn limit(&self) -> Option<Duration> {
+    pub fn timeout(&self) -> Option<Duration> {
         let factors = self.factors();
-        let mean = self.usual.unwrap_or(self.due_within.div_f64(2.0));
+        let mean = self.mean_time.unwrap_or(self.due_within.div_f64(2.0));
         let timeout = self
             .due_within
             .mul_f64(factors.due_within)
@@ -100,20 +100,22 @@
     }
 
     /// Whether to abandon a target that has been unresponsive for `unresponsive_for`.
-    pub fn leaves(&self, unresponsive_for: Duration) -> bool {
-        let others_active = self.others_heard.is_some_and(|elapsed| elapsed < GROUP_ACTIVE_WINDOW);
-        (others_active || self.others_idle) && self.limit().is_some_and(|timeout| unresponsive_for >= timeout)
+    pub fn should_abandon(&self, unresponsive_for: Duration) -> bool {
+        let others_active = self
+            .since_others_active
+            .is_some_and(|elapsed| elapsed < GROUP_ACTIVE_WINDOW);
+        (others_active || self.are_others_idle) && self.timeout().is_some_and(|timeout| unresponsive_for >= timeout)
     }
 
     /// The factors for this response and box. On a box that responds the target may still hang, so the factors are
     /// larger there but not infinite.
     fn factors(&self) -> TimeoutFactors {
-        let (due_within, mean) = match (self.awaited, self.health) {
-            (Awaited::First, Health::Unresponsive) => (0.5, 2.0),
-            (Awaited::Next, Health::Unresponsive) => (2.0, 3.0),
-            (Awaited::First, _) => (1.5, 4.0),
-            (Awaited::Next, _) => (4.0, 6.0),
-            (Awaited::Complete, _) => (1.0, 5.0),
+        let (due_within, mean) = match (self.response_part, self.health) {
+            (ResponsePart::FirstEvent, Health::Unresponsive) => (0.5, 2.0),
+            (ResponsePart::NextEvent, Health::Unresponsive) => (2.0, 3.0),
+            (ResponsePart::FirstEvent, _) => (1.5, 4.0),
+            (ResponsePart::NextEvent, _) => (4.0, 6.0),
+            (ResponsePart::FullResponse, _) => (1.0, 5.0),
         };
         TimeoutFactors { due_within, mean }
     }
--- a/crates/sparscale_policy/src/heard.rs
+++ b/crates/sparscale_policy/src/response_tracker.rs
@@ -9,7 +9,7 @@
 use sparscale_catalog::{Directory, Incarnation, Seat};
 use sparscale_wire::GroupLoad;
 
-use crate::silence::{Awaited, Evidence, Health, ResponseTimeMean};
+use crate::response_timeout::{Evidence, Health, ResponsePart, ResponseTimeMean};
 
 /// Age up to which a group leader's report is used; a leader reports every 100 ms.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(450);
@@ -18,15 +18,15 @@
 const MAX_UNRESPONSIVE_DIVISOR: usize = 4;
 /// A response that a request waits for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wait<'a> {
+pub struct PendingResponse<'a> {
     /// The target that owes it.
-    pub seat: &'a Seat,
+    pub instance: &'a Seat,
     /// The part of the response that is pending.
-    pub awaited: Awaited,
+    pub response_part: ResponsePart,
     /// Time within which that part is on time.
-    pub allowed: Duration,
+    pub due_within: Duration,
     /// Time without a response after which the caller gives up.
-    pub given_up_after: Duration,
+    pub caller_timeout: Duration,
 }
 
 /// The targets of one group, or of a service without groups.
@@ -85,33 +85,33 @@
         }
     }
 
-    fn mean_time(&self, awaited: Awaited) -> &ResponseTimeMean {
+    fn mean_time(&self, awaited: ResponsePart) -> &ResponseTimeMean {
         match awaited {
-            Awaited::First => &self.first_event,
-            Awaited::Next => &self.next_event,
-            Awaited::Complete => &self.complete,
+            ResponsePart::FirstEvent => &self.first_event,
+            ResponsePart::NextEvent => &self.next_event,
+            ResponsePart::FullResponse => &self.complete,
         }
     }
 
-    fn mean_time_mut(&mut self, awaited: Awaited) -> &mut ResponseTimeMean {
+    fn mean_time_mut(&mut self, awaited: ResponsePart) -> &mut ResponseTimeMean {
         match awaited {
-            Awaited::First => &mut self.first_event,
-            Awaited::Next => &mut self.next_event,
-            Awaited::Complete => &mut self.complete,
+            ResponsePart::FirstEvent => &mut self.first_event,
+            ResponsePart::NextEvent => &mut self.next_event,
+            ResponsePart::FullResponse => &mut self.complete,
         }
     }
 }
 
 /// Tracks all targets that respond to requests of this entry.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct Tracker {
     /// By name of the group, or of the service for targets without a group.
     peers: HashMap<String, Peers>,
 }
 
-impl Register {
+impl Tracker {
     /// Records that a target sent a pending response after `response_time`.
-    pub fn note(&mut self, instance: &Seat, awaited: Awaited, response_time: Duration, now: Instant) {
+    pub fn record_response(&mut self, instance: &Seat, awaited: ResponsePart, response_time: Duration, now: Instant) {
         let peers = self.peers(name_of(instance));
         peers.mean_time_mut(awaited).record(response_time);
         peers.record_responder(instance.key, now);
@@ -138,7 +138,7 @@
     }
 
     /// Merges a group leader's report.
-    pub fn note_told(&mut self, load: &GroupLoad, now: Instant) {
+    pub fn record_group_load(&mut self, load: &GroupLoad, now: Instant) {
         let peers = self.peers(&load.group);
         if peers.latest_report.is_some_and(|(order, _)| order == load.order) {
             return;
@@ -154,22 +154,22 @@
     }
 
     /// Returns the observations about the target of `wait`; none if nothing is known of its group.
-    pub fn evidence(&self, wait: &Wait<'_>, now: Instant) -> Option<Evidence> {
-        let peers = self.peers.get(name_of(wait.seat))?;
-        let rank = wait.seat.target.membership.as_ref().map(|place| place.rank);
-        let others_active_at = peers.others_active_at(wait.seat.key);
+    pub fn evidence(&self, wait: &PendingResponse<'_>, now: Instant) -> Option<Evidence> {
+        let peers = self.peers.get(name_of(wait.instance))?;
+        let rank = wait.instance.target.membership.as_ref().map(|place| place.rank);
+        let others_active_at = peers.others_active_at(wait.instance.key);
         let health = peers.health(rank, now);
         // To an entry with a single request in a group, a group that stalls as a whole looks idle, so only the report
         // of its leader decides there.
         let idle_counts = rank.is_none() || health == Health::Unresponsive;
         Some(Evidence {
-            awaited: wait.awaited,
-            due_within: wait.allowed,
-            usual: peers.mean_time(wait.awaited).mean(),
+            response_part: wait.response_part,
+            due_within: wait.due_within,
+            mean_time: peers.mean_time(wait.response_part).mean(),
             health,
-            others_heard: others_active_at.map(|at| now.saturating_duration_since(at)),
-            others_idle: idle_counts && !peers.others_pending(wait.seat.key),
-            caller_timeout: wait.given_up_after,
+            since_others_active: others_active_at.map(|at| now.saturating_duration_since(at)),
+            are_others_idle: idle_counts && !peers.others_pending(wait.instance.key),
+            caller_timeout: wait.caller_timeout,
         })
     }
 
--- a/crates/sparscale_policy/src/returns.rs
+++ b/crates/sparscale_policy/src/retry_schedule.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 /// Longest delay that a caller is given.
 const MAX_DELAY: Duration = Duration::from_secs(30);
@@ -15,15 +15,15 @@
 
 /// The retry times that one entry has assigned for one service.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     /// Earliest retry time of the next caller.
-    next: Option<Moment>,
+    next: Option<Timestamp>,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// Returns the delay after which the next caller should retry, if the targets accept a request at `opens_at` and
     /// one more after each `interval`.
-    pub fn promise(&mut self, opens_at: Moment, interval: Duration, now: Moment) -> Duration {
+    pub fn next_delay(&mut self, opens_at: Timestamp, interval: Duration, now: Timestamp) -> Duration {
         let latest = now + MAX_DELAY;
         let retry_at = self.next.map_or(opens_at, |next| next.max(opens_at)).min(latest);
         self.next = Some(retry_at + interval.max(MIN_INTERVAL));
--- a/crates/sparscale_policy/src/slow.rs
+++ b/crates/sparscale_policy/src/straggler.rs
@@ -13,7 +13,7 @@
 const STRAGGLER_FACTOR: f64 = 1.4;
 
 /// Returns the stragglers among the ranks of `load`.
-pub fn ranks(load: &GroupLoad) -> Vec<usize> {
+pub fn find(load: &GroupLoad) -> Vec<usize> {
     let mut slowdowns: Vec<f64> = load.ranks.iter().flatten().map(RankLoad::pace).collect();
     slowdowns.sort_by(f64::total_cmp);
     let Some(median) = slowdowns.get(slowdowns.len() / 2).copied() else {
--- a/crates/sparscale_policy/src/throttle.rs
+++ b/crates/sparscale_policy/src/throttle.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use sparscale_catalog::Start;
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 
 use crate::rate_limit::{Members, Pacer, Rate, Share};
 
@@ -30,13 +30,13 @@
     /// Whether the target has announced that it leaves, which is final for its start.
     leaving: bool,
     /// End of the backoff that the target requested from this entry.
-    backoff_until: Option<Moment>,
+    backoff_until: Option<Timestamp>,
     rate: Option<Rate>,
     /// When the target stated this rate.
-    as_of: Moment,
+    as_of: Timestamp,
     /// The rate last announced to the other entries, and when the target had stated it.
     announced_rate: Option<Rate>,
-    announced_as_of: Moment,
+    announced_as_of: Timestamp,
     /// Position of the latest change of this target among all changes.
     position: u64,
     pacer: Pacer,
@@ -52,23 +52,23 @@
     /// Whether the target leaves.
     pub leaving: bool,
     /// When the target stated this.
-    pub as_of: Moment,
+    pub as_of: Timestamp,
 }
 
 /// When a target accepts the next request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Opening {
+pub enum Availability {
     /// Now, from this entry.
     Now,
     /// At this time, from this entry or from another one that holds a share.
-    At(Moment),
+    At(Timestamp),
     /// Never: the target leaves.
     Never,
 }
 
 /// Tracks the limits of all targets.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct Tracker {
     targets: HashMap<Start, State>,
     /// The entries that divide the rates; none while they are unknown.
     members: Option<Members>,
@@ -76,9 +76,9 @@
     position: u64,
 }
 
-impl Register {
+impl Tracker {
     /// Divides the rates among `members` from now on.
-    pub fn set_members(&mut self, members: Members, now: Moment) {
+    pub fn set_members(&mut self, members: Members, now: Timestamp) {
         for (start, state) in &mut self.targets {
             let share = state.rate.map_or(Share::None, |rate| members.share(rate, *start));
             state.pacer.set_share(share, now);
@@ -88,7 +88,7 @@
 
     /// Merges the limits that a target stated. The latest rate applies, while leaving is final. Returns whether this is
     /// a change to announce.
-    pub fn note(&mut self, notice: Notice, now: Moment) -> bool {
+    pub fn merge(&mut self, notice: Notice, now: Timestamp) -> bool {
         let Notice { start, as_of, .. } = notice;
         let has_limits = notice.rate.is_some() || notice.leaving;
         if !has_limits && !self.targets.contains_key(&start) {
@@ -121,7 +121,7 @@
 
     /// Returns whether a limit that a target has just confirmed is due to be announced again, and counts it as a change
     /// if so.
-    pub fn confirm(&mut self, start: Start) -> bool {
+    pub fn reannounce_if_due(&mut self, start: Start) -> bool {
         let Some(state) = self.targets.get_mut(&start) else {
             return false;
         };
@@ -135,7 +135,7 @@
 
     /// Records that a target requested a `backoff` from this entry, in addition to its other limits. Returns the end of
     /// the backoff if it is later than the known one.
-    pub fn rest(&mut self, start: Start, backoff: Duration, now: Moment) -> Option<Moment> {
+    pub fn record_backoff(&mut self, start: Start, backoff: Duration, now: Timestamp) -> Option<Timestamp> {
         let until = now + backoff.min(MAX_BACKOFF);
         let state = self.targets.entry(start).or_insert_with(|| State::new(now, now));
         if state.backoff_until.is_some_and(|known| known >= until) {
@@ -146,8 +146,8 @@
     }
 
     /// Returns whether this entry may send to a target now, and counts a request as sent if so.
-    pub fn take(&mut self, start: Start, now: Moment) -> bool {
-        if self.opening(start, now) != Opening::Now {
+    pub fn try_acquire(&mut self, start: Start, now: Timestamp) -> bool {
+        if self.availability(start, now) != Availability::Now {
             return false;
         }
         match self.targets.get_mut(&start) {
@@ -157,20 +157,20 @@
     }
 
     /// Returns when a target accepts the next request.
-    pub fn opening(&self, start: Start, now: Moment) -> Opening {
+    pub fn availability(&self, start: Start, now: Timestamp) -> Availability {
         let Some(state) = self.targets.get(&start) else {
-            return Opening::Now;
+            return Availability::Now;
         };
         if state.leaving {
-            return Opening::Never;
+            return Availability::Never;
         }
         let next_by_others = |rate: Rate| now + Duration::from_secs_f64(1.0 / rate.per_second());
         let next_by_rate = state
             .rate
             .map(|rate| state.pacer.next_send().unwrap_or_else(|| next_by_others(rate)));
         match next_by_rate.max(state.backoff_until) {
-            Some(opens_at) if opens_at > now => Opening::At(opens_at),
-            _ => Opening::Now,
+            Some(opens_at) if opens_at > now => Availability::At(opens_at),
+            _ => Availability::Now,
         }
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Returns the targets that changed after position `since`, and the current position.
-    pub fn news(&self, since: u64) -> (Vec<Notice>, u64) {
+    pub fn changes_since(&self, since: u64) -> (Vec<Notice>, u64) {
         let changed = self.targets.iter().filter(|(_, state)| state.position > since);
         let notices = changed.map(|(start, state)| Notice {
             start: *start,
@@ -220,7 +220,7 @@
         self.announced_as_of = self.as_of;
     }
 
-    fn new(as_of: Moment, now: Moment) -> Self {
+    fn new(as_of: Timestamp, now: Timestamp) -> Self {
         Self {
             leaving: false,
             backoff_until: None,
--- a/crates/sparscale_policy/tests/closed_gate.rs
+++ b/crates/sparscale_policy/tests/closed_gate.rs
@@ -2,15 +2,15 @@
 
 use std::time::{Duration, Instant};
 
-use sparscale_policy::gate::{Gate, Pass};
+use sparscale_policy::gate::{Gate, GateDecision};
 
 /// Time for which the requests in these tests can wait.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
 fn closed_gate(now: Instant) -> Gate {
     let mut gate = Gate::default();
-    assert_eq!(gate.turned_away(now), None, "one may have met a full target");
-    assert_eq!(gate.turned_away(now), Some(2));
+    assert_eq!(gate.record_rejection(now), None, "one may have met a full target");
+    assert_eq!(gate.record_rejection(now), Some(2));
     gate
 }
 
@@ -19,11 +19,11 @@
     let start = Instant::now();
     let mut gate = closed_gate(start);
     let until = start + MAX_WAIT;
-    let Pass::Wait(next_probe) = gate.pass(until, start) else {
+    let GateDecision::Wait(next_probe) = gate.decide(until, start) else {
         panic!("the request waits");
     };
-    assert_eq!(gate.pass(until, next_probe), Pass::Go);
-    assert!(matches!(gate.pass(until, next_probe), Pass::Wait(later) if later > next_probe));
+    assert_eq!(gate.decide(until, next_probe), GateDecision::Send);
+    assert!(matches!(gate.decide(until, next_probe), GateDecision::Wait(later) if later > next_probe));
 }
 
 /// Of a hundred requests in a second of closure, at most ten are sent and rejected.
@@ -32,7 +32,7 @@
     let start = Instant::now();
     let mut gate = closed_gate(start);
     let arrivals = (0..100).map(|number| start + Duration::from_millis(10 * number));
-    let sent = arrivals.filter(|now| gate.pass(*now + MAX_WAIT, *now) == Pass::Go);
+    let sent = arrivals.filter(|now| gate.decide(*now + MAX_WAIT, *now) == GateDecision::Send);
     assert!(sent.count() <= 10);
 }
 
@@ -41,9 +41,9 @@
     let start = Instant::now();
     let mut gate = closed_gate(start);
     let later = start + Duration::from_millis(700);
-    assert_eq!(gate.answered(later), Some(Duration::from_millis(700)));
-    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Go);
-    assert_eq!(gate.turned_away(later), None, "the count starts again");
+    assert_eq!(gate.record_response(later), Some(Duration::from_millis(700)));
+    assert_eq!(gate.decide(later + MAX_WAIT, later), GateDecision::Send);
+    assert_eq!(gate.record_rejection(later), None, "the count starts again");
 }
 
 /// Ranks that are missing for longer than a restart takes: requests no longer wait for them.
@@ -52,15 +52,19 @@
     let start = Instant::now();
     let mut gate = closed_gate(start);
     let later = start + Duration::from_secs(3);
-    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Go, "one request probes");
-    assert_eq!(gate.pass(later + MAX_WAIT, later), Pass::Closed);
+    assert_eq!(
+        gate.decide(later + MAX_WAIT, later),
+        GateDecision::Send,
+        "one request probes"
+    );
+    assert_eq!(gate.decide(later + MAX_WAIT, later), GateDecision::Closed);
 }
 
 #[test]
 fn no_time_to_wait() {
     let start = Instant::now();
     let mut gate = closed_gate(start);
-    assert_eq!(gate.pass(start, start), Pass::Closed);
+    assert_eq!(gate.decide(start, start), GateDecision::Closed);
 }
 
 /// A request without a rejection matters only while the gate is closed.
@@ -68,6 +72,6 @@
 fn accepted_request_opens_gate() {
     let start = Instant::now();
     let mut gate = closed_gate(start);
-    assert_eq!(gate.taken(start + MAX_WAIT), Some(MAX_WAIT));
-    assert_eq!(gate.taken(start + MAX_WAIT), None);
+    assert_eq!(gate.record_acceptance(start + MAX_WAIT), Some(MAX_WAIT));
+    assert_eq!(gate.record_acceptance(start + MAX_WAIT), None);
 }
--- a/crates/sparscale_policy/tests/closed_ranks.rs
+++ b/crates/sparscale_policy/tests/closed_ranks.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use sparscale_clock::{Clock as _, Machine};
+use sparscale_clock::{Clock as _, SystemClock};
 use sparscale_policy::queue::{Group, Queue};
-use sparscale_policy::returns::Returns;
+use sparscale_policy::retry_schedule::RetrySchedule;
 use sparscale_samples as samples;
 use sparscale_wire::{GroupLoad, RankLoad};
 
@@ -29,14 +29,14 @@
     let engine = samples::engine();
     let group = Group {
         engine: &engine,
-        pause: Duration::from_millis(120),
-        ranks: RANKS,
-        open_part,
-        entries: 1,
+        max_pause: Duration::from_millis(120),
+        rank_count: RANKS,
+        open_fraction: open_part,
+        entry_count: 1,
     };
     let mut queue: Queue<usize> = Queue::new(now);
     queue.refresh(Some(&load), &group, RANKS, now);
-    queue.room().timely
+    queue.headroom().timely
 }
 
 /// Guards against admitting requests for ranks that reject them.
@@ -55,19 +55,21 @@
 /// Guards against callers that are rejected at the same time and retry at the same time.
 #[test]
 fn retries_spaced() {
-    let now = Machine::default().now();
-    let mut returns = Returns::default();
+    let now = SystemClock::default().now();
+    let mut returns = RetrySchedule::default();
     let (opens_in, interval) = (Duration::from_secs(2), Duration::from_millis(100));
-    let delays: Vec<Duration> = (0..4).map(|_| returns.promise(now + opens_in, interval, now)).collect();
+    let delays: Vec<Duration> = (0..4)
+        .map(|_| returns.next_delay(now + opens_in, interval, now))
+        .collect();
     let expected: Vec<Duration> = (0..4).map(|position| opens_in + interval * position).collect();
     assert_eq!(delays, expected);
     let later = now + Duration::from_mins(1);
     assert_eq!(
-        returns.promise(later + opens_in, interval, later),
+        returns.next_delay(later + opens_in, interval, later),
         opens_in,
         "earlier retry times have passed"
     );
     for _ in 0..1_000 {
-        assert!(returns.promise(later + opens_in, interval, later) <= Duration::from_secs(30));
+        assert!(returns.next_delay(later + opens_in, interval, later) <= Duration::from_secs(30));
     }
 }
--- a/crates/sparscale_policy/tests/group_room.rs
+++ b/crates/sparscale_policy/tests/group_room.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sparscale_policy::headroom::{capacity, capacity_at_current_skew, reported_requests};
-use sparscale_policy::slow;
+use sparscale_policy::straggler;
 use sparscale_samples as samples;
 use sparscale_wire::{GroupLoad, RankLoad};
 
@@ -119,7 +119,7 @@
 #[test]
 fn straggler_relative_to_others() {
     let mut load = group(3, Duration::from_millis(45));
-    assert_eq!(slow::ranks(&load), [0_usize; 0]);
+    assert_eq!(straggler::find(&load), [0_usize; 0]);
     let with_slowdown = |pace_milli| {
         Some(RankLoad {
             pace_milli,
@@ -128,7 +128,7 @@
     };
     load.ranks[4] = with_slowdown(5_000);
     load.ranks[7] = with_slowdown(1_300);
-    assert_eq!(slow::ranks(&load), [4]);
+    assert_eq!(straggler::find(&load), [4]);
     load.ranks.fill(with_slowdown(5_000));
-    assert_eq!(slow::ranks(&load), [0_usize; 0], "all ranks are equally slow");
+    assert_eq!(straggler::find(&load), [0_usize; 0], "all ranks are equally slow");
 }
--- a/crates/sparscale_policy/tests/heard_targets.rs
+++ b/crates/sparscale_policy/tests/heard_targets.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use sparscale_catalog::{Directory, Incarnations, Membership, Roster, Seat, Target};
-use sparscale_policy::heard::{Register, Wait};
-use sparscale_policy::silence::{Awaited, Health};
+use sparscale_policy::response_timeout::{Health, ResponsePart};
+use sparscale_policy::response_tracker::{PendingResponse, Tracker};
 use sparscale_samples as samples;
 use sparscale_wire::{GroupLoad, RankLoad};
 
@@ -30,12 +30,12 @@
     Directory::new(&Roster::new(ranks.collect()), &mut Incarnations::default())
 }
 
-fn wait(instance: &Seat) -> Wait<'_> {
-    Wait {
-        seat: instance,
-        awaited: Awaited::First,
-        allowed: OBJECTIVE,
-        given_up_after: OBJECTIVE * 4,
+fn wait(instance: &Seat) -> PendingResponse<'_> {
+    PendingResponse {
+        instance,
+        response_part: ResponsePart::FirstEvent,
+        due_within: OBJECTIVE,
+        caller_timeout: OBJECTIVE * 4,
     }
 }
 
@@ -57,12 +57,12 @@
 #[test]
 fn removed_targets_dropped() {
     let now = Instant::now();
-    let mut tracker = Register::default();
+    let mut tracker = Tracker::default();
     let before = directory(&["a", "b", "c"]);
     for instance in before.seats() {
-        tracker.note(instance, Awaited::First, OBJECTIVE, now);
+        tracker.record_response(instance, ResponsePart::FirstEvent, OBJECTIVE, now);
     }
-    tracker.note_told(&report("d", &[]), now);
+    tracker.record_group_load(&report("d", &[]), now);
     assert_eq!(tracker.len(), 4);
     let after = directory(&["b"]);
     tracker.retain(&after);
@@ -76,8 +76,8 @@
     let now = Instant::now();
     let targets = directory(&["a"]);
     let health = |unresponsive: &[usize], rank: usize, elapsed: Duration| {
-        let mut tracker = Register::default();
-        tracker.note_told(&report("a", unresponsive), now);
+        let mut tracker = Tracker::default();
+        tracker.record_group_load(&report("a", unresponsive), now);
         let evidence = tracker.evidence(&wait(&targets.seats()[rank]), now + elapsed);
         evidence.expect("the group is known").health
     };
@@ -103,16 +103,16 @@
     let [first, second, ..] = targets.seats() else {
         panic!("four ranks");
     };
-    let mut tracker = Register::default();
-    tracker.note(first, Awaited::First, OBJECTIVE, now);
-    let others_heard = |tracker: &Register, instance: &Seat| {
+    let mut tracker = Tracker::default();
+    tracker.record_response(first, ResponsePart::FirstEvent, OBJECTIVE, now);
+    let others_heard = |tracker: &Tracker, instance: &Seat| {
         tracker
             .evidence(&wait(instance), now)
-            .and_then(|evidence| evidence.others_heard)
+            .and_then(|evidence| evidence.since_others_active)
     };
     assert_eq!(others_heard(&tracker, first), None);
     assert_eq!(others_heard(&tracker, second), Some(Duration::ZERO));
-    tracker.note(second, Awaited::First, OBJECTIVE, now);
+    tracker.record_response(second, ResponsePart::FirstEvent, OBJECTIVE, now);
     assert_eq!(others_heard(&tracker, first), Some(Duration::ZERO));
 }
 
@@ -130,8 +130,12 @@
     let [first, second, ..] = targets.seats() else {
         panic!("three targets");
     };
-    let mut tracker = Register::default();
-    let others_idle = |tracker: &Register| tracker.evidence(&wait(first), now).map(|evidence| evidence.others_idle);
+    let mut tracker = Tracker::default();
+    let others_idle = |tracker: &Tracker| {
+        tracker
+            .evidence(&wait(first), now)
+            .map(|evidence| evidence.are_others_idle)
+    };
     tracker.begin_wait(first);
     tracker.begin_wait(first);
     assert_eq!(others_idle(&tracker), Some(true), "its own waits don't count");
@@ -151,14 +155,18 @@
     let now = Instant::now();
     let targets = directory(&["a"]);
     let first = &targets.seats()[0];
-    let mut tracker = Register::default();
+    let mut tracker = Tracker::default();
     tracker.begin_wait(first);
-    let others_idle = |tracker: &Register| tracker.evidence(&wait(first), now).map(|evidence| evidence.others_idle);
+    let others_idle = |tracker: &Tracker| {
+        tracker
+            .evidence(&wait(first), now)
+            .map(|evidence| evidence.are_others_idle)
+    };
     assert_eq!(others_idle(&tracker), Some(false), "no report");
-    tracker.note_told(&report("a", &[1]), now);
+    tracker.record_group_load(&report("a", &[1]), now);
     assert_eq!(others_idle(&tracker), Some(false), "the rank responds");
     let mut next_report = report("a", &[0]);
     next_report.order = (1, 2);
-    tracker.note_told(&next_report, now);
+    tracker.record_group_load(&next_report, now);
     assert_eq!(others_idle(&tracker), Some(true));
 }
--- a/crates/sparscale_policy/tests/limited_target.rs
+++ b/crates/sparscale_policy/tests/limited_target.rs
@@ -7,7 +7,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_catalog::Start;
-use sparscale_clock::{Clock as _, Machine, Moment};
+use sparscale_clock::{Clock as _, SystemClock, Timestamp};
 use sparscale_policy::rate_limit::{BURST, FACTOR, Members, Pacer, Peer, Rate, Share, WINDOW};
 
 const HISTORIES: u64 = 100;
@@ -89,7 +89,7 @@
 }
 
 struct World {
-    start: Moment,
+    start: Timestamp,
     now: u64,
     rate: Rate,
     target_start: Start,
@@ -100,7 +100,7 @@
 
 impl World {
     fn new(entries: usize, rate: f64) -> Self {
-        let start = Machine::default().now();
+        let start = SystemClock::default().now();
         let entry = |index: usize| Entry {
             address: SocketAddr::from(([10, 0, 0, 1], 7_000 + index as u16)),
             pacer: Pacer::new(start),
@@ -205,8 +205,8 @@
             }
             let peer = |(other, linked): &(usize, bool)| Peer {
                 address: self.entries[*other].address,
-                linked: *linked,
-                silent: self.entries[index].last_seen[*other]
+                is_linked: *linked,
+                since_last_message: self.entries[index].last_seen[*other]
                     .map(|last_seen| Duration::from_millis(self.now - last_seen)),
             };
             let peers: Vec<Peer> = others.iter().map(peer).collect();
@@ -283,7 +283,7 @@
 /// An entry that repeatedly loses and regains its share must not send each time that it regains it.
 #[test]
 fn rate_exceeded_by_share_changes() {
-    let start = Machine::default().now();
+    let start = SystemClock::default().now();
     let mut pacer = Pacer::new(start);
     for turn in 1..100 {
         let now = start + Duration::from_millis(100) * turn;
@@ -341,8 +341,8 @@
         .iter()
         .map(|entry| Peer {
             address: entry.address,
-            linked: true,
-            silent: None,
+            is_linked: true,
+            since_last_message: None,
         })
         .collect();
     let rate = Rate::try_from(1.0).expect("a rate");
--- a/crates/sparscale_policy/tests/overload/model.rs
+++ b/crates/sparscale_policy/tests/overload/model.rs
@@ -7,7 +7,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use sparscale_catalog::Engine;
-use sparscale_policy::patience;
+use sparscale_policy::caller_timeout;
 use sparscale_policy::queue::{Decision, Group, Queue, Request};
 use sparscale_wire::{GroupLoad, RankLoad};
 
@@ -196,11 +196,11 @@
         call.entry = entry;
         call.attempt_arrival = self.now;
         let request = Request {
-            began: now,
+            arrived_at: now,
             objective: OBJECTIVE,
-            pause: PAUSE,
-            spent: Duration::from_millis(self.now - call.first_arrival),
-            left: DEADLINE.checked_sub(Duration::from_millis(self.now - call.first_arrival)),
+            max_pause: PAUSE,
+            retry_age: Duration::from_millis(self.now - call.first_arrival),
+            remaining: DEADLINE.checked_sub(Duration::from_millis(self.now - call.first_arrival)),
         };
         if self.admission == Admission::Open {
             self.admit(index);
@@ -208,16 +208,19 @@
         }
         self.refresh(entry);
         match self.queues[entry].decide(&request, self.in_flight[entry], sample, now) {
-            Decision::Enter => {
+            Decision::Admit => {
                 self.queues[entry].admit(now);
                 self.admit(index);
             }
-            Decision::Wait { timely_until, limit } => {
+            Decision::Wait {
+                timely_until,
+                admit_at: limit,
+            } => {
                 let limit = limit.saturating_duration_since(self.start).as_millis() as u64;
                 self.admission_limits.insert((limit, index), entry);
-                self.queues[entry].join((0, index), timely_until, index);
+                self.queues[entry].enqueue((0, index), timely_until, index);
             }
-            Decision::Refuse { retry, .. } => self.reject(index, retry),
+            Decision::Reject { retry_after: retry, .. } => self.reject(index, retry),
         }
     }
 
@@ -244,10 +247,10 @@
     fn refresh(&mut self, entry: usize) {
         let group = Group {
             engine: &self.engine,
-            pause: PAUSE,
-            ranks: RANKS,
-            open_part: 1.0,
-            entries: ENTRIES,
+            max_pause: PAUSE,
+            rank_count: RANKS,
+            open_fraction: 1.0,
+            entry_count: ENTRIES,
         };
         let now = self.start + Duration::from_millis(self.now);
         self.queues[entry].refresh(self.latest_report.as_ref(), &group, self.in_flight[entry], now);
@@ -264,7 +267,7 @@
                 return;
             }
             self.admission_limits.pop_first();
-            self.queues[entry].give_up((0, index));
+            self.queues[entry].cancel((0, index));
             let now = self.at(self.now);
             self.queues[entry].admit(now);
             self.admit(index);
@@ -274,7 +277,7 @@
     /// Ends the calls that wait for a slot and whose callers have waited too long for the first event. Calls in the
     /// backlog are admitted before that.
     fn abandon_unserved(&mut self) {
-        let timeout = patience::longest_silence(OBJECTIVE, PAUSE).as_millis() as u64;
+        let timeout = caller_timeout::stream_timeout(OBJECTIVE, PAUSE).as_millis() as u64;
         let now = self.now;
         for rank in 0..RANKS {
             let calls = &self.calls;
@@ -286,7 +289,7 @@
                 self.seconds[(call.first_arrival / 1_000) as usize].abandoned += 1;
                 self.in_flight[call.entry] -= 1;
                 let residence = Duration::from_millis(now - call.admitted_at);
-                self.queues[call.entry].leave(residence);
+                self.queues[call.entry].record_end(residence);
             }
         }
     }
@@ -356,7 +359,7 @@
         if call.first_event.is_none() {
             call.first_event = Some(now);
             let elapsed = Duration::from_millis(now - call.admitted_at);
-            self.queues[call.entry].first_event(elapsed);
+            self.queues[call.entry].record_first_event(elapsed);
         } else {
             call.pauses += 1;
             call.late_pauses += u32::from(now - call.last_event > PAUSE.as_millis() as u64);
@@ -381,7 +384,7 @@
             second.late += 1;
         }
         self.in_flight[entry] -= 1;
-        self.queues[entry].leave(residence);
+        self.queues[entry].record_end(residence);
         true
     }
 }
--- a/crates/sparscale_policy/tests/retry_budget.rs
+++ b/crates/sparscale_policy/tests/retry_budget.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_clock::{Clock as _, Machine, Moment};
+use sparscale_clock::{Clock as _, SystemClock, Timestamp};
 use sparscale_policy::budget::{Allowance, Budget, Source};
 
 const ENTRIES: usize = 6;
@@ -47,7 +47,7 @@
 /// The entries, their requests, and their retries.
 struct World {
     allowance: Allowance,
-    start: Moment,
+    start: Timestamp,
     now: u64,
     budgets: Vec<Budget>,
     requests: Vec<u64>,
@@ -58,7 +58,7 @@
 
 impl World {
     fn new(allowance: Allowance, sharers: Option<usize>) -> Self {
-        let start = Machine::default().now();
+        let start = SystemClock::default().now();
         Self {
             allowance,
             start,
@@ -70,7 +70,7 @@
         }
     }
 
-    fn timestamp(&self) -> Moment {
+    fn timestamp(&self) -> Timestamp {
         self.start + Duration::from_millis(self.now)
     }
 
@@ -80,13 +80,13 @@
             match event {
                 Event::Elapse(time) => self.now += time,
                 Event::Requests(entry, count) => {
-                    (0..count).for_each(|_| self.budgets[entry].earn(now));
+                    (0..count).for_each(|_| self.budgets[entry].record_request(now));
                     self.requests.extend((0..count).map(|_| self.now));
                 }
                 Event::Retries(entry, count) => {
-                    let share = self.allowance.share(self.sharers);
+                    let share = self.allowance.slack_share(self.sharers);
                     for _ in 0..count {
-                        let outcome = self.budgets[entry].spend(share, now);
+                        let outcome = self.budgets[entry].try_spend(share, now);
                         self.retries.extend(outcome.source.map(|source| (self.now, source)));
                     }
                 }
--- a/crates/sparscale_policy/tests/return_order.rs
+++ b/crates/sparscale_policy/tests/return_order.rs
@@ -45,10 +45,10 @@
     let engine = samples::engine();
     let group = Group {
         engine: &engine,
-        pause: PAUSE,
-        ranks: RANKS,
-        open_part: 1.0,
-        entries,
+        max_pause: PAUSE,
+        rank_count: RANKS,
+        open_fraction: 1.0,
+        entry_count: entries,
     };
     let mut queue = Queue::new(now);
     queue.refresh(Some(&load), &group, IN_FLIGHT, now);
@@ -57,11 +57,11 @@
 
 fn request(now: Instant, spent: Duration) -> Request {
     Request {
-        began: now,
+        arrived_at: now,
         objective: OBJECTIVE,
-        pause: PAUSE,
-        spent,
-        left: REMAINING.checked_sub(spent),
+        max_pause: PAUSE,
+        retry_age: spent,
+        remaining: REMAINING.checked_sub(spent),
     }
 }
 
@@ -69,9 +69,9 @@
 fn fill(queue: &mut Queue<usize>, spent: Duration, now: Instant) -> (usize, Duration) {
     for number in 0..1_000 {
         match queue.decide(&request(now, spent), IN_FLIGHT, MEDIAN_SAMPLE, now) {
-            Decision::Wait { timely_until, .. } => queue.join((0, number), timely_until, number),
-            Decision::Refuse { retry, .. } => return (number, retry),
-            Decision::Enter => panic!("there is no headroom"),
+            Decision::Wait { timely_until, .. } => queue.enqueue((0, number), timely_until, number),
+            Decision::Reject { retry_after: retry, .. } => return (number, retry),
+            Decision::Admit => panic!("there is no headroom"),
         }
     }
     panic!("no request was rejected");
@@ -119,13 +119,13 @@
 fn waits_until_late() {
     let now = Instant::now();
     let mut queue = queue(4, 6.0, now);
-    let headroom = queue.room();
+    let headroom = queue.headroom();
     assert!(headroom.timely < 1.0 && headroom.late >= 1.0, "{headroom:?}");
     let decision = queue.decide(&request(now, Duration::ZERO), 0, MEDIAN_SAMPLE, now);
     let Decision::Wait { timely_until, .. } = decision else {
         panic!("{decision:?}");
     };
-    queue.join((0, 1), timely_until, 1);
+    queue.enqueue((0, 1), timely_until, 1);
     assert_eq!(queue.next(now), None);
     assert_eq!(queue.next(timely_until + Duration::from_millis(1)), Some(1));
 }
@@ -155,10 +155,10 @@
         let spent = Duration::from_millis(u64::from(spent_ms % 7_000));
         fill(&mut queue, Duration::from_secs(1), now);
         let request = request(now, spent);
-        let longest = request.left.unwrap_or_default() / 3;
+        let longest = request.remaining.unwrap_or_default() / 3;
         samples.iter().all(|sample| match queue.decide(&request, IN_FLIGHT, f64::from(*sample) / 255.0, now) {
-            Decision::Refuse { retry, .. } => retry <= longest + Duration::from_micros(1) && retry >= longest.min(Duration::from_millis(150)),
-            Decision::Enter | Decision::Wait { .. } => false,
+            Decision::Reject { retry_after: retry, .. } => retry <= longest + Duration::from_micros(1) && retry >= longest.min(Duration::from_millis(150)),
+            Decision::Admit | Decision::Wait { .. } => false,
         })
     }
 }
--- a/crates/sparscale_policy/tests/several_groups.rs
+++ b/crates/sparscale_policy/tests/several_groups.rs
@@ -6,9 +6,9 @@
 fn group(headroom: f64, wait: f64) -> Candidate {
     Candidate {
         open: true,
-        room: headroom,
-        wait,
-        ranks: 24,
+        headroom,
+        expected_wait_secs: wait,
+        rank_count: 24,
     }
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn unknown_loads_weighted_by_ranks() {
     let small = Candidate {
-        ranks: 12,
+        rank_count: 12,
         ..group(f64::INFINITY, 0.0)
     };
     let counts = choice_counts(&[small, group(f64::INFINITY, 0.0)]);
@@ -73,9 +73,9 @@
         let count = usize::arbitrary(g) % 5;
         let mut candidate = || Candidate {
             open: bool::arbitrary(g),
-            room: f64::from(i16::arbitrary(g)) / 100.0,
-            wait: f64::from(u8::arbitrary(g)) / 50.0,
-            ranks: usize::arbitrary(g) % 130,
+            headroom: f64::from(i16::arbitrary(g)) / 100.0,
+            expected_wait_secs: f64::from(u8::arbitrary(g)) / 50.0,
+            rank_count: usize::arbitrary(g) % 130,
         };
         Self((0..count).map(|_| candidate()).collect())
     }
--- a/crates/sparscale_policy/tests/throttle_register.rs
+++ b/crates/sparscale_policy/tests/throttle_register.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use sparscale_catalog::Start;
-use sparscale_clock::{Clock as _, Machine, Moment};
+use sparscale_clock::{Clock as _, SystemClock, Timestamp};
 use sparscale_policy::rate_limit::{Members, Rate};
-use sparscale_policy::throttle::{Notice, Opening, Register};
+use sparscale_policy::throttle::{Availability, Notice, Tracker};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn tracker() -> (Register, Moment) {
-    let now = Machine::default().now();
-    let mut tracker = Register::default();
+fn tracker() -> (Tracker, Timestamp) {
+    let now = SystemClock::default().now();
+    let mut tracker = Tracker::default();
     tracker.set_members(Members::new(SocketAddr::from(([10, 0, 0, 1], 7_000)), &[]), now);
     (tracker, now)
 }
 
-fn notice(born_ms: u64, rate: Option<f64>, as_of: Moment) -> Notice {
+fn notice(born_ms: u64, rate: Option<f64>, as_of: Timestamp) -> Notice {
     Notice {
         start: Start::of("target-1", Some(born_ms)),
         rate: rate.map(|rate| Rate::try_from(rate).expect("a rate")),
@@ -26,8 +26,8 @@
     }
 }
 
-fn is_open(tracker: &Register, start: Start, now: Moment) -> bool {
-    tracker.opening(start, now) == Opening::Now
+fn is_open(tracker: &Tracker, start: Start, now: Timestamp) -> bool {
+    tracker.availability(start, now) == Availability::Now
 }
 
 /// A notice that is older than the known state and arrives late changes nothing.
@@ -35,13 +35,16 @@
 fn late_notice_ignored() {
     let (mut tracker, now) = tracker();
     let later = now + SECOND;
-    assert!(tracker.note(notice(1, Some(1.0), later), later));
+    assert!(tracker.merge(notice(1, Some(1.0), later), later));
     assert!(
-        !tracker.note(notice(1, None, now), later),
+        !tracker.merge(notice(1, None, now), later),
         "an older notice ended the limit"
     );
     assert!(!is_open(&tracker, notice(1, None, now).start, later));
-    assert!(tracker.note(notice(1, None, later), later), "the latest notice applies");
+    assert!(
+        tracker.merge(notice(1, None, later), later),
+        "the latest notice applies"
+    );
     assert!(is_open(&tracker, notice(1, None, now).start, later));
 }
 
@@ -49,7 +52,7 @@
 #[test]
 fn restart_clears_limit() {
     let (mut tracker, now) = tracker();
-    tracker.note(notice(1, Some(1.0), now), now);
+    tracker.merge(notice(1, Some(1.0), now), now);
     assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
 }
 
@@ -62,8 +65,8 @@
     for tenth in 0_u32..100 {
         let now = start + SECOND / 10 * tenth;
         let rate = 1.0 + f64::from(tenth % 3) / 10.0;
-        tracker.note(notice(1, Some(rate), now), now);
-        sends += u32::from(tracker.take(notice(1, None, now).start, now));
+        tracker.merge(notice(1, Some(rate), now), now);
+        sends += u32::from(tracker.try_acquire(notice(1, None, now).start, now));
     }
     assert!((7..=12).contains(&sends), "{sends} sends in 10 s");
 }
@@ -72,12 +75,12 @@
 #[test]
 fn changes_listed_once() {
     let (mut tracker, now) = tracker();
-    tracker.note(notice(1, Some(1.0), now), now);
-    let (changes, position) = tracker.news(0);
+    tracker.merge(notice(1, Some(1.0), now), now);
+    let (changes, position) = tracker.changes_since(0);
     assert_eq!(changes, [notice(1, Some(1.0), now)]);
-    assert!(tracker.news(position).0.is_empty());
-    tracker.note(notice(1, None, now + SECOND), now + SECOND);
-    assert_eq!(tracker.news(position).0, [notice(1, None, now + SECOND)]);
+    assert!(tracker.changes_since(position).0.is_empty());
+    tracker.merge(notice(1, None, now + SECOND), now + SECOND);
+    assert_eq!(tracker.changes_since(position).0, [notice(1, None, now + SECOND)]);
 }
 
 /// A backoff lasts until its end, whatever the rate and even if a shorter one follows; its length is capped.
@@ -85,15 +88,18 @@
 fn backoff() {
     let (mut tracker, now) = tracker();
     let start = notice(1, None, now).start;
-    assert!(tracker.rest(start, 3 * SECOND, now).is_some());
-    assert!(tracker.rest(start, SECOND, now).is_none(), "a longer backoff is known");
-    tracker.note(notice(1, Some(40.0), now), now);
-    assert!(!tracker.take(start, now + 2 * SECOND));
-    assert_eq!(tracker.opening(start, now), Opening::At(now + 3 * SECOND));
-    assert!(tracker.take(start, now + 3 * SECOND));
-    tracker.rest(start, Duration::MAX, now);
+    assert!(tracker.record_backoff(start, 3 * SECOND, now).is_some());
     assert!(
-        tracker.take(start, now + Duration::from_hours(1)),
+        tracker.record_backoff(start, SECOND, now).is_none(),
+        "a longer backoff is known"
+    );
+    tracker.merge(notice(1, Some(40.0), now), now);
+    assert!(!tracker.try_acquire(start, now + 2 * SECOND));
+    assert_eq!(tracker.availability(start, now), Availability::At(now + 3 * SECOND));
+    assert!(tracker.try_acquire(start, now + 3 * SECOND));
+    tracker.record_backoff(start, Duration::MAX, now);
+    assert!(
+        tracker.try_acquire(start, now + Duration::from_hours(1)),
         "a backoff without end"
     );
 }
@@ -107,11 +113,14 @@
         leaving: true,
         ..notice(1, None, now)
     };
-    tracker.note(notice(1, Some(1.0), now + SECOND), now + SECOND);
-    assert!(tracker.note(leaving, now + 2 * SECOND));
-    tracker.note(notice(1, None, now + 3 * SECOND), now + 3 * SECOND);
-    assert_eq!(tracker.opening(leaving.start, now + 4 * SECOND), Opening::Never);
-    assert!(!tracker.take(leaving.start, now + 4 * SECOND));
+    tracker.merge(notice(1, Some(1.0), now + SECOND), now + SECOND);
+    assert!(tracker.merge(leaving, now + 2 * SECOND));
+    tracker.merge(notice(1, None, now + 3 * SECOND), now + 3 * SECOND);
+    assert_eq!(
+        tracker.availability(leaving.start, now + 4 * SECOND),
+        Availability::Never
+    );
+    assert!(!tracker.try_acquire(leaving.start, now + 4 * SECOND));
     assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
 }
 
@@ -124,13 +133,13 @@
     for hundredth in 0_u32..500 {
         let now = start + SECOND / 100 * hundredth;
         let rate = 10.0 + f64::from(hundredth % 7) / 10.0;
-        announcements += u32::from(tracker.note(notice(1, Some(rate), now), now));
+        announcements += u32::from(tracker.merge(notice(1, Some(rate), now), now));
     }
     assert!(announcements <= 6, "{announcements} announcements in 5 s");
     let now = start + 5 * SECOND;
     assert!(
-        tracker.note(notice(1, Some(2.0), now), now),
+        tracker.merge(notice(1, Some(2.0), now), now),
         "a drop is announced at once"
     );
-    assert!(tracker.note(notice(1, None, now), now), "an end is announced at once");
+    assert!(tracker.merge(notice(1, None, now), now), "an end is announced at once");
 }
--- a/crates/sparscale_policy/tests/waiting_line.rs
+++ b/crates/sparscale_policy/tests/waiting_line.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
+use sparscale_policy::backlog::Backlog;
 use sparscale_policy::headroom::Headroom;
-use sparscale_policy::line::Backlog;
 
 /// Time from the creation of the backlog to the admissions.
 const ELAPSED: Duration = Duration::from_secs(10);
--- a/crates/sparscale_samples/src/sleeper.rs
+++ b/crates/sparscale_samples/src/sleeper.rs
@@ -3,12 +3,12 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use sparscale_clock::{Clock, Machine, Moment};
+use sparscale_clock::{Clock, SystemClock, Timestamp};
 
 /// A clock that goes on as the machine's does, and further by the time for which a test says that the machine was suspended.
 #[derive(Debug, Default)]
 pub struct Sleeper {
-    machine: Machine,
+    machine: SystemClock,
     asleep: Mutex<Duration>,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl Clock for Sleeper {
-    fn now(&self) -> Moment {
+    fn now(&self) -> Timestamp {
         self.machine.now() + *self.asleep.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sparscale_standin/src/engine.rs
+++ b/crates/sparscale_standin/src/engine.rs
@@ -128,7 +128,7 @@
 impl Group {
     pub(crate) fn new(shape: Shape, speed: Speed, checks_fence: bool) -> Self {
         let ranks = (0..shape.ranks)
-            .map(|_| Rank::new(Switch::cold(rand::random()), checks_fence, shape))
+            .map(|_| Rank::new(Switch::cold_start(rand::random()), checks_fence, shape))
             .collect();
         Self {
             shape,
@@ -164,7 +164,7 @@
         }
         self.step = next;
         for rank in &mut self.ranks {
-            rank.switch.begin(next);
+            rank.switch.begin_step(next);
         }
         let load = self.rank_loads(numbers[0]);
         let took = self.step_time(&load);
@@ -250,7 +250,7 @@
     }
 
     fn peek(&self, step: u64) -> Option<u64> {
-        if self.frozen { None } else { self.switch.peek(step) }
+        if self.frozen { None } else { self.switch.peek_map(step) }
     }
 
     fn order(&mut self, order: &Order) -> Report {
@@ -271,7 +271,7 @@
             Act::Stage { number } => self.loaded.contains(&number),
             _ => false,
         };
-        self.switch.order(&effective, loaded)
+        self.switch.handle_order(&effective, loaded)
     }
 
     pub(crate) fn cancel(&mut self, request: &str) -> bool {
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use sparscale_catalog::Start;
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_place::barrier::{Answer, Order, Report};
 use sparscale_place::{Map, Patch, Shape};
 
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
     /// Where in its history it stands.
-    pub position: Place,
+    pub position: Position,
     /// Age when this was sent, in milliseconds.
     pub age_ms: u64,
 }
