--- a/crates/sparscale_conduct/src/lib.rs
+++ b/crates/sparscale_conduct/src/lib.rs
@@ -1,37 +1,37 @@
-//! The agent beside a rank, and the conductor of its group.
+//! Agents of a group of ranks, and the group leader that one of them becomes.
 //!
-//! Each agent reads the state and the expert counts of its own rank, and is the only sender of its orders. One agent of
-//! a group leads it: it became the leader by a conditional append to the platform's store, gathers the counts of all ranks,
-//! decides about the expert map and leads the ranks from map to map (see [`sparscale_place::barrier`]).
+//! Each agent reads the state and the expert counts of its own rank and is the only sender of that rank's orders. The
+//! leader is elected by a conditional append to the platform's store; it gathers the counts of all ranks, chooses the
+//! expert map and switches the ranks from map to map (see [`sparscale_place::barrier`]).
 
+mod agent;
 mod bandwidth;
 mod claims;
 mod context;
 mod decision;
 mod delegation;
-mod distant;
 mod engine;
-mod figures;
 mod handle;
-mod inquiry;
 mod leader;
+mod leader_poll;
 mod leadership;
 mod link;
 mod maps;
 mod member;
+mod metrics;
 mod outbox;
-mod pace;
 mod program;
-mod rank;
+mod remote_engine;
 mod reporter;
 mod standby;
+mod timing;
 
 pub use bandwidth::Bandwidth;
-pub use claims::{Claim, Claims, Error as ClaimError, number as claim_number, place as claim_place};
-pub use distant::Distant;
-pub use engine::{Counts, Engine, EngineError, EngineState, Engines, Held};
-pub use inquiry::{Verdict, verdict};
-pub use maps::{Cache, Offer, Sent};
-pub use pace::Pace;
-pub use program::{Error, Parts, Settings, run, start};
-pub use reporter::Reporter;
+pub use claims::{ClaimOutcome, Claims, Error as ClaimError, number as claim_number, position as claim_position};
+pub use engine::{Engine, EngineError, EngineState, Engines, HeldExperts, SelectionCounts};
+pub use leader_poll::{LeaderStatus, evaluate_poll};
+pub use maps::{MapCache, OutgoingMap, SentMaps};
+pub use program::{Dependencies, Error, Settings, run, start};
+pub use remote_engine::RemoteEngine;
+pub use reporter::CountReporter;
+pub use timing::GroupTiming;
--- a/crates/sparscale_conduct/tests/group/engines.rs
+++ b/crates/sparscale_conduct/tests/group/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of one group in memory, and agents beside them, each on a runtime of its own so that it can be killed.
+//! Simulated engines of one group, and agents beside them, each on a runtime of its own so that a test can kill it.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use async_trait::async_trait;
-use sparscale_belief::{Error as SourceError, Reading, Source};
+use sparscale_belief::{Error as SourceError, Source, Versioned};
 use sparscale_catalog::{Catalog, Experts, Membership, Roster};
 use sparscale_conduct::{
-    Bandwidth, Claim, ClaimError, Claims, Counts, Engine, EngineError, EngineState, Engines, Held, Parts, Settings,
-    start,
+    Bandwidth, ClaimError, ClaimOutcome, Claims, Dependencies, Engine, EngineError, EngineState, Engines, HeldExperts,
+    SelectionCounts, Settings, start,
 };
-use sparscale_history::Place;
+use sparscale_history::Position;
 use sparscale_place::barrier::{Act, Answer, Change, Order, View};
 use sparscale_place::{Map, Shape};
 use sparscale_samples as samples;
@@ -21,60 +21,60 @@
 
 pub const RANKS: usize = 4;
 const AGENT_PORT: u16 = 7_700;
-const PASS: Duration = Duration::from_millis(8);
-/// Time after which a call of an engine on another box that stands still is given up.
+const PASS_TIME: Duration = Duration::from_millis(8);
+/// Timeout of a call of an engine on another box that is frozen.
 const CALL_TIMEOUT: Duration = Duration::from_millis(40);
-const LOAD: Duration = Duration::from_millis(10);
-/// Longest time for which a box stands still.
-const ASLEEP_LIMIT: Duration = Duration::from_secs(25);
-/// Time in which a killed agent has to be gone.
+const LOAD_TIME: Duration = Duration::from_millis(10);
+/// Longest time for which a box stays frozen or an agent suspended.
+const MAX_SUSPENSION: Duration = Duration::from_secs(25);
+/// Time limit for a killed agent to stop.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Default)]
 struct Rank {
     map: (u64, Option<Map>),
     staged: Option<(u64, Map, Instant)>,
-    highest: u64,
+    highest_map: u64,
     armed: Option<Change>,
-    held: Option<u64>,
+    held_step: Option<u64>,
     fence: u64,
 }
 
-/// What goes wrong, and what was seen.
+/// The simulated group: its engines, the faults that a test injects, and what was observed.
 #[derive(Debug, Default)]
 pub struct Group {
     step: u64,
-    /// Rises whenever an engine has started again.
+    /// Increases whenever an engine restarts.
     epoch: u64,
-    /// When each engine started.
-    born: Vec<u64>,
+    /// Start time of each engine.
+    started_ms: Vec<u64>,
     ranks: Vec<Rank>,
     counts: Vec<u64>,
-    pub hot: usize,
-    pub mixed: bool,
-    pub changes: u32,
-    /// Orders to load a map that engines took.
-    pub stages: u32,
+    pub hot_expert: usize,
+    pub maps_differ: bool,
+    pub map_changes: u32,
+    /// Number of orders to stage a map that engines accepted.
+    pub stage_orders: u32,
     pub claims: Vec<String>,
-    /// How often the list of claims came back from an older copy.
+    /// Number of restores of the list of claims from an older snapshot.
     pub era: u64,
-    /// When claims were lost.
+    /// Times of lost claims.
     pub lost_claims: Vec<Instant>,
-    /// Agents (by rank) that stand still once they have placed a hold.
+    /// Whether the next agent that places a hold freezes with its box.
     pub freeze_after_hold: bool,
     pub frozen: Option<usize>,
-    /// An agent (by rank) that stands still, while the engine beside it runs.
-    pub asleep: Option<usize>,
-    /// Time that an engine takes to tell its state.
-    pub slow: Duration,
-    /// Whether somebody else always claims first.
-    pub others_lead: bool,
-    /// A rank for which an entry of another writer names the place of the next one.
-    pub misplaced: Option<usize>,
+    /// Rank whose agent is suspended while the engine beside it runs.
+    pub suspended: Option<usize>,
+    /// Time that an engine takes to report its state.
+    pub state_delay: Duration,
+    /// Whether another claimant always wins.
+    pub others_claim_first: bool,
+    /// A rank for which a roster entry of another writer gives the location of the next rank.
+    pub misplaced_rank: Option<usize>,
 }
 
 impl Group {
-    /// The list of claims comes back from a copy with so many of them.
+    /// Restores the list of claims from a snapshot that has the first `kept` of them.
     pub fn restore_claims(&mut self, kept: usize) {
         self.claims.truncate(kept);
         self.era += 1;
@@ -88,30 +88,31 @@
 }
 
 impl World {
-    /// A group whose boxes have addresses of their own, by `network`, and whose demand is for one expert of each set.
+    /// Creates a group whose boxes have addresses of their own, selected by `network`, and whose demand is concentrated
+    /// on one expert of each set.
     pub fn new(network: u8) -> Self {
-        Self::of(network, RANKS)
+        Self::with_ranks(network, RANKS)
     }
 
-    /// The same with as many ranks as wanted.
-    pub fn of(network: u8, ranks: usize) -> Self {
+    /// The same with the given number of ranks.
+    pub fn with_ranks(network: u8, ranks: usize) -> Self {
         let group = Group {
             ranks: vec![Rank::default(); ranks],
             counts: vec![0; experts().sets * experts().count],
             epoch: 1,
-            born: vec![1; ranks],
+            started_ms: vec![1; ranks],
             ..Group::default()
         };
         let world = Self {
             group: Arc::new(Mutex::new(group)),
             network,
         };
-        let ticking = world.clone();
+        let pass_world = world.clone();
         std::thread::spawn(move || {
-            // Ends when the test has let go of everything else.
-            while Arc::strong_count(&ticking.group) > 1 {
-                std::thread::sleep(PASS);
-                ticking.lock().pass();
+            // Ends when the test has dropped all other references.
+            while Arc::strong_count(&pass_world.group) > 1 {
+                std::thread::sleep(PASS_TIME);
+                pass_world.lock().run_pass();
             }
         });
         world
@@ -121,7 +122,7 @@
         self.group.lock().expect("no test thread panicked")
     }
 
-    /// Where the agent beside `rank` is reached.
+    /// Address of the agent beside `rank`.
     pub fn agent_address(&self, rank: usize) -> SocketAddr {
         self.address(rank, AGENT_PORT)
     }
@@ -132,7 +133,7 @@
     }
 
     /// Starts the agent beside `rank`.
-    pub fn agent(&self, rank: usize) -> Runtime {
+    pub fn start_agent(&self, rank: usize) -> Runtime {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -141,21 +142,21 @@
         let settings = Settings {
             name: format!("agent-{rank}"),
             address: self.agent_address(rank),
-            engine: self.address(rank, 8_000),
+            engine_address: self.address(rank, 8_000),
             service: samples::MODEL.to_owned(),
             seeds: Vec::new(),
-            interval: Duration::from_millis(100),
+            keepalive_interval: Duration::from_millis(100),
             bandwidth: Bandwidth::from_mbps(20.0),
-            read_interval: Duration::from_millis(300),
+            max_observation_age: Duration::from_millis(300),
         };
-        let parts = Parts {
-            catalog: Box::new(Fixed(catalog())),
-            roster: Box::new(Fixed(self.roster())),
-            engines: Arc::new(Memory {
+        let parts = Dependencies {
+            catalog: Box::new(FixedSource(catalog())),
+            roster: Box::new(FixedSource(self.roster())),
+            engines: Arc::new(SimulatedEngines {
                 world: self.clone(),
                 caller: rank,
             }),
-            claims: Box::new(Listed(self.clone())),
+            claims: Box::new(ClaimList(self.clone())),
             registry: Arc::default(),
         };
         let started = runtime.block_on(async { start(&settings, parts) });
@@ -176,7 +177,7 @@
             ..samples::target(&format!("m-{rank}"), samples::MODEL, 8_000)
         };
         let mut targets: Vec<_> = (0..size).map(target).collect();
-        if let Some(rank) = self.lock().misplaced {
+        if let Some(rank) = self.lock().misplaced_rank {
             let elsewhere = sparscale_catalog::Target {
                 id: "0-another".to_owned(),
                 born_ms: Some(u64::MAX),
@@ -188,11 +189,14 @@
         Arc::new(Roster::new(targets))
     }
 
-    /// Waits until `seen` holds.
-    pub fn wait(&self, what: &str, seen: impl Fn(&Group) -> bool) {
+    /// Waits until the condition `seen` holds.
+    pub fn wait_for(&self, what: &str, seen: impl Fn(&Group) -> bool) {
         let began = Instant::now();
         while !seen(&self.lock()) {
-            assert!(began.elapsed() < Duration::from_secs(20), "never came about: {what}");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "timed out waiting for {what}"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -207,32 +211,32 @@
 }
 
 impl Group {
-    /// Demand moves to another expert.
-    pub fn shift(&mut self) {
-        self.hot = (self.hot + 7) % experts().count;
+    /// Moves the demand to another expert.
+    pub fn shift_demand(&mut self) {
+        self.hot_expert = (self.hot_expert + 7) % experts().count;
     }
 
-    /// The engine of `rank` starts again: it knows nothing, and the group forms anew.
+    /// Restarts the engine of `rank`: it loses its state, and the group re-forms.
     pub fn restart(&mut self, rank: usize) {
         self.epoch += 1;
-        self.born[rank] += 1_000;
+        self.started_ms[rank] += 1_000;
         self.ranks.fill(Rank::default());
         self.counts.fill(0);
     }
 
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub fn ranks(&self) -> usize {
         self.ranks.len()
     }
 
-    /// Whether some rank holds the group now.
+    /// Whether any rank holds the group now.
     pub fn is_held(&self) -> bool {
-        self.ranks.iter().any(|rank| rank.held.is_some())
+        self.ranks.iter().any(|rank| rank.held_step.is_some())
     }
 
-    fn pass(&mut self) {
+    fn run_pass(&mut self) {
         let next = self.step + 1;
-        if self.ranks.iter().any(|rank| rank.held == Some(next)) {
+        if self.ranks.iter().any(|rank| rank.held_step == Some(next)) {
             return;
         }
         self.step = next;
@@ -248,12 +252,12 @@
             }
             changed = true;
         }
-        self.changes += u32::from(changed);
-        self.mixed |= self.ranks.iter().any(|rank| rank.map.0 != self.ranks[0].map.0);
+        self.map_changes += u32::from(changed);
+        self.maps_differ |= self.ranks.iter().any(|rank| rank.map.0 != self.ranks[0].map.0);
         for set in 0..experts().sets {
             for expert in 0..experts().count {
-                let picks = if expert == self.hot { 400 } else { 20 };
-                self.counts[set * experts().count + expert] += picks;
+                let selections = if expert == self.hot_expert { 400 } else { 20 };
+                self.counts[set * experts().count + expert] += selections;
             }
         }
     }
@@ -262,7 +266,7 @@
         let rank = &self.ranks[index];
         let staged = rank.staged.as_ref().filter(|(_, _, ready)| *ready <= Instant::now());
         EngineState {
-            born_ms: Some(self.born[index]),
+            born_ms: Some(self.started_ms[index]),
             group: Some("g".to_owned()),
             rank: index,
             size: self.ranks.len(),
@@ -273,7 +277,7 @@
                 map: rank.map.0,
                 staged: staged.map(|(number, _, _)| *number),
                 armed: rank.armed,
-                held: rank.held,
+                held: rank.held_step,
             },
             load: RankLoad::default(),
         }
@@ -292,18 +296,18 @@
         let done = match order.act {
             Act::Look => true,
             Act::Stage { number } => {
-                let fits = number > rank.highest && rank.armed.is_none();
+                let fits = number > rank.highest_map && rank.armed.is_none();
                 if let Some(map) = map.filter(|_| fits) {
-                    self.stages += 1;
-                    rank.highest = number;
-                    rank.staged = Some((number, map.clone(), Instant::now() + LOAD));
+                    self.stage_orders += 1;
+                    rank.highest_map = number;
+                    rank.staged = Some((number, map.clone(), Instant::now() + LOAD_TIME));
                 }
                 fits
             }
             Act::Hold { step: held } => {
-                let fits = rank.held == Some(held) || (rank.held.is_none() && held > step);
+                let fits = rank.held_step == Some(held) || (rank.held_step.is_none() && held > step);
                 if fits {
-                    rank.held = Some(held);
+                    rank.held_step = Some(held);
                 }
                 fits
             }
@@ -323,7 +327,7 @@
                 rank.map.0 != number
             }
             Act::Release { step: held } => {
-                rank.held = rank.held.filter(|step| *step != held);
+                rank.held_step = rank.held_step.filter(|step| *step != held);
                 true
             }
         };
@@ -331,45 +335,47 @@
     }
 }
 
-struct Fixed<T>(Arc<T>);
+struct FixedSource<T>(Arc<T>);
 
 #[async_trait]
-impl<T: Send + Sync + 'static> Source<T> for Fixed<T> {
-    async fn read(&mut self) -> Result<Reading<T>, SourceError> {
-        Ok(Reading {
+impl<T: Send + Sync + 'static> Source<T> for FixedSource<T> {
+    async fn read(&mut self) -> Result<Versioned<T>, SourceError> {
+        Ok(Versioned {
             value: Arc::clone(&self.0),
             position: 1.into(),
         })
     }
 }
 
-struct Listed(World);
+struct ClaimList(World);
 
 #[async_trait]
-impl Claims for Listed {
-    async fn claim(&mut self, _group: &str, holder: &str, end: Place) -> Result<Claim, ClaimError> {
+impl Claims for ClaimList {
+    async fn claim(&mut self, _group: &str, holder: &str, end: Position) -> Result<ClaimOutcome, ClaimError> {
         let mut group = self.0.lock();
-        let standing = Place::new(group.era, group.claims.len() as u64);
-        if standing.offset != end.offset || group.others_lead {
+        let list_end = Position::new(group.era, group.claims.len() as u64);
+        if list_end.offset != end.offset || group.others_claim_first {
             group.lost_claims.push(Instant::now());
-            return Ok(Claim::Lost { end: standing });
+            return Ok(ClaimOutcome::Lost {
+                next_position: list_end,
+            });
         }
         group.claims.push(holder.to_owned());
-        Ok(Claim::Won { place: standing })
+        Ok(ClaimOutcome::Won { position: list_end })
     }
 }
 
-struct Memory {
+struct SimulatedEngines {
     world: World,
     caller: usize,
 }
 
-impl Engines for Memory {
+impl Engines for SimulatedEngines {
     fn at(&self, address: SocketAddr) -> Box<dyn Engine> {
         let SocketAddr::V4(address) = address else {
             panic!("IPv4 only")
         };
-        Box::new(MemoryEngine {
+        Box::new(SimulatedEngine {
             world: self.world.clone(),
             caller: self.caller,
             rank: usize::from(address.ip().octets()[3]) - 1,
@@ -377,20 +383,20 @@
     }
 }
 
-struct MemoryEngine {
+struct SimulatedEngine {
     world: World,
     caller: usize,
     rank: usize,
 }
 
-impl MemoryEngine {
-    /// Whether the engine is reached now. A box that stands still runs nothing: its one thread waits here. Nobody else
-    /// reaches an engine on it.
-    async fn is_reached(&self) -> bool {
-        let stands_still = |group: &Group| [group.frozen, group.asleep].contains(&Some(self.caller));
+impl SimulatedEngine {
+    /// Whether the engine can be reached now. A frozen or suspended box runs nothing, so its only thread blocks here;
+    /// and no other box reaches an engine on a frozen one.
+    async fn is_reachable(&self) -> bool {
+        let is_blocked = |group: &Group| [group.frozen, group.suspended].contains(&Some(self.caller));
         let began = Instant::now();
-        // A test that fails meanwhile ends all the same.
-        while stands_still(&self.world.lock()) && began.elapsed() < ASLEEP_LIMIT {
+        // Bounds the wait so that a failing test ends.
+        while is_blocked(&self.world.lock()) && began.elapsed() < MAX_SUSPENSION {
             std::thread::sleep(Duration::from_millis(2));
         }
         if self.world.lock().frozen == Some(self.rank) {
@@ -400,36 +406,36 @@
         true
     }
 
-    async fn reach(&self) -> Result<(), EngineError> {
-        if self.is_reached().await {
+    async fn ensure_reachable(&self) -> Result<(), EngineError> {
+        if self.is_reachable().await {
             return Ok(());
         }
         Err(EngineError {
-            message: "the box stands still".to_owned(),
+            message: "the box is frozen or suspended".to_owned(),
         })
     }
 }
 
 #[async_trait]
-impl Engine for MemoryEngine {
+impl Engine for SimulatedEngine {
     async fn state(&mut self) -> Result<EngineState, EngineError> {
-        self.reach().await?;
-        let slow = self.world.lock().slow;
-        tokio::time::sleep(slow).await;
+        self.ensure_reachable().await?;
+        let delay = self.world.lock().state_delay;
+        tokio::time::sleep(delay).await;
         Ok(self.world.lock().state(self.rank))
     }
 
-    async fn counts(&mut self) -> Result<Counts, EngineError> {
-        self.reach().await?;
+    async fn counts(&mut self) -> Result<SelectionCounts, EngineError> {
+        self.ensure_reachable().await?;
         let group = self.world.lock();
-        Ok(Counts {
-            born_ms: Some(group.born[self.rank]),
+        Ok(SelectionCounts {
+            born_ms: Some(group.started_ms[self.rank]),
             epoch: group.epoch,
-            picks: group.counts.clone(),
+            selections: group.counts.clone(),
         })
     }
 
-    async fn held(&mut self) -> Result<Held, EngineError> {
+    async fn held_experts(&mut self) -> Result<HeldExperts, EngineError> {
         let group = self.world.lock();
         let (number, map) = &group.ranks[self.rank].map;
         let shape = Shape {
@@ -440,7 +446,7 @@
         };
         let map = map.clone().unwrap_or_else(|| Map::initial(shape));
         let sets = map.layers.iter().map(|layer| layer.ranks[self.rank].clone());
-        Ok(Held {
+        Ok(HeldExperts {
             epoch: group.epoch,
             number: *number,
             sets: sets.collect(),
@@ -448,7 +454,7 @@
     }
 
     async fn order(&mut self, order: &Order, map: Option<&Map>) -> Answer {
-        if !self.is_reached().await {
+        if !self.is_reachable().await {
             return Answer::Silent;
         }
         let answer = {
@@ -460,12 +466,12 @@
             }
             answer
         };
-        self.is_reached().await;
+        self.is_reachable().await;
         answer
     }
 }
 
-/// Ends one agent; its address is free afterwards.
+/// Stops one agent; its address is free afterwards.
 pub fn kill(agents: &mut BTreeMap<usize, Runtime>, rank: usize) {
     if let Some(runtime) = agents.remove(&rank) {
         runtime.shutdown_timeout(KILL_TIMEOUT);
--- a/crates/sparscale_conduct/tests/group/main.rs
+++ b/crates/sparscale_conduct/tests/group/main.rs
@@ -1,9 +1,9 @@
-//! Agents and their conductor over loopback, beside engines that live in this process.
+//! Agents and their leader over loopback, with simulated engines in the test process.
 
 mod engines;
 mod first_order;
+mod frozen_box;
 mod leading;
-mod old_state;
-mod returned;
-mod sleeping;
+mod restarted_engine;
+mod stale_state;
 mod wide_group;
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -1,4 +1,7 @@
-//! One send of one request to one target.
+//! One attempt: sends a request to one target and classifies the reply.
+//!
+//! The classes separate replies after which the request cannot have run, so that any request may be retried, from those
+//! after which it may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +15,7 @@
 use sparscale_backpressure::{Asked, Signal};
 use sparscale_belief::Board;
 use sparscale_catalog::{Incarnation, Seat, Target};
-use sparscale_clock::{Clock, Moment};
+use sparscale_clock::{Clock, Timestamp};
 use sparscale_quarantine::Fingerprint;
 use tokio::time::Instant;
 
@@ -20,96 +23,96 @@
 use crate::head::{Head, without_hop_by_hop};
 use crate::pool::{Connection, Pool, connect};
 
-/// Bytes of an answer that are collected before any of them goes to the caller. A longer answer is passed on as it
-/// comes.
-const COLLECTED_BYTES: usize = 256 << 10;
+/// Bytes of a reply that are buffered before any of them goes to the caller. A longer reply is forwarded as it arrives.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// A request as it goes to targets.
+/// A request in the form that is sent to targets.
 #[derive(Debug, Clone)]
 pub(crate) struct Outbound {
     pub(crate) head: Head,
     pub(crate) body: Bytes,
-    /// What the request is, however often it comes.
+    /// Identifies the content of the request; equal for each retry.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) workspace: Option<HeaderValue>,
-    /// When its answer has to be there.
-    pub(crate) until: Instant,
-    /// The same by the clock that goes on while the machine is suspended: its caller waits no longer for that.
-    pub(crate) due: Moment,
-    /// Whether it may run more than once.
-    pub(crate) may_repeat: bool,
-    /// Where a resumed stream goes on, if not where the caller said.
-    pub(crate) last_event: Option<u64>,
-    /// How soon the target should begin.
+    /// Deadline of the reply.
+    pub(crate) deadline: Instant,
+    /// The same deadline by the clock that counts suspended time, as the caller's wait goes on while this box is
+    /// suspended.
+    pub(crate) deadline_timestamp: Timestamp,
+    /// Whether the request may run more than once.
+    pub(crate) retryable: bool,
+    /// Event id after which a resumed stream continues, if it differs from the one that the caller sent.
+    pub(crate) last_event_id: Option<u64>,
+    /// How soon the target should start the request; 0 is the most urgent.
     pub(crate) urgency: Option<u8>,
 }
 
-/// Why an answer is missing or of no use.
+/// Why a reply is missing or unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Loss {
-    /// None came in time.
+pub(crate) enum ResponseError {
+    /// No complete reply arrived in time.
     Timeout,
-    /// The connection broke.
-    Broken,
-    /// It answers another request.
-    Foreign,
-    /// It is no proper answer: no digest, or an encoding that nobody asked for.
-    Spoiled,
-    /// Its status promises that the request has not run, and the target does not say so.
-    Unfounded,
+    /// The connection was lost.
+    ConnectionLost,
+    /// The reply carries the id of another request.
+    RequestIdMismatch,
+    /// The reply has no digest, or an encoding that was not requested.
+    Malformed,
+    /// The status guarantees that the request has not run, but the target did not confirm it.
+    UnconfirmedRejection,
 }
 
-impl Loss {
+impl ResponseError {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Timeout => "timeout",
-            Self::Broken => "broken",
-            Self::Foreign => "foreign",
-            Self::Spoiled => "spoiled",
-            Self::Unfounded => "unfounded",
+            Self::ConnectionLost => "broken",
+            Self::RequestIdMismatch => "foreign",
+            Self::Malformed => "spoiled",
+            Self::UnconfirmedRejection => "unfounded",
         }
     }
 }
 
-/// What became of a send.
+/// Outcome of sending a request to a target.
 #[derive(Debug)]
-pub(crate) enum Outcome {
-    /// The target was not reached: nothing was sent.
+pub(crate) enum SendOutcome {
+    /// The target could not be reached; nothing was sent.
     NotSent,
-    /// The target says that it has not run the request.
-    Refused(Rejection),
-    /// A whole answer.
+    /// The target reported that it did not run the request.
+    Rejected(Rejection),
+    /// A complete reply.
     Complete(Reply),
-    /// The head of an answer that goes on.
-    Begun(Begun),
-    /// It may have run; no whole answer came.
-    Lost(Loss),
+    /// A reply whose head has arrived and whose body is still arriving.
+    Partial(PartialResponse),
+    /// The request may have run, but there is no complete reply.
+    ReplyLost(ResponseError),
 }
 
-/// A refusal by a target.
+/// A rejection by a target.
 #[derive(Debug)]
 pub(crate) struct Rejection {
     pub(crate) status: StatusCode,
-    /// Target at fault, if it is another one.
+    /// Id or address of the target at fault, if it is another one.
     pub(crate) at_fault: Option<String>,
-    /// When the target wants to be asked again.
+    /// Backoff requested by the target.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// Whether it says that `target` is not there any more: another incarnation has its address.
-    pub(crate) fn is_gone(&self, target: &Target) -> bool {
-        let other = self.at_fault.as_deref().is_some_and(|name| !is_named(target, name));
-        self.status == StatusCode::MISDIRECTED_REQUEST && !other
+    /// Whether it shows that `target` no longer exists, because another incarnation has its address.
+    pub(crate) fn is_replaced(&self, target: &Target) -> bool {
+        let other_at_fault = self.at_fault.as_deref().is_some_and(|name| !is_named(target, name));
+        self.status == StatusCode::MISDIRECTED_REQUEST && !other_at_fault
     }
 }
 
-/// Whether `name`, an id or an address, is that of `target`.
+/// Whether `name` is the id or the address of `target`.
 pub(crate) fn is_named(target: &Target, name: &str) -> bool {
     name == target.id || name.parse() == Ok(target.address)
 }
 
-/// A whole answer.
+/// A complete reply.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -117,90 +120,92 @@
     pub(crate) body: Bytes,
 }
 
-/// An answer that goes on.
+/// A reply whose body is still arriving.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// What was collected already.
-    pub(crate) collected: Bytes,
-    pub(crate) rest: Rest,
+    /// Start of the body, buffered so far.
+    pub(crate) buffered: Bytes,
+    pub(crate) remainder: RemainingBody,
 }
 
-/// The rest of an answer, with the connection that it comes on.
+/// The remaining body of a reply, and the connection that it arrives on.
 #[derive(Debug)]
-pub(crate) struct Rest {
+pub(crate) struct RemainingBody {
     incoming: Incoming,
     connection: Option<Connection>,
-    answer: HeaderMap,
+    headers: HeaderMap,
     target: Incarnation,
     pool: Arc<Pool>,
 }
 
-/// Sends requests to targets.
+/// HTTP client for requests to targets.
 #[derive(Debug, Clone)]
-pub(crate) struct Caller {
+pub(crate) struct TargetClient {
     pub(crate) pool: Arc<Pool>,
     pub(crate) dialect: Arc<Dialect>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) board: Arc<Board>,
-    /// Longest rest of a connection that a request which may run once is sent on.
-    pub(crate) max_rest_once: Duration,
+    /// Maximum idle time of a connection that is reused for a request which may run only once.
+    pub(crate) max_idle_run_once: Duration,
 }
 
-impl Caller {
-    /// Sends `outbound` to `target`. A stream of events is handed over at its head, anything else whole.
-    pub(crate) async fn send(&self, seat: &Seat, outbound: &Outbound) -> Outcome {
-        let connection = match self.connection(seat, outbound).await {
+impl TargetClient {
+    /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other replies once complete
+    /// or longer than [`MAX_BUFFERED_BYTES`].
+    pub(crate) async fn send(&self, instance: &Seat, outbound: &Outbound) -> SendOutcome {
+        let connection = match self.connection(instance, outbound).await {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!(target = seat.target.id.as_str(), error = error.to_string().as_str(); "not reached");
-                return Outcome::NotSent;
+                log::debug!(target = instance.target.id.as_str(), error = error.to_string().as_str(); "connecting to the target failed");
+                return SendOutcome::NotSent;
             }
         };
-        let answered = tokio::time::timeout_at(outbound.until, self.exchange(seat, outbound, connection));
-        answered.await.unwrap_or(Outcome::Lost(Loss::Timeout))
+        let reply = tokio::time::timeout_at(outbound.deadline, self.exchange(instance, outbound, connection));
+        reply.await.unwrap_or(SendOutcome::ReplyLost(ResponseError::Timeout))
     }
 
-    async fn connection(&self, seat: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
-        let max_rest = if outbound.may_repeat {
+    async fn connection(&self, instance: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
+        let max_idle = if outbound.retryable {
             Duration::MAX
         } else {
-            self.max_rest_once
+            self.max_idle_run_once
         };
-        match self.pool.take(seat.key, max_rest) {
+        match self.pool.take(instance.key, max_idle) {
             Some(connection) => Ok(connection),
-            None => connect(seat.target.address).await,
+            None => connect(instance.target.address).await,
         }
     }
 
-    async fn exchange(&self, chosen: &Seat, outbound: &Outbound, connection: Connection) -> Outcome {
-        let target = &chosen.target;
+    async fn exchange(&self, instance: &Seat, outbound: &Outbound, connection: Connection) -> SendOutcome {
+        let target = &instance.target;
         let mut connection = connection;
         let request = self.request(target, outbound);
-        let mut sent = connection.sender.try_send_request(request).await;
-        if !connection.fresh && matches!(&sent, Err(error) if error.message().is_some()) {
-            // The idle connection was closed under us and nothing was written: a fresh one takes its place.
+        let mut result = connection.sender.try_send_request(request).await;
+        if !connection.fresh && matches!(&result, Err(error) if error.message().is_some()) {
+            // The target closed the idle connection before anything was written: retry on a new one.
             connection = match connect(target.address).await {
                 Ok(connection) => connection,
-                Err(_) => return Outcome::NotSent,
+                Err(_) => return SendOutcome::NotSent,
             };
-            sent = connection.sender.try_send_request(self.request(target, outbound)).await;
+            result = connection.sender.try_send_request(self.request(target, outbound)).await;
         }
-        let (parts, incoming) = match sent {
+        let (parts, incoming) = match result {
             Ok(response) => response.into_parts(),
-            Err(error) if error.message().is_some() => return Outcome::NotSent,
-            Err(_) => return Outcome::Lost(Loss::Broken),
+            Err(error) if error.message().is_some() => return SendOutcome::NotSent,
+            Err(_) => return SendOutcome::ReplyLost(ResponseError::ConnectionLost),
         };
-        let signal = self.note_signal(chosen, &parts, outbound);
-        match self.judge(&parts, outbound) {
-            Verdict::Lost(loss) => Outcome::Lost(loss),
-            Verdict::Refused => {
+        let signal = self.record_signal(instance, &parts, outbound);
+        match self.classify(&parts, outbound) {
+            ReplyClass::Unusable(error) => SendOutcome::ReplyLost(error),
+            ReplyClass::Rejected => {
                 let rejection = self.rejection(&parts, signal);
-                self.give_back(chosen.key, connection, incoming, &parts.headers).await;
-                Outcome::Refused(rejection)
+                self.return_connection(instance.key, connection, incoming, &parts.headers)
+                    .await;
+                SendOutcome::Rejected(rejection)
             }
-            Verdict::Answered => self.collect(chosen.key, parts, incoming, connection).await,
+            ReplyClass::Answered => self.collect(instance.key, parts, incoming, connection).await,
         }
     }
 
@@ -213,147 +218,163 @@
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(dialect.expected_target.clone(), id);
         }
-        let left = outbound.due.since(self.clock.now());
-        headers.insert(dialect.deadline.clone(), HeaderValue::from(left.as_millis() as u64));
+        let time_left = outbound.deadline_timestamp.since(self.clock.now());
+        headers.insert(
+            dialect.deadline.clone(),
+            HeaderValue::from(time_left.as_millis() as u64),
+        );
         if let Some(workspace) = &outbound.workspace {
             headers.insert(dialect.workspace.clone(), workspace.clone());
         }
         if let Some(urgency) = outbound.urgency {
             headers.insert(dialect.urgency.clone(), HeaderValue::from(u16::from(urgency)));
         }
-        if let Some(last) = outbound.last_event {
+        if let Some(last_event) = outbound.last_event_id {
             headers.insert(
                 header::HeaderName::from_static("last-event-id"),
-                HeaderValue::from(last),
+                HeaderValue::from(last_event),
             );
         }
         *request.headers_mut() = headers;
         request
     }
 
-    /// Notes what the target asks of those that send to it. An answer to another request, or by another target at the same
-    /// address, says nothing of it.
-    fn note_signal(&self, chosen: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
+    /// Records the rate limit or backoff requested by the target. A reply to another request, or from another target at
+    /// the same address, is ignored.
+    fn record_signal(&self, instance: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
         let signal = Signal::read(parts.status, &parts.headers, &self.dialect.backpressure);
-        let own = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
-        if !own || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        let is_own_reply = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
+        if !is_own_reply || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return signal;
         }
         match signal.rate {
-            Asked::Nothing => self.board.throttle.note(chosen, None, signal.leaving),
-            Asked::For(rate) => self.board.throttle.note(chosen, Some(rate), signal.leaving),
+            Asked::Nothing => self.board.throttle.record_notice(instance, None, signal.leaving),
+            Asked::For(rate) => self.board.throttle.record_notice(instance, Some(rate), signal.leaving),
             Asked::Unreadable => {}
         }
-        if let Some(rest) = signal.rest {
-            self.board.throttle.rest(chosen, rest);
+        if let Some(backoff) = signal.rest {
+            self.board.throttle.record_backoff(instance, backoff);
         }
         signal
     }
 
-    /// What the head of an answer says about the request.
-    fn judge(&self, parts: &Parts, outbound: &Outbound) -> Verdict {
+    /// Classifies a reply by its head.
+    fn classify(&self, parts: &Parts, outbound: &Outbound) -> ReplyClass {
         if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
-            return Verdict::Lost(Loss::Foreign);
+            return ReplyClass::Unusable(ResponseError::RequestIdMismatch);
         }
         if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            return Verdict::Refused;
+            return ReplyClass::Rejected;
         }
-        // Without the target's word that it has not run the request, these would promise to callers what nobody knows.
-        let promises = [
+        // Unless the target confirms that the request has not run, forwarding these would give callers a guarantee that
+        // may be false.
+        let not_run_statuses = [
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::SERVICE_UNAVAILABLE,
         ];
-        if promises.contains(&parts.status) {
-            return Verdict::Lost(Loss::Unfounded);
+        if not_run_statuses.contains(&parts.status) {
+            return ReplyClass::Unusable(ResponseError::UnconfirmedRejection);
         }
-        let digest = parts.headers.contains_key(&self.dialect.digest);
-        if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !digest) {
-            return Verdict::Lost(Loss::Spoiled);
+        let has_digest = parts.headers.contains_key(&self.dialect.digest);
+        if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !has_digest) {
+            return ReplyClass::Unusable(ResponseError::Malformed);
         }
-        Verdict::Answered
+        ReplyClass::Answered
     }
 
     fn rejection(&self, parts: &Parts, signal: Signal) -> Rejection {
-        let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
+        let text_of = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
         Rejection {
             status: parts.status,
-            at_fault: text(&self.dialect.at_fault).map(str::to_owned),
+            at_fault: text_of(&self.dialect.at_fault).map(str::to_owned),
             retry_after: signal.rest,
         }
     }
 
-    async fn collect(&self, target: Incarnation, parts: Parts, incoming: Incoming, connection: Connection) -> Outcome {
-        let mut rest = Rest {
+    async fn collect(
+        &self,
+        target: Incarnation,
+        parts: Parts,
+        incoming: Incoming,
+        connection: Connection,
+    ) -> SendOutcome {
+        let mut remainder = RemainingBody {
             incoming,
             connection: Some(connection),
-            answer: parts.headers.clone(),
+            headers: parts.headers.clone(),
             target,
             pool: Arc::clone(&self.pool),
         };
-        let headers = to_caller(&parts.headers);
+        let headers = caller_headers(&parts.headers);
         let status = parts.status;
         if is_event_stream(&parts.headers) {
-            let collected = Bytes::new();
-            return Outcome::Begun(Begun {
+            let buffered = Bytes::new();
+            return SendOutcome::Partial(PartialResponse {
                 status,
                 headers,
-                collected,
-                rest,
+                buffered,
+                remainder,
             });
         }
-        let mut collected = BytesMut::new();
+        let mut buffered = BytesMut::new();
         loop {
-            match rest.next().await {
-                Ok(Some(bytes)) => collected.extend_from_slice(&bytes),
+            match remainder.next().await {
+                Ok(Some(bytes)) => buffered.extend_from_slice(&bytes),
                 Ok(None) => break,
-                Err(loss) => return Outcome::Lost(loss),
+                Err(error) => return SendOutcome::ReplyLost(error),
             }
-            if collected.len() > COLLECTED_BYTES {
-                let collected = collected.freeze();
-                return Outcome::Begun(Begun {
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                let buffered = buffered.freeze();
+                return SendOutcome::Partial(PartialResponse {
                     status,
                     headers,
-                    collected,
-                    rest,
+                    buffered,
+                    remainder,
                 });
             }
         }
-        let body = collected.freeze();
-        Outcome::Complete(Reply { status, headers, body })
+        let body = buffered.freeze();
+        SendOutcome::Complete(Reply { status, headers, body })
     }
 
-    /// Reads the short body of a refusal, so that its connection can be used again.
-    async fn give_back(&self, target: Incarnation, connection: Connection, incoming: Incoming, answer: &HeaderMap) {
+    /// Reads the short body of a rejection, so that its connection can be reused.
+    async fn return_connection(
+        &self,
+        target: Incarnation,
+        connection: Connection,
+        incoming: Incoming,
+        headers: &HeaderMap,
+    ) {
         if incoming
             .size_hint()
             .upper()
-            .is_some_and(|length| length <= COLLECTED_BYTES as u64)
+            .is_some_and(|length| length <= MAX_BUFFERED_BYTES as u64)
             && incoming.collect().await.is_ok()
         {
-            self.pool.put(target, connection, answer);
+            self.pool.put(target, connection, headers);
         }
     }
 }
 
-enum Verdict {
+enum ReplyClass {
     Answered,
-    Refused,
-    Lost(Loss),
+    Rejected,
+    Unusable(ResponseError),
 }
 
-impl Rest {
-    /// The next bytes of the answer; none at its proper end. The connection is given back there.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Loss> {
+impl RemainingBody {
+    /// The next bytes of the body, or none at its regular end, where the connection goes back to the pool.
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, ResponseError> {
         loop {
             let Some(frame) = self.incoming.frame().await else {
                 if let Some(connection) = self.connection.take() {
-                    self.pool.put(self.target, connection, &self.answer);
+                    self.pool.put(self.target, connection, &self.headers);
                 }
                 return Ok(None);
             };
-            // Trailers are not passed on.
-            if let Ok(data) = frame.map_err(|_broken| Loss::Broken)?.into_data() {
+            // Trailers are not forwarded.
+            if let Ok(data) = frame.map_err(|_broken| ResponseError::ConnectionLost)?.into_data() {
                 return Ok(Some(data));
             }
         }
@@ -365,9 +386,9 @@
     content_type.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-/// Headers that go on to the caller; the framing is the entry's own.
-fn to_caller(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = without_hop_by_hop(headers);
-    kept.remove(header::CONTENT_LENGTH);
-    kept
+/// Headers to forward to the caller, without those for message framing, which the entry sets itself.
+fn caller_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = without_hop_by_hop(headers);
+    forwarded.remove(header::CONTENT_LENGTH);
+    forwarded
 }
--- /dev/null
+++ b/crates/sparscale_gateway/src/attempt_history.rs
@@ -0,0 +1,58 @@
+//! State of one request over its attempts, and the answer or refusal to return when no further attempt is made.
+
+use crate::answer::Answer;
+use crate::attempt::Reply;
+use crate::attempted_targets::AttemptedTargets;
+use crate::refusal::Refusal;
+
+/// Maximum number of unavailable targets per request. They don't count as attempts, as they received no work.
+const MAX_UNAVAILABLE_TARGETS: u32 = 3;
+
+/// The attempts made so far for one request.
+#[derive(Debug, Default)]
+pub(crate) struct AttemptHistory {
+    /// Service that takes the request, once chosen.
+    pub(crate) service: Option<String>,
+    /// Group of ranks that takes the request, if the service has groups.
+    pub(crate) group: Option<String>,
+    /// Targets that the request was sent to.
+    pub(crate) attempted_targets: AttemptedTargets,
+    /// Number of targets that were unreachable or replaced, consecutive or not.
+    pub(crate) unavailable_targets: u32,
+    /// Error answer of a target, kept in case no later attempt succeeds.
+    pub(crate) error_reply: Option<Reply>,
+    /// Refusal to return after an attempt without a complete answer: the request may have run, so no later refusal may
+    /// claim that it has not.
+    pub(crate) unknown_outcome_refusal: Option<Refusal>,
+    /// Refusal to return as long as every target has reported that it did not run the request.
+    pub(crate) not_run_refusal: Option<Refusal>,
+}
+
+impl AttemptHistory {
+    /// The final result in order of preference: a target's error answer, the refusal for an unknown outcome, the
+    /// refusal for a request that did not run, or `fallback`.
+    pub(crate) fn final_result(&mut self, fallback: Refusal) -> Result<Answer, Refusal> {
+        match self.error_reply.take() {
+            Some(reply) => Ok(Answer::Complete(reply)),
+            None => Err(self
+                .unknown_outcome_refusal
+                .or(self.not_run_refusal)
+                .unwrap_or(fallback)),
+        }
+    }
+
+    /// Continues after an unavailable target, which does not count as an attempt, if the limit is not reached and
+    /// `may_retry` allows it. Otherwise returns the final result; `refusal` describes the failure.
+    pub(crate) fn skip_unavailable(
+        &mut self,
+        refusal: Refusal,
+        may_retry: impl FnOnce(&Self) -> bool,
+    ) -> Result<Option<Answer>, Refusal> {
+        self.unavailable_targets += 1;
+        self.not_run_refusal.get_or_insert(refusal);
+        if self.unavailable_targets < MAX_UNAVAILABLE_TARGETS && may_retry(self) {
+            return Ok(None);
+        }
+        self.final_result(refusal).map(Some)
+    }
+}
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -1,8 +1,10 @@
-//! One request from a caller, from its head to its answer.
+//! Takes one request from admission to its answer: waits for headroom, sends attempts, and decides about retries.
+//!
+//! Retries are paid for from a budget that all entries share, so that failing targets don't cause a flood of retries.
 
+mod abandon;
 mod choice;
-mod leave;
-mod throttled;
+mod throttling;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,113 +16,114 @@
 use rand::seq::IteratorRandom as _;
 use sparscale_belief::Board;
 use sparscale_catalog::{Catalog, Kind, Route, RouteKey, Seat};
-use sparscale_clock::Moment;
+use sparscale_clock::Timestamp;
 use sparscale_mesh::Mesh;
 use sparscale_policy::budget::{Allowance, Budget, Source};
-use sparscale_policy::heard::Wait;
-use sparscale_policy::returns::Returns;
-use sparscale_policy::silence::Awaited;
-use sparscale_policy::spent::Deadlines;
-use sparscale_policy::{gate, patience};
+use sparscale_policy::deadlines::DeadlineTracker;
+use sparscale_policy::response_timeout::ResponsePart;
+use sparscale_policy::response_tracker::PendingResponse;
+use sparscale_policy::retry_schedule::RetrySchedule;
+use sparscale_policy::{caller_timeout, gate};
 use sparscale_quarantine::{End, Fingerprint};
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
 use crate::answer::{Answer, CALLER_LEFT, Stream};
-use crate::attempt::{Begun, Caller, Loss, Outbound, Outcome, Rejection, Reply};
+use crate::attempt::{Outbound, PartialResponse, Rejection, Reply, ResponseError, SendOutcome, TargetClient};
+use crate::attempt_history::AttemptHistory;
+use crate::attempted_targets::AttemptedTargets;
 use crate::figures::Figures;
 use crate::gate::Gates;
-use crate::loads::{Loads, Running};
+use crate::loads::{InFlightGuard, Loads};
+use crate::queues::{Arrival, Permit, Queues};
 use crate::refusal::{Reason, Refusal};
 use crate::relay::Run;
-use crate::silences::Silences;
-use crate::split::Splits;
-use crate::tried::Tried;
-use crate::tries::Tries;
-use crate::waiting::{Arrival, Permit, Queues};
-
-/// Groups of a service that one request looks at, drawn anew for each: of a hundred, the best of a few is nearly as good as the
-/// best, and looking at all would cost an entry more than the request itself.
-const MAX_LOOKED_AT: usize = 8;
-/// When a caller is told to come back after a target turned its request away.
-const TURNED_AWAY_RETRY: Duration = Duration::from_millis(200);
-/// When a caller is told to come back if no target is there.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
-
-/// What all requests of an entry share.
+use crate::response_monitor::ResponseMonitor;
+use crate::traffic_split::TrafficSplit;
+
+/// Maximum number of groups of a service that one request considers, sampled anew for each. Of a hundred groups, the
+/// best of a few is nearly as good as the best of all, and checking all of them would cost an entry more than the
+/// request itself.
+const MAX_SAMPLED_GROUPS: usize = 8;
+/// `Retry-After` of a rejection after targets could not be reached or rejected the request.
+const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// `Retry-After` of a rejection because no target is available or the group stays closed.
+const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// State shared by all requests of an entry.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) board: Arc<Board>,
     pub(crate) mesh: Arc<Mesh>,
-    pub(crate) caller: Caller,
+    pub(crate) target_client: TargetClient,
     pub(crate) loads: Arc<Loads>,
-    /// Targets that owe answers.
-    pub(crate) silences: Silences,
+    /// Response times of the targets that requests wait for.
+    pub(crate) response_monitor: ResponseMonitor,
     pub(crate) hall: String,
     pub(crate) allowance: Allowance,
-    pub(crate) budgets: Mutex<HashMap<String, Budget>>,
-    pub(crate) splits: Splits,
-    pub(crate) figures: Figures,
-    /// Entries that share the slack of the budgets, this one included; 0 while that is not known.
+    pub(crate) retry_budgets: Mutex<HashMap<String, Budget>>,
+    pub(crate) traffic_split: TrafficSplit,
+    pub(crate) metrics: Figures,
+    /// Number of entries that share the slack of the budgets, including this one; 0 while unknown.
     pub(crate) sharers: AtomicUsize,
     /// Start of this process.
-    pub(crate) started: Moment,
+    pub(crate) started_at: Timestamp,
     pub(crate) queues: Arc<Queues>,
-    /// Whether groups run.
+    /// Whether groups are serving.
     pub(crate) gates: Gates,
-    /// What callers spent on earlier tries.
-    pub(crate) deadlines: Mutex<Deadlines>,
-    /// When callers of each service were told to come back.
-    pub(crate) returns: Mutex<HashMap<String, Returns>>,
+    /// Longest recent deadline of each route, from which the time that callers spent on earlier attempts is derived.
+    pub(crate) deadlines: Mutex<DeadlineTracker>,
+    /// Retry times assigned to callers, by service.
+    pub(crate) retry_schedules: Mutex<HashMap<String, RetrySchedule>>,
 }
 
-/// How a send went.
-enum Attempt {
-    /// An answer for the caller.
+/// Outcome of an attempt.
+enum AttemptOutcome {
+    /// There is an answer for the caller.
     Answered(Answer),
-    /// The target was not reached: nothing was sent.
+    /// The target could not be reached; nothing was sent.
     NotSent,
-    /// The target says that it has not run the request.
-    Refused(Rejection),
-    /// The target failed, and the request may run again.
+    /// The target reported that it did not run the request.
+    Rejected(Rejection),
+    /// The target answered with an error, and the request may run again.
     Failed(Reply),
-    /// It may have run; no whole answer came.
-    Lost(Loss),
-    /// Its target was left for another one.
-    Left,
+    /// The request may have run, but there is no complete reply.
+    ReplyLost(ResponseError),
+    /// The target was abandoned in favor of another one.
+    Abandoned,
 }
 
-/// Why a request is to be sent once more.
+/// Why a request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
-    /// Its target turned it away, failed, or gave no whole answer.
-    Unserved,
-    /// Another incarnation had its target's address.
-    Gone,
-    /// Its target held the group back.
-    LeftSlow,
-    /// Its target was silent.
-    LeftSilent,
+enum RetryReason {
+    /// The target rejected it, failed, or sent no complete reply.
+    NotServed,
+    /// Another incarnation had the target's address.
+    Replaced,
+    /// The target was a straggler.
+    Straggler,
+    /// The target was unresponsive.
+    Unresponsive,
 }
 
-impl Cause {
+impl RetryReason {
     fn name(self) -> &'static str {
         match self {
-            Self::Unserved => "unserved",
-            Self::Gone => "gone",
-            Self::LeftSlow => "left_slow",
-            Self::LeftSilent => "left_silent",
+            Self::NotServed => "unserved",
+            Self::Replaced => "gone",
+            Self::Straggler => "left_slow",
+            Self::Unresponsive => "left_silent",
         }
     }
 }
 
-/// A request that may be sent.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: RouteKey,
     pub(crate) outbound: Outbound,
-    pub(crate) began: Instant,
+    pub(crate) arrived_at: Instant,
 }
 
 impl Job {
@@ -128,344 +131,381 @@
         self.catalog.route(self.route)
     }
 
-    /// What its target owes first.
-    fn awaited(&self) -> Awaited {
+    /// What the target is expected to send first.
+    fn first_awaited(&self) -> ResponsePart {
         if is_stream(self) {
-            Awaited::First
+            ResponsePart::FirstEvent
         } else {
-            Awaited::Complete
+            ResponsePart::FullResponse
         }
     }
 
-    /// What it waits for once it is sent.
-    fn first_wait<'a>(&self, seat: &'a Seat) -> Wait<'a> {
-        Wait {
-            seat,
-            awaited: self.awaited(),
-            allowed: self.route().objective,
-            given_up_after: self.given_up_after(),
+    /// The wait for the first response of a target.
+    fn first_wait<'a>(&self, instance: &'a Seat) -> PendingResponse<'a> {
+        PendingResponse {
+            instance,
+            response_part: self.first_awaited(),
+            due_within: self.route().objective,
+            caller_timeout: self.given_up_after(),
         }
     }
 
-    /// Silence after which its caller gives up.
+    /// Time without a response after which the caller gives up.
     pub(crate) fn given_up_after(&self) -> Duration {
         match self.route().kind {
-            Kind::Stream { .. } => patience::longest_silence(self.route().objective, pause_of(self)),
-            Kind::Once | Kind::Repeatable => self.outbound.until.saturating_duration_since(self.began),
+            Kind::Stream { .. } => caller_timeout::stream_timeout(self.route().objective, longest_pause_of(self)),
+            Kind::Once | Kind::Repeatable => self.outbound.deadline.saturating_duration_since(self.arrived_at),
         }
     }
 }
 
 impl Gateway {
-    /// Waits at the queue of the group that is to serve the request, if a group does.
-    pub(crate) async fn permit(&self, job: &Job, tries: &mut Tries) -> Result<Option<Permit>, Refusal> {
-        let Some(belief) = self.board.targets() else {
+    /// Chooses a group for a streaming request and waits until it is admitted there. None if no group serves the
+    /// request.
+    pub(crate) async fn acquire_permit(
+        &self,
+        job: &Job,
+        history: &mut AttemptHistory,
+    ) -> Result<Option<Permit>, Refusal> {
+        let Some(observation) = self.board.targets() else {
             return Ok(None);
         };
-        tries.service = self.service(job, &belief.value);
-        if let Some(service) = tries.service.as_deref()
-            && let Some(refusal) = self.throttled(job, service, &belief.value)
+        history.service = self.choose_service(job, &observation.value);
+        if let Some(service) = history.service.as_deref()
+            && let Some(refusal) = self.throttle_refusal(job, service, &observation.value)
         {
             return Err(refusal);
         }
         let Kind::Stream { longest_pause, .. } = job.route().kind else {
             return Ok(None);
         };
-        let Some(service) = tries.service.as_deref() else {
+        let Some(service) = history.service.as_deref() else {
             return Ok(None);
         };
         let engine = job.catalog.find_service(service);
         let engine = engine.and_then(|key| job.catalog.service(key).engine.as_ref());
-        let (Some(engine), Some(pause)) = (engine, longest_pause) else {
+        let (Some(engine), Some(longest_pause)) = (engine, longest_pause) else {
             return Ok(None);
         };
-        let spent = self.spent(job);
-        let groups = belief.value.groups_of(service);
-        let looked_at = groups.choose_multiple(&mut rand::rng(), MAX_LOOKED_AT).into_iter();
-        let arrivals = looked_at.map(|group| Arrival {
-            request: job.outbound.head.id_text(),
+        let time_in_earlier_attempts = self.time_in_earlier_attempts(job);
+        let groups = observation.value.groups_of(service);
+        let sampled = groups.choose_multiple(&mut rand::rng(), MAX_SAMPLED_GROUPS).into_iter();
+        let arrivals = sampled.map(|group| Arrival {
+            request_id: job.outbound.head.id_text(),
             group: group.name,
             engine,
-            pause,
+            longest_pause,
             objective: job.route().objective,
             tier: job.outbound.urgency.unwrap_or_default(),
-            ranks: group.size,
-            open_part: self.open_part(&belief.value, group),
-            began: job.began,
-            spent,
-            left: job.outbound.head.deadline,
+            rank_count: group.size,
+            open_fraction: self.open_fraction(&observation.value, group),
+            received_at: job.arrived_at,
+            time_in_earlier_attempts,
+            time_left: job.outbound.head.deadline,
         });
         let arrivals: Vec<Arrival<'_>> = arrivals.collect();
-        let Some(arrival) = self.queues.choose(&arrivals, |group| !self.gates.is_closed(group)) else {
+        let Some(arrival) = self
+            .queues
+            .choose_group(&arrivals, |group| !self.gates.is_closed(group))
+        else {
             return Ok(None);
         };
-        tries.group = Some(arrival.group.to_owned());
-        self.queues.enter(arrival).await.map(Some)
+        history.group = Some(arrival.group.to_owned());
+        self.queues.acquire(arrival).await.map(Some)
     }
 
-    /// Time that the caller spent on tries before this one.
-    fn spent(&self, job: &Job) -> Duration {
+    /// Time that the caller spent on attempts before this one.
+    fn time_in_earlier_attempts(&self, job: &Job) -> Duration {
         let Some(deadline) = job.outbound.head.deadline else {
             return Duration::ZERO;
         };
         let mut deadlines = self.deadlines.lock().unwrap_or_else(PoisonError::into_inner);
-        deadlines.spent(&job.route().name, deadline, job.began.into_std())
+        deadlines.retry_age(&job.route().name, deadline, job.arrived_at.into_std())
     }
 
-    /// Sends until there is an answer or nothing more may be tried.
-    pub(crate) async fn answer(&self, job: &Job, tries: &mut Tries) -> Result<Answer, Refusal> {
+    /// Sends attempts until there is an answer or no further attempt is allowed.
+    pub(crate) async fn answer(&self, job: &Job, history: &mut AttemptHistory) -> Result<Answer, Refusal> {
         loop {
-            if self.board.now() >= job.outbound.due {
-                return tries.give_up(Refusal::at_once(Reason::TooLate));
+            if self.board.now() >= job.outbound.deadline_timestamp {
+                return history.final_result(Refusal::retry_immediately(Reason::TooLate));
             }
-            self.leave_closed_group(job, tries);
-            if self.closed(job, tries).await {
-                return tries.give_up(Refusal::retry(Reason::GroupClosed, NO_TARGET_RETRY));
+            self.switch_from_closed_group(job, history);
+            if self.stays_closed(job, history).await {
+                return history.final_result(Refusal::with_retry_after(Reason::GroupClosed, NO_TARGET_RETRY_DELAY));
             }
-            // Looked at before each send: targets may have ended under it elsewhere since it came, or under it here.
-            if let Some(refusal) = self.held(job.outbound.fingerprint) {
-                return tries.give_up(refusal);
+            // Checked before each attempt: since the request arrived, targets may have terminated while running it, here
+            // or at other entries.
+            if let Some(refusal) = self.quarantine_refusal(job.outbound.fingerprint) {
+                return history.final_result(refusal);
             }
-            let Some(seat) = self.next_target(job, tries) else {
-                let throttled = self.throttled_now(job, tries);
-                tries.refusal = throttled.or(tries.refusal);
-                return tries.give_up(Refusal::retry(Reason::NoTarget, NO_TARGET_RETRY));
+            let Some(instance) = self.next_target(job, history) else {
+                let throttle_refusal = self.current_throttle_refusal(job, history);
+                history.not_run_refusal = throttle_refusal.or(history.not_run_refusal);
+                return history.final_result(Refusal::with_retry_after(Reason::NoTarget, NO_TARGET_RETRY_DELAY));
             };
-            let attempt = self.attempt(job, &seat, tries).await;
-            if let Some(answer) = self.settle(job, seat, attempt, tries).await? {
+            let outcome = self.attempt(job, &instance, history).await;
+            if let Some(answer) = self.handle_outcome(job, instance, outcome, history).await? {
                 return Ok(answer);
             }
         }
     }
 
-    /// The refusal of a request whose service takes nothing from this entry now.
-    fn throttled_now(&self, job: &Job, tries: &Tries) -> Option<Refusal> {
+    /// The refusal to return if no target of the service accepts requests from this entry now.
+    fn current_throttle_refusal(&self, job: &Job, history: &AttemptHistory) -> Option<Refusal> {
         let targets = self.board.targets()?;
-        self.throttled(job, tries.service.as_deref()?, &targets.value)
+        self.throttle_refusal(job, history.service.as_deref()?, &targets.value)
     }
 
-    /// Draws what follows from a send: an answer, another send (none), or a refusal.
-    async fn settle(
+    /// Handles the outcome of an attempt: returns an answer, none for another attempt, or a refusal.
+    async fn handle_outcome(
         &self,
         job: &Job,
-        seat: Seat,
-        attempt: Attempt,
-        tries: &mut Tries,
+        instance: Seat,
+        outcome: AttemptOutcome,
+        history: &mut AttemptHistory,
     ) -> Result<Option<Answer>, Refusal> {
-        match attempt {
-            Attempt::Answered(answer) => {
-                self.loads.note_good(seat.key);
-                if let Some(place) = &seat.target.membership {
-                    self.gates.answered(&place.group);
+        match outcome {
+            AttemptOutcome::Answered(answer) => {
+                self.loads.record_success(instance.key);
+                if let Some(membership) = &instance.target.membership {
+                    self.gates.record_answer(&membership.group);
                 }
                 if matches!(answer, Answer::Complete(_)) {
-                    self.board.quarantine.note_answer(&job.outbound.fingerprint);
+                    self.board.quarantine.record_answer(&job.outbound.fingerprint);
                 }
-                tries.tried.push(seat);
+                history.attempted_targets.push(instance);
                 return Ok(Some(answer));
             }
-            // Its next send was paid for when it left.
-            Attempt::Left => {
-                tries.lost = Some(Refusal::new(Reason::NoAnswer));
-                tries.tried.push(seat);
+            // The next attempt was charged to the budget when the target was abandoned.
+            AttemptOutcome::Abandoned => {
+                history.unknown_outcome_refusal = Some(Refusal::new(Reason::NoAnswer));
+                history.attempted_targets.push(instance);
                 return Ok(None);
             }
-            Attempt::NotSent => {
-                self.loads.note_failure(seat.key);
-                return tries.pass_over(Refusal::retry(Reason::Unreachable, TURNED_AWAY_RETRY), |_| true);
+            AttemptOutcome::NotSent => {
+                self.loads.record_failure(instance.key);
+                return history.skip_unavailable(
+                    Refusal::with_retry_after(Reason::Unreachable, REJECTED_RETRY_DELAY),
+                    |_| true,
+                );
             }
-            Attempt::Refused(rejection) if rejection.is_gone(&seat.target) => {
-                self.loads.note_gone(seat.key);
-                let paid = |tries: &Tries| self.spend(job, tries, Cause::Gone);
-                return tries.pass_over(Refusal::retry(Reason::TurnedAway, TURNED_AWAY_RETRY), paid);
+            AttemptOutcome::Rejected(rejection) if rejection.is_replaced(&instance.target) => {
+                self.loads.record_replaced(instance.key);
+                let may_retry =
+                    |history: &AttemptHistory| self.charge_retry_budget(job, history, RetryReason::Replaced);
+                return history.skip_unavailable(
+                    Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY),
+                    may_retry,
+                );
             }
-            Attempt::Refused(rejection) => {
-                self.note_rejection(job, &seat, &rejection);
-                self.leave_group(job, tries);
-                tries.refusal = Some(Refusal::retry(Reason::TurnedAway, TURNED_AWAY_RETRY));
+            AttemptOutcome::Rejected(rejection) => {
+                self.record_rejection(job, &instance, &rejection);
+                self.switch_group(job, history);
+                history.not_run_refusal = Some(Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY));
             }
-            Attempt::Failed(whole) => tries.failure = Some(whole),
-            Attempt::Lost(loss) => self.lost(job, &seat, loss, tries).await?,
+            AttemptOutcome::Failed(reply) => history.error_reply = Some(reply),
+            AttemptOutcome::ReplyLost(error) => self.record_lost_reply(job, &instance, error, history).await?,
         }
-        tries.tried.push(seat);
-        if self.may_send_again(job, tries) {
+        history.attempted_targets.push(instance);
+        if self.may_retry(job, history) {
             return Ok(None);
         }
-        if tries.refusal.is_some() {
-            tries.refusal = self.throttled_now(job, tries).or(tries.refusal);
+        if history.not_run_refusal.is_some() {
+            history.not_run_refusal = self.current_throttle_refusal(job, history).or(history.not_run_refusal);
         }
-        tries.give_up(Refusal::new(Reason::NoAnswer)).map(Some)
+        history.final_result(Refusal::new(Reason::NoAnswer)).map(Some)
     }
 
-    /// Sends once, up to a whole answer or the first event. A target that turns out to hold its group back, or that is
-    /// silent while others are heard, is left if the request may go elsewhere: each pass of the group would wait for
-    /// the one, and the caller in vain for the other.
-    async fn attempt(&self, job: &Job, seat: &Seat, tries: &Tries) -> Attempt {
-        let mut sending = std::pin::pin!(self.send(job, seat));
-        if let Some(place) = &seat.target.membership {
-            match tokio::time::timeout(gate::TAKEN_AFTER, &mut sending).await {
-                Ok(attempt) => return attempt,
-                Err(_elapsed) => self.gates.taken(&place.group),
+    /// Runs one attempt, up to a complete reply or the first event. A target that turns out to be a straggler, or that
+    /// is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each pass
+    /// of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
+    async fn attempt(&self, job: &Job, instance: &Seat, history: &AttemptHistory) -> AttemptOutcome {
+        let mut sending = std::pin::pin!(self.send(job, instance));
+        if let Some(membership) = &instance.target.membership {
+            match tokio::time::timeout(gate::ACCEPTED_AFTER, &mut sending).await {
+                Ok(outcome) => return outcome,
+                Err(_elapsed) => self.gates.record_accepted(&membership.group),
             }
         }
-        let sends = tries.tried.len() + 1;
-        let left = tokio::select! {
-            attempt = &mut sending => return attempt,
-            () = self.loads.slow.becomes(seat.key) => self.may_leave(job, &seat.target.id, sends, tries),
-            verdict = self.silences.outlasted(job.first_wait(seat)) => {
-                self.may_leave_silent(job, seat, verdict, sends, tries)
+        let attempts_made = history.attempted_targets.len() + 1;
+        let abandoned = tokio::select! {
+            outcome = &mut sending => return outcome,
+            () = self.loads.stragglers.wait_until_straggler(instance.key) => self.may_abandon_straggler(job, &instance.target.id, attempts_made, history),
+            verdict = self.response_monitor.wait_until_unresponsive(job.first_wait(instance)) => {
+                self.may_abandon_unresponsive(job, instance, verdict, attempts_made, history)
             }
         };
-        if left { Attempt::Left } else { sending.await }
+        if abandoned {
+            AttemptOutcome::Abandoned
+        } else {
+            sending.await
+        }
     }
 
-    async fn send(&self, job: &Job, seat: &Seat) -> Attempt {
-        let running = self.loads.enter(seat);
+    async fn send(&self, job: &Job, instance: &Seat) -> AttemptOutcome {
+        let in_flight = self.loads.begin_request(instance);
         let since = Instant::now();
-        let outcome = self.caller.send(seat, &job.outbound).await;
-        if matches!(outcome, Outcome::Complete(_)) {
-            self.silences.note(seat, Awaited::Complete, since);
+        let outcome = self.target_client.send(instance, &job.outbound).await;
+        if matches!(outcome, SendOutcome::Complete(_)) {
+            self.response_monitor
+                .record_response(instance, ResponsePart::FullResponse, since);
         }
         match outcome {
-            Outcome::Begun(begun) => match self.begin(job, begun, running).await {
+            SendOutcome::Partial(partial) => match self.begin_reply(job, partial, in_flight).await {
                 Ok(answer) => {
-                    self.silences.note(seat, job.awaited(), since);
-                    Attempt::Answered(answer)
+                    self.response_monitor
+                        .record_response(instance, job.first_awaited(), since);
+                    AttemptOutcome::Answered(answer)
                 }
-                Err(loss) => Attempt::Lost(loss),
+                Err(error) => AttemptOutcome::ReplyLost(error),
             },
-            Outcome::Complete(whole) if is_failure(whole.status) && job.outbound.may_repeat => Attempt::Failed(whole),
-            Outcome::Complete(whole) => Attempt::Answered(Answer::Complete(whole)),
-            Outcome::NotSent => Attempt::NotSent,
-            Outcome::Refused(rejection) => Attempt::Refused(rejection),
-            Outcome::Lost(loss) => Attempt::Lost(loss),
+            SendOutcome::Complete(reply) if is_failure(reply.status) && job.outbound.retryable => {
+                AttemptOutcome::Failed(reply)
+            }
+            SendOutcome::Complete(reply) => AttemptOutcome::Answered(Answer::Complete(reply)),
+            SendOutcome::NotSent => AttemptOutcome::NotSent,
+            SendOutcome::Rejected(rejection) => AttemptOutcome::Rejected(rejection),
+            SendOutcome::ReplyLost(error) => AttemptOutcome::ReplyLost(error),
         }
     }
 
-    /// A send without a whole answer: final unless the request may run again.
-    async fn lost(&self, job: &Job, seat: &Seat, loss: Loss, tries: &mut Tries) -> Result<(), Refusal> {
-        self.loads.note_failure(seat.key);
-        self.look_after(job, seat, loss).await;
-        let reason = if loss == Loss::Timeout {
+    /// Handles an attempt without a complete reply, which is final unless the request may run again.
+    async fn record_lost_reply(
+        &self,
+        job: &Job,
+        instance: &Seat,
+        error: ResponseError,
+        history: &mut AttemptHistory,
+    ) -> Result<(), Refusal> {
+        self.loads.record_failure(instance.key);
+        self.investigate_lost_response(job, instance, error).await;
+        let reason = if error == ResponseError::Timeout {
             Reason::NoAnswer
         } else {
             Reason::BrokenAnswer
         };
-        tries.lost = Some(Refusal::new(reason));
-        if job.outbound.may_repeat {
+        history.unknown_outcome_refusal = Some(Refusal::new(reason));
+        if job.outbound.retryable {
             return Ok(());
         }
-        tries.tried.push(seat.clone());
+        history.attempted_targets.push(instance.clone());
         Err(Refusal::new(reason))
     }
 
-    /// The refusal of a request that is held back, because targets ended under it.
-    pub(crate) fn held(&self, request: Fingerprint) -> Option<Refusal> {
-        let hold = self.board.quarantine.held(&request)?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "targets ended under the request");
-        Some(Refusal::retry(Reason::Quarantined, hold.left))
+    /// The refusal of a request that is quarantined because targets terminated while running it.
+    pub(crate) fn quarantine_refusal(&self, request: Fingerprint) -> Option<Refusal> {
+        let quarantine = self.board.quarantine.active_hold(&request)?;
+        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = quarantine.ends, left_ms = quarantine.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
+        Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.left))
     }
 
-    /// Looks whether the target at which an answer was lost has ended, or only the connection to it. The end of a target
-    /// speaks against what it ran.
-    pub(crate) async fn look_after(&self, job: &Job, seat: &Seat, loss: Loss) {
-        let ended = loss == Loss::Broken && self.caller.pool.has_ended(seat).await;
-        if ended {
+    /// Checks whether the target that did not complete its reply has terminated or only the connection was lost. A
+    /// termination is recorded against the request, which may have caused it.
+    pub(crate) async fn investigate_lost_response(&self, job: &Job, instance: &Seat, error: ResponseError) {
+        let terminated = error == ResponseError::ConnectionLost && self.target_client.pool.has_ended(instance).await;
+        if terminated {
             self.board
                 .quarantine
-                .note_end(job.outbound.fingerprint, End::from(seat.start));
+                .record_end(job.outbound.fingerprint, End::from(instance.start));
         }
         log::info!(
             target: DECISION,
             decision = "lost_answer",
             request = job.outbound.head.id_text(),
             content = job.outbound.fingerprint.short().as_str(),
-            at = seat.target.id.as_str(),
-            loss = loss.name(),
-            ended;
-            "no whole answer"
+            at = instance.target.id.as_str(),
+            loss = error.name(),
+            ended = terminated;
+            "no complete reply from the target"
         );
     }
 
-    pub(crate) fn may_send_again(&self, job: &Job, tries: &Tries) -> bool {
-        if tries.tried.len() >= job.route().attempts as usize {
+    /// Whether the route and the retry budget allow another attempt, which is then charged to the budget.
+    pub(crate) fn may_retry(&self, job: &Job, history: &AttemptHistory) -> bool {
+        if history.attempted_targets.len() >= job.route().attempts as usize {
             return false;
         }
-        let paid = self.spend(job, tries, Cause::Unserved);
-        let counter = if paid {
-            &self.figures.repeats
+        let allowed = self.charge_retry_budget(job, history, RetryReason::NotServed);
+        let counter = if allowed {
+            &self.metrics.repeats
         } else {
-            &self.figures.unpaid_repeats
+            &self.metrics.unpaid_repeats
         };
         counter.add_one();
-        paid
+        allowed
     }
 
-    pub(crate) fn earn(&self, job: &Job) {
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Credits one request to the retry budgets of the services of its route.
+    pub(crate) fn credit_retry_budgets(&self, job: &Job) {
+        let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.board.now();
         for share in &job.route().shares {
             let budget = budgets
                 .entry(share.service.clone())
-                .or_insert_with(|| Budget::new(self.allowance, self.started));
-            budget.earn(now);
+                .or_insert_with(|| Budget::new(self.allowance, self.started_at));
+            budget.record_request(now);
         }
     }
 
-    /// Whether the budget of the service allows one more send of a request.
-    fn spend(&self, job: &Job, tries: &Tries, cause: Cause) -> bool {
-        let Some(service) = tries.service.as_deref() else {
+    /// Charges one more attempt to the budget of the service; returns whether the budget allows it.
+    fn charge_retry_budget(&self, job: &Job, history: &AttemptHistory, reason: RetryReason) -> bool {
+        let Some(service) = history.service.as_deref() else {
             return false;
         };
         let sharers = self.sharers.load(Ordering::Relaxed);
-        let share = self.allowance.share((sharers > 0).then_some(sharers));
+        let share = self.allowance.slack_share((sharers > 0).then_some(sharers));
         let now = self.board.now();
         let verdict = {
-            let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-            budgets.get_mut(service).map(|budget| budget.spend(share, now))
+            let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
+            budgets.get_mut(service).map(|budget| budget.try_spend(share, now))
         };
         let Some(verdict) = verdict else { return false };
-        let life_ms = now.since(self.started).as_millis() as u64;
+        let uptime_ms = now.since(self.started_at).as_millis() as u64;
         log::info!(
             target: DECISION,
             decision = "repeat",
             request = job.outbound.head.id_text(),
             service,
-            cause = cause.name(),
+            cause = reason.name(),
             paid = verdict.source.map_or("no", Source::name),
             requests = verdict.requests,
             credit = verdict.credit,
             slack_used = verdict.slack_used,
             share,
             sharers,
-            life_ms;
-            "one more send"
+            life_ms = uptime_ms;
+            "retry requested from the budget"
         );
         verdict.source.is_some()
     }
 
-    /// Waits for the first event of a stream; any other long answer is taken as it is.
-    async fn begin(&self, job: &Job, begun: Begun, running: Running) -> Result<Answer, Loss> {
-        if !is_stream(job) || !begun.status.is_success() {
-            return Ok(Answer::Long(Box::new(begun), running));
+    /// Waits for the first event of a stream. Other long replies are returned as they are.
+    async fn begin_reply(
+        &self,
+        job: &Job,
+        partial: PartialResponse,
+        in_flight: InFlightGuard,
+    ) -> Result<Answer, ResponseError> {
+        if !is_stream(job) || !partial.status.is_success() {
+            return Ok(Answer::Long(Box::new(partial), in_flight));
         }
-        let last = job.outbound.last_event.or(job.outbound.head.last_event);
-        let mut run = Run::new(begun.rest, last);
-        let first = run.next(job.outbound.until).await?;
+        let last_event = job.outbound.last_event_id.or(job.outbound.head.last_event);
+        let mut run = Run::new(partial.remainder, last_event);
+        let first = run.next(job.outbound.deadline).await?;
         Ok(Answer::Stream(Box::new(Stream {
-            status: begun.status,
-            headers: begun.headers,
+            status: partial.status,
+            headers: partial.headers,
             first,
             run,
-            running,
+            running: in_flight,
         })))
     }
 
-    /// Notes that a request is over; a failure is worth a warning, which the log never leaves out.
-    pub(crate) fn end(&self, job: &Job, outcome: &str, tried: &Tried, status: u16) {
-        self.figures.end(job.route().kind, outcome, job.began.elapsed());
-        let sound = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
-        let level = if sound { log::Level::Info } else { log::Level::Warn };
+    /// Records the end of a request. Failures are logged as warnings, which the log never drops.
+    pub(crate) fn record_end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
+        self.metrics.end(job.route().kind, outcome, job.arrived_at.elapsed());
+        let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
+        let level = if is_success { log::Level::Info } else { log::Level::Warn };
         log::log!(
             target: DECISION,
             level,
@@ -476,21 +516,21 @@
             version = job.catalog.version(),
             outcome,
             status,
-            targets:? = tried.ids(),
+            targets:? = attempted.ids(),
             prompt_tokens = job.outbound.head.size.prompt,
-            took_ms = job.began.elapsed().as_millis() as u64;
-            "request"
+            took_ms = job.arrived_at.elapsed().as_millis() as u64;
+            "request finished"
         );
     }
 }
 
-/// The workspace as a header value; names are checked where they come in.
-pub(crate) fn header_of(name: &str) -> Option<HeaderValue> {
+/// The workspace as a header value, or none if it is not a valid one; names are validated when they are read.
+pub(crate) fn workspace_header(name: &str) -> Option<HeaderValue> {
     HeaderValue::from_str(name).ok()
 }
 
-/// Longest pause that the request's route allows between events.
-pub(crate) fn pause_of(job: &Job) -> Duration {
+/// Longest pause between events that the route of the request allows.
+pub(crate) fn longest_pause_of(job: &Job) -> Duration {
     match job.route().kind {
         Kind::Stream { longest_pause, .. } => longest_pause.unwrap_or_default(),
         Kind::Once | Kind::Repeatable => Duration::ZERO,
--- /dev/null
+++ b/crates/sparscale_gateway/src/queues.rs
@@ -0,0 +1,301 @@
+//! Queues requests in front of groups of ranks, as [`queue`] decides: admits them, lets them wait, or rejects them.
+//!
+//! Under overload, requests beyond the headroom of a group would delay every stream that the group serves.
+
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use sparscale_catalog::{Engine, Group};
+use sparscale_mesh::Mesh;
+use sparscale_policy::backlog::Ticket;
+use sparscale_policy::group;
+use sparscale_policy::queue::{self, Decision, Queue, Request};
+use sparscale_telemetry::DECISION;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use crate::refusal::{Reason, Refusal};
+
+/// A request that asks to be admitted to a group.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Arrival<'a> {
+    /// Request id, for the log.
+    pub(crate) request_id: &'a str,
+    /// Name of the group.
+    pub(crate) group: &'a str,
+    pub(crate) engine: &'a Engine,
+    /// Longest pause between events that the route allows.
+    pub(crate) longest_pause: Duration,
+    /// Time within which the first event is due.
+    pub(crate) objective: Duration,
+    /// Priority; 0 is the most urgent.
+    pub(crate) tier: u8,
+    /// Number of ranks in the group.
+    pub(crate) rank_count: usize,
+    /// Fraction of the ranks that accept requests from this entry, 0 to 1.
+    pub(crate) open_fraction: f64,
+    /// When the request arrived.
+    pub(crate) received_at: Instant,
+    /// Time that the caller spent on earlier attempts; the value of a request is counted from its first attempt.
+    pub(crate) time_in_earlier_attempts: Duration,
+    /// How much longer the caller waits, if it sent a deadline.
+    pub(crate) time_left: Option<Duration>,
+}
+
+/// Reference count of the admitted requests: each of them holds a clone, and so does the queue.
+type Token = Arc<()>;
+
+/// The queues of all groups, by group name.
+#[derive(Debug)]
+pub(crate) struct Queues {
+    mesh: Arc<Mesh>,
+    /// Number of entries that share the headroom, including this one.
+    entry_count: Arc<AtomicUsize>,
+    by_group: Mutex<HashMap<String, GroupQueue>>,
+    next_ticket: AtomicUsize,
+}
+
+/// The queue of one group, and the count of its admitted requests.
+#[derive(Debug)]
+struct GroupQueue {
+    queue: Queue<oneshot::Sender<Token>>,
+    token: Token,
+}
+
+/// An admitted request; dropping it frees its place in the group.
+#[derive(Debug)]
+pub(crate) struct Permit {
+    _token: Token,
+    queues: Arc<Queues>,
+    group: String,
+    admitted_at: Instant,
+}
+
+impl Queues {
+    pub(crate) fn new(mesh: Arc<Mesh>, entry_count: Arc<AtomicUsize>) -> Arc<Self> {
+        Arc::new(Self {
+            mesh,
+            entry_count,
+            by_group: Mutex::default(),
+            next_ticket: AtomicUsize::new(0),
+        })
+    }
+
+    /// Chooses the group to wait for; `is_open` reports whether a group is serving.
+    pub(crate) fn choose_group<'a>(
+        &self,
+        arrivals: &[Arrival<'a>],
+        is_open: impl Fn(&str) -> bool,
+    ) -> Option<Arrival<'a>> {
+        if let [arrival] = arrivals {
+            return Some(*arrival);
+        }
+        // While any group has a leader, groups without one are excluded: their targets may belong to another writer.
+        let has_leader = |arrival: &Arrival<'_>| self.mesh.group_load(arrival.group).is_some();
+        let any_has_leader = arrivals.iter().any(has_leader);
+        let mut queues = self.lock();
+        let candidate = |arrival: &Arrival<'a>| {
+            let group_queue = self.refreshed_queue(&mut queues, *arrival);
+            group::Candidate {
+                open: is_open(arrival.group) && (has_leader(arrival) || !any_has_leader),
+                headroom: group_queue.queue.headroom().timely - group_queue.queue.backlog_len() as f64,
+                expected_wait_secs: group_queue.queue.expected_wait(group_queue.in_flight()).as_secs_f64(),
+                rank_count: arrival.rank_count,
+            }
+        };
+        let candidates: Vec<group::Candidate> = arrivals.iter().map(candidate).collect();
+        group::choose(&candidates, rand::random()).map(|chosen| arrivals[chosen])
+    }
+
+    /// Admits a request, at once or when headroom becomes free, or rejects it with a time to retry after.
+    pub(crate) async fn acquire(self: &Arc<Self>, arrival: Arrival<'_>) -> Result<Permit, Refusal> {
+        let ticket = (arrival.tier, self.next_ticket.fetch_add(1, Ordering::Relaxed));
+        let (admission, deadline) = {
+            let mut queues = self.lock();
+            let group_queue = self.refreshed_queue(&mut queues, arrival);
+            let decision = group_queue
+                .queue
+                .decide(&arrival.request(), group_queue.in_flight(), rand::random(), now());
+            match decision {
+                Decision::Admit => return Ok(self.permit(arrival.group, group_queue.admit())),
+                Decision::Reject {
+                    expected_wait: expected,
+                    retry_after: retry,
+                } => {
+                    group_queue.log_refusal(&arrival, expected, retry);
+                    return Err(Refusal::with_retry_after(Reason::Busy, retry));
+                }
+                Decision::Wait {
+                    timely_until,
+                    admit_at: deadline,
+                } => {
+                    let (sender, receiver) = oneshot::channel();
+                    group_queue.queue.enqueue(ticket, timely_until, sender);
+                    (receiver, deadline)
+                }
+            }
+        };
+        let guard = BacklogGuard {
+            queues: self,
+            group: arrival.group,
+            ticket,
+        };
+        let admitted = tokio::time::timeout_at(Instant::from_std(deadline), admission).await;
+        drop(guard);
+        if let Ok(Ok(token)) = admitted {
+            return Ok(self.permit(arrival.group, token));
+        }
+        // The remaining time is short and a rejection would come too late: admit the request, which is late at worst.
+        let mut queues = self.lock();
+        let token = self.refreshed_queue(&mut queues, arrival).admit();
+        Ok(self.permit(arrival.group, token))
+    }
+
+    /// Admits waiting requests after the load report of a group has changed.
+    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &Engine, longest_pause: Duration) {
+        let mut queues = self.lock();
+        let arrival = Arrival {
+            request_id: "",
+            group: group.name,
+            engine,
+            longest_pause,
+            objective: Duration::ZERO,
+            tier: 0,
+            rank_count: group.size,
+            open_fraction,
+            received_at: Instant::now(),
+            time_in_earlier_attempts: Duration::ZERO,
+            time_left: None,
+        };
+        self.refreshed_queue(&mut queues, arrival);
+    }
+
+    /// Groups with requests in their backlog.
+    pub(crate) fn groups_with_backlog(&self) -> Vec<String> {
+        let queues = self.lock();
+        let with_backlog = queues
+            .iter()
+            .filter(|(_, group_queue)| group_queue.queue.backlog_len() > 0);
+        with_backlog.map(|(group, _)| group.clone()).collect()
+    }
+
+    fn permit(self: &Arc<Self>, group: &str, token: Token) -> Permit {
+        Permit {
+            _token: token,
+            queues: Arc::clone(self),
+            group: group.to_owned(),
+            admitted_at: Instant::now(),
+        }
+    }
+
+    /// The queue of the group, with its headroom recomputed if there is a new load report.
+    fn refreshed_queue<'d>(
+        &self,
+        queues: &'d mut HashMap<String, GroupQueue>,
+        arrival: Arrival<'_>,
+    ) -> &'d mut GroupQueue {
+        let group_queue = queues.entry(arrival.group.to_owned()).or_insert_with(GroupQueue::new);
+        let group = queue::Group {
+            engine: arrival.engine,
+            max_pause: arrival.longest_pause,
+            rank_count: arrival.rank_count,
+            open_fraction: arrival.open_fraction,
+            entry_count: self.entry_count.load(Ordering::Relaxed),
+        };
+        let load = self.mesh.group_load(arrival.group);
+        group_queue
+            .queue
+            .refresh(load.as_deref(), &group, group_queue.in_flight(), now());
+        group_queue.admit_waiting();
+        group_queue
+    }
+
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, GroupQueue>> {
+        self.by_group.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl Arrival<'_> {
+    fn request(&self) -> Request {
+        Request {
+            arrived_at: self.received_at.into_std(),
+            objective: self.objective,
+            max_pause: self.longest_pause,
+            retry_age: self.time_in_earlier_attempts,
+            remaining: self.time_left,
+        }
+    }
+}
+
+/// Removes a request from the backlog when it stops waiting for any reason, including cancellation.
+struct BacklogGuard<'a> {
+    queues: &'a Queues,
+    group: &'a str,
+    ticket: Ticket,
+}
+
+impl Drop for BacklogGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(group_queue) = self.queues.lock().get_mut(self.group) {
+            group_queue.queue.cancel(self.ticket);
+        }
+    }
+}
+
+impl Permit {
+    /// Records that the stream admitted by this permit has received its first event.
+    pub(crate) fn record_first_event(&self) {
+        if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
+            group_queue.queue.record_first_event(self.admitted_at.elapsed());
+        }
+    }
+}
+
+impl Drop for Permit {
+    fn drop(&mut self) {
+        if let Some(group_queue) = self.queues.lock().get_mut(&self.group) {
+            group_queue.queue.record_end(self.admitted_at.elapsed());
+            group_queue.admit_waiting();
+        }
+    }
+}
+
+impl GroupQueue {
+    fn new() -> Self {
+        Self {
+            queue: Queue::new(now()),
+            token: Arc::new(()),
+        }
+    }
+
+    /// Number of admitted requests of this entry that have not finished.
+    fn in_flight(&self) -> usize {
+        Arc::strong_count(&self.token) - 1
+    }
+
+    fn admit(&mut self) -> Token {
+        self.queue.admit(now());
+        Arc::clone(&self.token)
+    }
+
+    fn admit_waiting(&mut self) {
+        while let Some(sender) = self.queue.next(now()) {
+            // A request that has stopped waiting in the meantime takes no headroom.
+            if sender.send(Arc::clone(&self.token)).is_ok() {
+                self.queue.admit(now());
+            }
+        }
+    }
+
+    fn log_refusal(&self, arrival: &Arrival<'_>, expected: Duration, retry: Duration) {
+        let queue = &self.queue;
+        let headroom = queue.headroom();
+        log::info!(target: DECISION, decision = "turn_back", request = arrival.request_id, group = arrival.group, load:? = queue.load_order(), load_age_ms = queue.load_age(now()).as_millis() as u64, room = headroom.timely, late_room = headroom.late, waiting = queue.backlog_len(), expected_ms = expected.as_millis() as u64, retry_ms = retry.as_millis() as u64; "no headroom in the group");
+    }
+}
+
+fn now() -> std::time::Instant {
+    Instant::now().into_std()
+}
--- a/crates/sparscale_gateway/src/refusal.rs
+++ b/crates/sparscale_gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The entry's own answers: why a request was not served, and when to come back.
+//! Answers that the entry itself gives for requests that are not served: the reason, and when to retry.
 
 use std::time::Duration;
 
@@ -14,61 +14,61 @@
 pub enum Reason {
     /// No catalog is known yet.
     NoCatalog,
-    /// The catalog is too old to tell whether the request may run.
+    /// The catalog is too old to decide whether the request may run.
     StaleCatalog,
-    /// No route fits host and path.
+    /// No route matches host and path.
     NoRoute,
     /// The key is unknown.
-    NoKey,
+    UnknownKey,
     /// The head is longer than allowed.
     HeadTooLong,
     /// The body is longer than allowed.
     BodyTooLong,
     /// The body did not arrive in time.
-    BodyLate,
-    /// The body cannot be read.
-    BodyBroken,
-    /// No target of the service takes work.
+    BodyTimeout,
+    /// The body could not be read.
+    BodyUnreadable,
+    /// No target of the service accepts requests.
     NoTarget,
-    /// All targets have as much as they can serve in time.
+    /// All targets already have as many requests as they can serve in time.
     Busy,
-    /// The group of targets does not run now.
+    /// The group of targets does not serve now.
     GroupClosed,
-    /// All targets of the service have asked for less than what comes.
+    /// All targets of the service limit their request rate or have requested a backoff.
     Throttled,
-    /// Targets turned the request away without running it.
-    TurnedAway,
+    /// Targets rejected the request without running it.
+    Rejected,
     /// No target could be reached.
     Unreachable,
-    /// Targets ended under it: it is held back, so that no more do.
+    /// Targets terminated while running the request, so it is quarantined to protect the others.
     Quarantined,
-    /// This process does not know yet which requests are held back.
+    /// This process has not read the list of quarantined requests yet.
     Starting,
-    /// The time was over before the request was sent.
+    /// The deadline passed before the request was sent.
     TooLate,
-    /// It was sent, and no whole answer came in time.
+    /// The request was sent, and no complete answer arrived in time.
     NoAnswer,
-    /// It was sent, and the answer broke off or was not the target's.
+    /// The request was sent, and the answer was interrupted or did not come from the target.
     BrokenAnswer,
 }
 
 impl Reason {
-    /// Name in logs and answers.
+    /// Name of the reason in log lines and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoCatalog => "no_catalog",
             Self::StaleCatalog => "stale_catalog",
             Self::NoRoute => "no_route",
-            Self::NoKey => "no_key",
+            Self::UnknownKey => "no_key",
             Self::HeadTooLong => "head_too_long",
             Self::BodyTooLong => "body_too_long",
-            Self::BodyLate => "body_late",
-            Self::BodyBroken => "body_broken",
+            Self::BodyTimeout => "body_late",
+            Self::BodyUnreadable => "body_broken",
             Self::NoTarget => "no_target",
             Self::Busy => "busy",
             Self::GroupClosed => "group_closed",
             Self::Throttled => "throttled",
-            Self::TurnedAway => "turned_away",
+            Self::Rejected => "turned_away",
             Self::Unreachable => "unreachable",
             Self::Quarantined => "quarantined",
             Self::Starting => "starting",
@@ -78,22 +78,22 @@
         }
     }
 
-    /// Status of the answer. 408, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status of the response. 408, 429 and 503 guarantee that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoKey => StatusCode::UNAUTHORIZED,
+            Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::BodyBroken => StatusCode::BAD_REQUEST,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyUnreadable => StatusCode::BAD_REQUEST,
             Self::Busy => StatusCode::TOO_MANY_REQUESTS,
             Self::NoCatalog
             | Self::StaleCatalog
             | Self::NoTarget
             | Self::GroupClosed
             | Self::Throttled
-            | Self::TurnedAway
+            | Self::Rejected
             | Self::Unreachable
             | Self::Quarantined
             | Self::Starting
@@ -104,17 +104,17 @@
     }
 }
 
-/// A request that is not served.
+/// The response to a request that is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is not served.
     pub reason: Reason,
-    /// When to come back, where that helps.
+    /// Time to wait before a retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that nothing is to be gained from repeating.
+    /// A refusal that a retry would not change.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
@@ -122,20 +122,20 @@
         }
     }
 
-    /// A refusal of a request whose own time was over: nothing here speaks against another one right away.
-    pub fn at_once(reason: Reason) -> Self {
-        Self::retry(reason, Duration::ZERO)
+    /// A refusal of a request whose time ran out; a new request may be sent at once.
+    pub fn retry_immediately(reason: Reason) -> Self {
+        Self::with_retry_after(reason, Duration::ZERO)
     }
 
-    /// A refusal of a request that may be sent again after `wait`.
-    pub fn retry(reason: Reason, wait: Duration) -> Self {
+    /// A refusal of a request that may be retried after `wait`.
+    pub fn with_retry_after(reason: Reason, wait: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(wait),
         }
     }
 
-    /// The answer; it carries the request's id as a target's would.
+    /// The HTTP response, with the request id echoed as a target would.
     pub(crate) fn response(self, request_id: &HeaderName, id: Option<&HeaderValue>) -> Response<Body> {
         let text = format!("{{\"error\":\"{}\"}}\n", self.reason.name());
         let body = Full::new(Bytes::from(text))
--- a/crates/sparscale_place/src/counts.rs
+++ b/crates/sparscale_place/src/counts.rs
@@ -1,4 +1,4 @@
-//! Expert popularity, from counts that fade with age.
+//! Popularity of each expert, as token counts that decay with age.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 /// Decayed token counts of each expert in each layer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Counts {
+pub struct TokenCounts {
     shape: Shape,
     half_life: Duration,
     tokens: Vec<f64>,
 }
 
-impl Counts {
-    /// No tokens yet. A count is worth half after `half_life`.
+impl TokenCounts {
+    /// Empty counts. A count loses half its weight in each `half_life`.
     pub fn new(shape: Shape, half_life: Duration) -> Self {
         Self {
             shape,
@@ -22,16 +22,16 @@
         }
     }
 
-    /// Lets `passed` go by, then adds `tokens`: layer by layer, one number for each expert. A list of another length
-    /// comes from a target of another shape and is left out.
-    pub fn observe(&mut self, tokens: &[f64], passed: Duration) {
+    /// Decays the counts for the time `elapsed`, then adds `tokens`: layer by layer, one number for each expert. A list
+    /// of another length comes from a target of another shape and is ignored.
+    pub fn observe(&mut self, tokens: &[f64], elapsed: Duration) {
         if tokens.len() != self.tokens.len() {
             return;
         }
-        let half_lives = passed.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE);
-        let keep = 0.5_f64.powf(half_lives);
+        let half_lives = elapsed.as_secs_f64() / self.half_life.as_secs_f64().max(f64::MIN_POSITIVE);
+        let decay_factor = 0.5_f64.powf(half_lives);
         for (count, new) in self.tokens.iter_mut().zip(tokens) {
-            *count = *count * keep + new;
+            *count = *count * decay_factor + new;
         }
     }
 
@@ -41,7 +41,7 @@
         &self.tokens[start..start + self.shape.experts]
     }
 
-    /// All tokens counted.
+    /// Sum of all counts.
     pub fn total(&self) -> f64 {
         self.tokens.iter().sum()
     }
--- a/crates/sparscale_place/src/lib.rs
+++ b/crates/sparscale_place/src/lib.rs
@@ -1,5 +1,5 @@
-//! Expert placement: which rank holds which experts, when that changes, and how the change reaches all ranks in
-//! one step. Pure functions and state machines; nothing here reads a clock or a socket.
+//! Expert placement for a group of ranks: which rank holds which experts, when that changes, and how all ranks switch
+//! to a new map at the same step. Pure functions and state machines; nothing here reads a clock or a socket.
 
 pub mod barrier;
 pub mod baseline;
@@ -13,10 +13,10 @@
 mod search;
 pub mod switch;
 
-pub use counts::Counts;
+pub use counts::TokenCounts;
 pub use decide::{Costs, Decision, Reason, decide};
 pub use load::skew;
 pub use map::{Layer, Map, Shape};
 pub use patch::{Mismatch, Patch};
 pub use popularity::{Popularity, Trend};
-pub use refine::{Bounds, Refined, refine, skew_now};
+pub use refine::{LoadLimits, Refinement, mean_skew, refine};
--- a/crates/sparscale_place/src/switch/rank.rs
+++ b/crates/sparscale_place/src/switch/rank.rs
@@ -1,10 +1,10 @@
-//! The rank's side of a switch.
+//! The rank side of a map switch.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Act, Change, Order, Plan, Report};
 
-/// State of one rank. The engine asks it before each step.
+/// Switch state of one rank. The engine asks it before each step which map to use.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rank {
     incarnation: u64,
@@ -17,14 +17,14 @@
 
 impl Rank {
     /// A rank of a group that has never run a step: it starts on the initial map, number 0.
-    pub fn cold(incarnation: u64) -> Self {
+    pub fn cold_start(incarnation: u64) -> Self {
         Self {
             plan: Some(Plan { number: 0, next: None }),
             ..Self::joining(incarnation)
         }
     }
 
-    /// A rank that is new in a group that runs already: it begins no step before it is told the group's plan.
+    /// A rank that joins a running group: it begins no step before it receives the group's plan.
     pub fn joining(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -41,9 +41,9 @@
         self.fence = self.fence.max(fence);
     }
 
-    /// Carries out `order` if its fence holds and the state allows it. `loaded` tells whether the weights of the
-    /// map that a [`Act::Stage`] names are in memory already.
-    pub fn order(&mut self, order: &Order, loaded: bool) -> Report {
+    /// Carries out `order` if its fence is high enough and the state allows it. `loaded` says whether the weights of
+    /// the map in an [`Act::Stage`] are already in memory.
+    pub fn handle_order(&mut self, order: &Order, loaded: bool) -> Report {
         if order.fence < self.fence {
             return self.report(false);
         }
@@ -59,14 +59,14 @@
         self.report(done)
     }
 
-    /// Asks to begin `step`: the number of the map to run it on, or none if the rank has to hold.
-    pub fn begin(&mut self, step: u64) -> Option<u64> {
+    /// Begins `step` and returns the number of the map to run it on, or none if the rank has to wait.
+    pub fn begin_step(&mut self, step: u64) -> Option<u64> {
         let plan = self.plan?;
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
         }
         self.step = self.step.max(step);
-        let number = plan.at(step);
+        let number = plan.map_at(step);
         if number != plan.number {
             self.plan = Some(Plan { number, next: None });
             self.staged = None;
@@ -74,15 +74,15 @@
         Some(number)
     }
 
-    /// The map that [`Rank::begin`] would give for `step`, without beginning it.
-    pub fn peek(&self, step: u64) -> Option<u64> {
+    /// The number of the map that `step` would run on, without beginning the step.
+    pub fn peek_map(&self, step: u64) -> Option<u64> {
         if self.armed.is_some_and(|armed| step >= armed.at) {
             return None;
         }
-        self.plan.map(|plan| plan.at(step))
+        self.plan.map(|plan| plan.map_at(step))
     }
 
-    /// The state as reported.
+    /// The state as a report; `done` says whether the order was carried out.
     pub fn report(&self, done: bool) -> Report {
         Report {
             incarnation: self.incarnation,
@@ -102,7 +102,7 @@
         if in_use || self.armed.is_some() {
             return false;
         }
-        // While weights load, what was staged before is overwritten and must not be armed.
+        // Loading overwrites the map that was staged before, so that map must not be armed any more.
         self.staged = loaded.then_some(number);
         loaded
     }
@@ -111,9 +111,9 @@
         let Some(plan) = self.plan else { return false };
         let too_late = self.step >= change.at;
         let not_ready = self.staged != Some(change.number) || plan.next.is_some();
-        // An order that was overtaken by a later one must not bring the older step back.
-        let overtaken = self.armed.is_some_and(|armed| armed.at > change.at);
-        if too_late || not_ready || overtaken {
+        // A delayed order to arm for an earlier step must not replace a later one.
+        let is_outdated = self.armed.is_some_and(|armed| armed.at > change.at);
+        if too_late || not_ready || is_outdated {
             return false;
         }
         self.armed = Some(change);
--- a/crates/sparscale_policy/tests/closed_gate.rs
+++ b/crates/sparscale_policy/tests/closed_gate.rs
@@ -1,73 +1,77 @@
-//! A group that turns everything away: who tries it again, who waits, who is told to come back.
+//! A group that rejects every request: which requests probe it, which wait, and which are rejected by the entry.
 
 use std::time::{Duration, Instant};
 
-use sparscale_policy::gate::{Gate, Pass};
+use sparscale_policy::gate::{Gate, GateDecision};
 
-/// Time for which the requests here can wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time for which the requests in these tests can wait.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-fn closed(now: Instant) -> Gate {
+fn closed_gate(now: Instant) -> Gate {
     let mut gate = Gate::default();
-    assert_eq!(gate.turned_away(now), None, "one may have met a full target");
-    assert_eq!(gate.turned_away(now), Some(2));
+    assert_eq!(gate.record_rejection(now), None, "one may have met a full target");
+    assert_eq!(gate.record_rejection(now), Some(2));
     gate
 }
 
 #[test]
-fn one_probes() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let until = began + PATIENCE;
-    let Pass::Wait(next) = gate.pass(until, began) else {
-        panic!("it waits");
+fn one_request_probes() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let until = start + MAX_WAIT;
+    let GateDecision::Wait(next_probe) = gate.decide(until, start) else {
+        panic!("the request waits");
     };
-    assert_eq!(gate.pass(until, next), Pass::Go);
-    assert!(matches!(gate.pass(until, next), Pass::Wait(later) if later > next));
+    assert_eq!(gate.decide(until, next_probe), GateDecision::Send);
+    assert!(matches!(gate.decide(until, next_probe), GateDecision::Wait(later) if later > next_probe));
 }
 
-/// A hundred that come in a second of closure: no more than ten are sent in vain.
+/// Of a hundred requests in a second of closure, at most ten are sent and rejected.
 #[test]
-fn few_in_vain() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let arrivals = (0..100).map(|number| began + Duration::from_millis(10 * number));
-    let sent = arrivals.filter(|now| gate.pass(*now + PATIENCE, *now) == Pass::Go);
+fn probes_limited() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let arrivals = (0..100).map(|number| start + Duration::from_millis(10 * number));
+    let sent = arrivals.filter(|now| gate.decide(*now + MAX_WAIT, *now) == GateDecision::Send);
     assert!(sent.count() <= 10);
 }
 
 #[test]
-fn opens_for_all() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let later = began + Duration::from_millis(700);
-    assert_eq!(gate.answered(later), Some(Duration::from_millis(700)));
-    assert_eq!(gate.pass(later + PATIENCE, later), Pass::Go);
-    assert_eq!(gate.turned_away(later), None, "counted anew");
+fn response_opens_gate() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let later = start + Duration::from_millis(700);
+    assert_eq!(gate.record_response(later), Some(Duration::from_millis(700)));
+    assert_eq!(gate.decide(later + MAX_WAIT, later), GateDecision::Send);
+    assert_eq!(gate.record_rejection(later), None, "the count starts again");
 }
 
-/// Ranks that are away for longer than a restart takes: nobody is held for them.
+/// Ranks that are missing for longer than a restart takes: requests no longer wait for them.
 #[test]
 fn long_closure() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    let late = began + Duration::from_secs(3);
-    assert_eq!(gate.pass(late + PATIENCE, late), Pass::Go, "one tries");
-    assert_eq!(gate.pass(late + PATIENCE, late), Pass::Closed);
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    let later = start + Duration::from_secs(3);
+    assert_eq!(
+        gate.decide(later + MAX_WAIT, later),
+        GateDecision::Send,
+        "one request probes"
+    );
+    assert_eq!(gate.decide(later + MAX_WAIT, later), GateDecision::Closed);
 }
 
 #[test]
-fn short_patience() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    assert_eq!(gate.pass(began, began), Pass::Closed);
+fn no_time_to_wait() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    assert_eq!(gate.decide(start, start), GateDecision::Closed);
 }
 
-/// What was not turned away shows only something while the gate is closed.
+/// A request without a rejection matters only while the gate is closed.
 #[test]
-fn taken_opens() {
-    let began = Instant::now();
-    let mut gate = closed(began);
-    assert_eq!(gate.taken(began + PATIENCE), Some(PATIENCE));
-    assert_eq!(gate.taken(began + PATIENCE), None);
+fn accepted_request_opens_gate() {
+    let start = Instant::now();
+    let mut gate = closed_gate(start);
+    assert_eq!(gate.record_acceptance(start + MAX_WAIT), Some(MAX_WAIT));
+    assert_eq!(gate.record_acceptance(start + MAX_WAIT), None);
 }
--- a/crates/sparscale_policy/tests/closed_ranks.rs
+++ b/crates/sparscale_policy/tests/closed_ranks.rs
@@ -1,17 +1,17 @@
-//! Ranks that take no requests count as full, and callers of a service that takes none come back one after the other.
+//! Ranks that accept no requests count as full, and callers of a service that accepts none retry one after the other.
 
 use std::time::{Duration, Instant};
 
-use sparscale_clock::{Clock as _, Machine};
+use sparscale_clock::{Clock as _, SystemClock};
 use sparscale_policy::queue::{Group, Queue};
-use sparscale_policy::returns::Returns;
+use sparscale_policy::retry_schedule::RetrySchedule;
 use sparscale_samples as samples;
 use sparscale_wire::{GroupLoad, RankLoad};
 
 const RANKS: usize = 12;
 
-/// Room of a group whose ranks hold one request each, `open_part` of which take requests.
-fn room(open_part: f64) -> f64 {
+/// Headroom of a group whose ranks hold one request each; the fraction `open_part` of them accepts requests.
+fn headroom(open_part: f64) -> f64 {
     let now = Instant::now();
     let rank = RankLoad {
         running: 1,
@@ -29,45 +29,47 @@
     let engine = samples::engine();
     let group = Group {
         engine: &engine,
-        pause: Duration::from_millis(120),
-        ranks: RANKS,
-        open_part,
-        entries: 1,
+        max_pause: Duration::from_millis(120),
+        rank_count: RANKS,
+        open_fraction: open_part,
+        entry_count: 1,
     };
     let mut queue: Queue<usize> = Queue::new(now);
     queue.refresh(Some(&load), &group, RANKS, now);
-    queue.room().timely
+    queue.headroom().timely
 }
 
-/// Requests are let in for ranks that turn them away.
+/// Guards against admitting requests for ranks that reject them.
 #[test]
-fn closed_ranks_filled() {
-    let (all, half, none) = (room(1.0), room(0.5), room(0.0));
-    let held = RANKS as f64;
-    assert!(all > held, "{all}");
+fn closed_ranks_count_as_full() {
+    let (all, half, none) = (headroom(1.0), headroom(0.5), headroom(0.0));
+    let requests = RANKS as f64;
+    assert!(all > requests, "{all}");
     assert!(
-        (half - (f64::midpoint(all, held) - held)).abs() < 1e-9,
+        (half - (f64::midpoint(all, requests) - requests)).abs() < 1e-9,
         "{half} of {all}"
     );
     assert!(none <= 0.0, "{none}");
 }
 
-/// Callers that are turned away together come back together.
+/// Guards against callers that are rejected at the same time and retry at the same time.
 #[test]
-fn returns_together() {
-    let now = Machine::default().now();
-    let mut returns = Returns::default();
-    let (opens_in, gap) = (Duration::from_secs(2), Duration::from_millis(100));
-    let waits: Vec<Duration> = (0..4).map(|_| returns.promise(now + opens_in, gap, now)).collect();
-    let expected: Vec<Duration> = (0..4).map(|turn| opens_in + gap * turn).collect();
-    assert_eq!(waits, expected);
-    let late = now + Duration::from_mins(1);
+fn retries_spaced() {
+    let now = SystemClock::default().now();
+    let mut returns = RetrySchedule::default();
+    let (opens_in, interval) = (Duration::from_secs(2), Duration::from_millis(100));
+    let delays: Vec<Duration> = (0..4)
+        .map(|_| returns.next_delay(now + opens_in, interval, now))
+        .collect();
+    let expected: Vec<Duration> = (0..4).map(|position| opens_in + interval * position).collect();
+    assert_eq!(delays, expected);
+    let later = now + Duration::from_mins(1);
     assert_eq!(
-        returns.promise(late + opens_in, gap, late),
+        returns.next_delay(later + opens_in, interval, later),
         opens_in,
-        "old promises are over"
+        "earlier retry times have passed"
     );
     for _ in 0..1_000 {
-        assert!(returns.promise(late + opens_in, gap, late) <= Duration::from_secs(30));
+        assert!(returns.next_delay(later + opens_in, interval, later) <= Duration::from_secs(30));
     }
 }
