--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -17,9 +17,9 @@
 use crate::attempt::Outbound;
 use crate::body::Body;
 use crate::exchange::{Gateway, Job, workspace_header};
-use crate::head::{Head, length_of};
-use crate::incoming::read_body;
+use crate::head::{Head, received_bytes};
 use crate::refusal::{Reason, Refusal};
+use crate::request_body::read_body;
 
 /// `Retry-After` of a rejection for missing or outdated state of this entry.
 const INCOMPLETE_STATE_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -55,17 +55,17 @@
     }
 
     /// Reads, checks and serves one request.
-    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
-        let received_at = Instant::now();
+    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
+        let arrived_at = Instant::now();
         let (parts, incoming) = request.into_parts();
         let limits = self.limits();
-        let head_too_long = length_of(&parts) > limits.header_bytes;
+        let head_too_long = received_bytes(&parts) > limits.header_bytes;
         let head = Head::new(parts, &self.gateway.target_client.dialect);
         let refusal = match read_body(incoming, &limits).await {
             Ok(_) if head_too_long => Refusal::new(Reason::HeadTooLong),
-            Ok(body) => match self.admit(&head, received_at) {
+            Ok(body) => match self.admit(&head, arrived_at) {
                 Ok(admitted) => {
-                    let job = admitted.into_job(head, body, received_at);
+                    let job = admitted.into_job(head, body, arrived_at);
                     match self.gateway.quarantine_refusal(job.outbound.fingerprint) {
                         Some(refusal) => return self.reject(&job.outbound.head, refusal),
                         None => return self.gateway.serve(job).await,
@@ -79,12 +79,12 @@
     }
 
     fn reject(&self, head: &Head, refusal: Refusal) -> Response<Body> {
-        self.gateway.metrics.refused(refusal.reason);
+        self.gateway.metrics.record_refusal(refusal.reason);
         log_refusal(head, refusal, &self.gateway.board);
         refusal.response(&self.gateway.target_client.dialect.request_id, head.id.as_ref())
     }
 
-    fn admit(&self, head: &Head, received_at: Instant) -> Result<AdmittedRequest, Refusal> {
+    fn admit(&self, head: &Head, arrived_at: Instant) -> Result<AdmittedRequest, Refusal> {
         let retry_later = |reason| Refusal::with_retry_after(reason, INCOMPLETE_STATE_RETRY_DELAY);
         let observation = self
             .gateway
@@ -103,7 +103,7 @@
         let catalog = observation.value;
         let route_key = catalog.route_of(&head.host, head.path.path());
         let route_key = route_key.ok_or_else(|| deny(Reason::NoRoute))?;
-        let (workspace, tier) = match catalog.access(route_key, head.bearer.as_deref()) {
+        let (workspace, tier) = match catalog.access(route_key, head.bearer_key.as_deref()) {
             Access::Denied => return Err(deny(Reason::UnknownKey)),
             Access::Open => (None, None),
             Access::Workspace(_) if age > self.freshness.max_age_with_key => {
@@ -122,8 +122,8 @@
             .map_or(route.timeout, |deadline| deadline.min(route.timeout));
         Ok(AdmittedRequest {
             workspace,
-            deadline: received_at + timeout,
-            deadline_timestamp: self.gateway.board.now() + timeout.saturating_sub(received_at.elapsed()),
+            deadline: arrived_at + timeout,
+            deadline_timestamp: self.gateway.board.now() + timeout.saturating_sub(arrived_at.elapsed()),
             tier: tier.unwrap_or(route.tier),
             retryable: route.kind.may_repeat(),
             route: route_key,
@@ -144,7 +144,7 @@
 }
 
 impl AdmittedRequest {
-    fn into_job(self, head: Head, body: bytes::Bytes, received_at: Instant) -> Job {
+    fn into_job(self, head: Head, body: bytes::Bytes, arrived_at: Instant) -> Job {
         let workspace = self.workspace.as_deref();
         let fingerprint = Fingerprint::of(head.method.as_str(), head.path.as_str(), workspace, &body);
         Job {
@@ -161,7 +161,7 @@
             },
             catalog: self.catalog,
             route: self.route,
-            arrived_at: received_at,
+            arrived_at,
         }
     }
 }
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt: sends a request to one target and classifies the reply.
+//! One attempt: sends a request to one target and classifies the response.
 //!
-//! The classes separate replies after which the request cannot have run, so that any request may be retried, from those
+//! The classes separate responses after which the request cannot have run, so that any request may be retried, from those
 //! after which it may have run.
 
 use std::sync::Arc;
@@ -23,7 +23,8 @@
 use crate::head::{Head, without_hop_by_hop};
 use crate::pool::{Connection, Pool, connect};
 
-/// Bytes of a reply that are buffered before any of them goes to the caller. A longer reply is forwarded as it arrives.
+/// Bytes of a response that are buffered before any of them goes to the caller. A longer response is forwarded as it
+/// arrives.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// A request in the form that is sent to targets.
@@ -34,7 +35,7 @@
     /// Identifies the content of the request; equal for each retry.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) workspace: Option<HeaderValue>,
-    /// Deadline of the reply.
+    /// Deadline of the response.
     pub(crate) deadline: Instant,
     /// The same deadline by the clock that counts suspended time, as the caller's wait goes on while this box is
     /// suspended.
@@ -47,16 +48,16 @@
     pub(crate) urgency: Option<u8>,
 }
 
-/// Why a reply is missing or unusable.
+/// Why a response is missing or unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ResponseError {
-    /// No complete reply arrived in time.
+    /// No complete response arrived in time.
     Timeout,
     /// The connection was lost.
     ConnectionLost,
-    /// The reply carries the id of another request.
+    /// The response carries the id of another request.
     RequestIdMismatch,
-    /// The reply has no digest, or an encoding that was not requested.
+    /// The response has no digest, or an encoding that was not requested.
     Malformed,
     /// The status guarantees that the request has not run, but the target did not confirm it.
     UnconfirmedRejection,
@@ -81,12 +82,12 @@
     NotSent,
     /// The target reported that it did not run the request.
     Rejected(Rejection),
-    /// A complete reply.
-    Complete(Reply),
-    /// A reply whose head has arrived and whose body is still arriving.
+    /// A complete response.
+    Complete(CompleteResponse),
+    /// A response whose head has arrived and whose body is still arriving.
     Partial(PartialResponse),
-    /// The request may have run, but there is no complete reply.
-    ReplyLost(ResponseError),
+    /// The request may have run, but there is no complete response.
+    ResponseLost(ResponseError),
 }
 
 /// A rejection by a target.
@@ -112,15 +113,15 @@
     name == target.id || name.parse() == Ok(target.address)
 }
 
-/// A complete reply.
+/// A complete response.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct CompleteResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// A reply whose body is still arriving.
+/// A response whose body is still arriving.
 #[derive(Debug)]
 pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
@@ -130,7 +131,7 @@
     pub(crate) remainder: RemainingBody,
 }
 
-/// The remaining body of a reply, and the connection that it arrives on.
+/// The remaining body of a response, and the connection that it arrives on.
 #[derive(Debug)]
 pub(crate) struct RemainingBody {
     incoming: Incoming,
@@ -152,7 +153,7 @@
 }
 
 impl TargetClient {
-    /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other replies once complete
+    /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other responses once complete
     /// or longer than [`MAX_BUFFERED_BYTES`].
     pub(crate) async fn send(&self, instance: &Seat, outbound: &Outbound) -> SendOutcome {
         let connection = match self.connection(instance, outbound).await {
@@ -162,8 +163,10 @@
                 return SendOutcome::NotSent;
             }
         };
-        let reply = tokio::time::timeout_at(outbound.deadline, self.exchange(instance, outbound, connection));
-        reply.await.unwrap_or(SendOutcome::ReplyLost(ResponseError::Timeout))
+        let response = tokio::time::timeout_at(outbound.deadline, self.exchange(instance, outbound, connection));
+        response
+            .await
+            .unwrap_or(SendOutcome::ResponseLost(ResponseError::Timeout))
     }
 
     async fn connection(&self, instance: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
@@ -183,7 +186,7 @@
         let mut connection = connection;
         let request = self.request(target, outbound);
         let mut result = connection.sender.try_send_request(request).await;
-        if !connection.fresh && matches!(&result, Err(error) if error.message().is_some()) {
+        if !connection.is_new && matches!(&result, Err(error) if error.message().is_some()) {
             // The target closed the idle connection before anything was written: retry on a new one.
             connection = match connect(target.address).await {
                 Ok(connection) => connection,
@@ -194,18 +197,18 @@
         let (parts, incoming) = match result {
             Ok(response) => response.into_parts(),
             Err(error) if error.message().is_some() => return SendOutcome::NotSent,
-            Err(_) => return SendOutcome::ReplyLost(ResponseError::ConnectionLost),
+            Err(_) => return SendOutcome::ResponseLost(ResponseError::ConnectionLost),
         };
         let signal = self.record_signal(instance, &parts, outbound);
         match self.classify(&parts, outbound) {
-            ReplyClass::Unusable(error) => SendOutcome::ReplyLost(error),
-            ReplyClass::Rejected => {
+            ResponseClass::Unusable(error) => SendOutcome::ResponseLost(error),
+            ResponseClass::Rejected => {
                 let rejection = self.rejection(&parts, signal);
                 self.return_connection(instance.key, connection, incoming, &parts.headers)
                     .await;
                 SendOutcome::Rejected(rejection)
             }
-            ReplyClass::Answered => self.collect(instance.key, parts, incoming, connection).await,
+            ResponseClass::Usable => self.collect(instance.key, parts, incoming, connection).await,
         }
     }
 
@@ -218,10 +221,10 @@
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(dialect.expected_target.clone(), id);
         }
-        let time_left = outbound.deadline_timestamp.since(self.clock.now());
+        let remaining = outbound.deadline_timestamp.since(self.clock.now());
         headers.insert(
             dialect.deadline.clone(),
-            HeaderValue::from(time_left.as_millis() as u64),
+            HeaderValue::from(remaining.as_millis() as u64),
         );
         if let Some(workspace) = &outbound.workspace {
             headers.insert(dialect.workspace.clone(), workspace.clone());
@@ -229,22 +232,22 @@
         if let Some(urgency) = outbound.urgency {
             headers.insert(dialect.urgency.clone(), HeaderValue::from(u16::from(urgency)));
         }
-        if let Some(last_event) = outbound.last_event_id {
+        if let Some(last_event_id) = outbound.last_event_id {
             headers.insert(
                 header::HeaderName::from_static("last-event-id"),
-                HeaderValue::from(last_event),
+                HeaderValue::from(last_event_id),
             );
         }
         *request.headers_mut() = headers;
         request
     }
 
-    /// Records the rate limit or backoff requested by the target. A reply to another request, or from another target at
+    /// Records the rate limit or backoff requested by the target. A response to another request, or from another target at
     /// the same address, is ignored.
     fn record_signal(&self, instance: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
         let signal = Signal::read(parts.status, &parts.headers, &self.dialect.backpressure);
-        let is_own_reply = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
-        if !is_own_reply || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        let is_own_response = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
+        if !is_own_response || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return signal;
         }
         match signal.rate {
@@ -258,13 +261,13 @@
         signal
     }
 
-    /// Classifies a reply by its head.
-    fn classify(&self, parts: &Parts, outbound: &Outbound) -> ReplyClass {
+    /// Classifies a response by its head.
+    fn classify(&self, parts: &Parts, outbound: &Outbound) -> ResponseClass {
         if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
-            return ReplyClass::Unusable(ResponseError::RequestIdMismatch);
+            return ResponseClass::Unusable(ResponseError::RequestIdMismatch);
         }
         if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            return ReplyClass::Rejected;
+            return ResponseClass::Rejected;
         }
         // Unless the target confirms that the request has not run, forwarding these would give callers a guarantee that
         // may be false.
@@ -274,13 +277,13 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if not_run_statuses.contains(&parts.status) {
-            return ReplyClass::Unusable(ResponseError::UnconfirmedRejection);
+            return ResponseClass::Unusable(ResponseError::UnconfirmedRejection);
         }
         let has_digest = parts.headers.contains_key(&self.dialect.digest);
         if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !has_digest) {
-            return ReplyClass::Unusable(ResponseError::Malformed);
+            return ResponseClass::Unusable(ResponseError::Malformed);
         }
-        ReplyClass::Answered
+        ResponseClass::Usable
     }
 
     fn rejection(&self, parts: &Parts, signal: Signal) -> Rejection {
@@ -322,7 +325,7 @@
             match remainder.next().await {
                 Ok(Some(bytes)) => buffered.extend_from_slice(&bytes),
                 Ok(None) => break,
-                Err(error) => return SendOutcome::ReplyLost(error),
+                Err(error) => return SendOutcome::ResponseLost(error),
             }
             if buffered.len() > MAX_BUFFERED_BYTES {
                 let buffered = buffered.freeze();
@@ -335,7 +338,7 @@
             }
         }
         let body = buffered.freeze();
-        SendOutcome::Complete(Reply { status, headers, body })
+        SendOutcome::Complete(CompleteResponse { status, headers, body })
     }
 
     /// Reads the short body of a rejection, so that its connection can be reused.
@@ -357,8 +360,8 @@
     }
 }
 
-enum ReplyClass {
-    Answered,
+enum ResponseClass {
+    Usable,
     Rejected,
     Unusable(ResponseError),
 }
--- a/crates/sparscale_gateway/src/attempt_history.rs
+++ b/crates/sparscale_gateway/src/attempt_history.rs
@@ -1,8 +1,8 @@
-//! State of one request over its attempts, and the answer or refusal to return when no further attempt is made.
+//! State of one request over its attempts, and the response or refusal to return when no further attempt is made.
 
-use crate::answer::Answer;
-use crate::attempt::Reply;
+use crate::attempt::CompleteResponse;
 use crate::attempted_targets::AttemptedTargets;
+use crate::caller_response::CallerResponse;
 use crate::refusal::Refusal;
 
 /// Maximum number of unavailable targets per request. They don't count as attempts, as they received no work.
@@ -19,9 +19,9 @@
     pub(crate) attempted_targets: AttemptedTargets,
     /// Number of targets that were unreachable or replaced, consecutive or not.
     pub(crate) unavailable_targets: u32,
-    /// Error answer of a target, kept in case no later attempt succeeds.
-    pub(crate) error_reply: Option<Reply>,
-    /// Refusal to return after an attempt without a complete answer: the request may have run, so no later refusal may
+    /// Error response of a target, kept in case no later attempt succeeds.
+    pub(crate) error_response: Option<CompleteResponse>,
+    /// Refusal to return after an attempt without a complete response: the request may have run, so no later refusal may
     /// claim that it has not.
     pub(crate) unknown_outcome_refusal: Option<Refusal>,
     /// Refusal to return as long as every target has reported that it did not run the request.
@@ -29,11 +29,11 @@
 }
 
 impl AttemptHistory {
-    /// The final result in order of preference: a target's error answer, the refusal for an unknown outcome, the
+    /// The final result in order of preference: a target's error response, the refusal for an unknown outcome, the
     /// refusal for a request that did not run, or `fallback`.
-    pub(crate) fn final_result(&mut self, fallback: Refusal) -> Result<Answer, Refusal> {
-        match self.error_reply.take() {
-            Some(reply) => Ok(Answer::Complete(reply)),
+    pub(crate) fn final_result(&mut self, fallback: Refusal) -> Result<CallerResponse, Refusal> {
+        match self.error_response.take() {
+            Some(response) => Ok(CallerResponse::Complete(response)),
             None => Err(self
                 .unknown_outcome_refusal
                 .or(self.not_run_refusal)
@@ -47,7 +47,7 @@
         &mut self,
         refusal: Refusal,
         may_retry: impl FnOnce(&Self) -> bool,
-    ) -> Result<Option<Answer>, Refusal> {
+    ) -> Result<Option<CallerResponse>, Refusal> {
         self.unavailable_targets += 1;
         self.not_run_refusal.get_or_insert(refusal);
         if self.unavailable_targets < MAX_UNAVAILABLE_TARGETS && may_retry(self) {
--- a/crates/sparscale_gateway/src/body.rs
+++ b/crates/sparscale_gateway/src/body.rs
@@ -1,9 +1,9 @@
-//! Bodies of requests and answers.
+//! The type of response bodies.
 
 use std::io;
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
--- a/crates/sparscale_gateway/src/dialect.rs
+++ b/crates/sparscale_gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! Names of the headers that callers, entry and targets speak with.
+//! Names of the HTTP headers exchanged between callers, entry and targets.
 
 use http::header::{HeaderName, InvalidHeaderName};
 use sparscale_backpressure::Names;
@@ -6,34 +6,34 @@
 /// The header names of one installation.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Id of a request; targets send it back in the answer.
+    /// Id of a request; targets echo it in the response.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait for the answer.
+    /// Milliseconds that the sender waits for the response.
     pub deadline: HeaderName,
-    /// Workspace of a request; only the entry sets it.
+    /// Workspace of a request; set by the entry only.
     pub workspace: HeaderName,
-    /// Id of the target that a request is meant for; every other one refuses it.
+    /// Id of the target that a request is addressed to; any other target rejects it.
     pub expected_target: HeaderName,
-    /// Digest of a target's answer.
+    /// Digest of a target's response.
     pub digest: HeaderName,
-    /// Says that the target has not run the request.
+    /// Confirms that the target has not run the request.
     pub not_run: HeaderName,
-    /// How soon a target should begin with a request, 0 first; only the entry sets it.
+    /// Priority with which a target starts a request, 0 is the most urgent; set by the entry only.
     pub urgency: HeaderName,
-    /// Version of the weights that a request is meant for; only the entry sets it.
+    /// Version of the weights that a request must run on; set by the entry only.
     pub expected_weights: HeaderName,
-    /// Prompt tokens and the most tokens of an answer, as `PROMPT,ANSWER`.
+    /// Number of prompt tokens and maximum number of output tokens, as `PROMPT,OUTPUT`.
     pub sizes: HeaderName,
-    /// The caller's guess at the tokens of the answer.
+    /// Number of output tokens that the caller expects.
     pub answer_guess: HeaderName,
-    /// Id of the target at fault, in an answer that was refused because of another target.
+    /// Id of the target at fault, in a rejection that another target caused.
     pub at_fault: HeaderName,
-    /// What targets ask by.
+    /// Headers by which targets request a rate limit, a backoff or no further requests.
     pub backpressure: Names,
 }
 
 impl Dialect {
-    /// The product's own names.
+    /// The default names.
     pub fn own() -> Result<Self, InvalidHeaderName> {
         Ok(Self {
             request_id: HeaderName::from_bytes(b"x-request-id")?,
--- a/crates/sparscale_gateway/src/entry.rs
+++ b/crates/sparscale_gateway/src/entry.rs
@@ -1,4 +1,5 @@
-//! A running entry: its tasks, and how it stops.
+//! Starts and stops an entry: the background tasks that maintain its observed state, and the servers for callers and for the
+//! readiness check.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,89 +20,90 @@
 use crate::admission::Admission;
 use crate::attempt::TargetClient;
 use crate::exchange::Gateway;
-use crate::figures::{Figures, tell_levels};
 use crate::gate::Gates;
 use crate::loads::Loads;
+use crate::metrics::{Metrics, register_gauges};
 use crate::phase::{ConnectionCounter, Phase};
 use crate::pool::Pool;
 use crate::queues::Queues;
-use crate::ready;
+use crate::readiness;
 use crate::response_monitor::ResponseMonitor;
 use crate::server;
 use crate::settings::{AddressSnafu, Error, ListenSnafu, Parts, PeersSnafu, Settings};
 use crate::traffic_split::TrafficSplit;
 
-/// Longest rest of a connection on which a request that may run once is sent: a target may have forgotten it.
-const MAX_REST_ONCE: Duration = Duration::ZERO;
-/// Entries that are taken to share the room of groups before any other is known.
-const UNKNOWN_ENTRIES: usize = 4;
-/// Readings of the catalog to one of the requests that crash targets: entries tell each other of those at once, and only one
-/// that no other reaches has to hear of them from the store.
-const STRIKES_INTERVALS: u32 = 2;
-/// Pause between two looks at whether a stopping entry is done.
-const STOP_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum idle time of a connection that is reused for a request which may run only once: always a new connection, as the
+/// target may have dropped an idle one.
+const MAX_IDLE_RUN_ONCE: Duration = Duration::ZERO;
+/// Number of entries assumed to share the headroom of groups until another entry is known.
+const ASSUMED_ENTRY_COUNT: usize = 4;
+/// Number of catalog reads for each read of the strikes, which record requests that crash targets. Entries send strikes to
+/// each other immediately; only an entry that is partitioned from all others depends on the store for them.
+const CATALOG_READS_PER_STRIKES_READ: u32 = 2;
+/// Time between two checks whether all connections of a stopping entry have ended.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An entry that serves callers.
 #[derive(Debug)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this entry takes callers.
+    /// Address of the readiness check for the load balancer in front.
     pub ready: SocketAddr,
-    /// Where other processes connect.
+    /// Address that other processes of the system connect to.
     pub peers: SocketAddr,
-    /// What the entry believes.
+    /// The observed state of the system.
     pub board: Arc<Board>,
-    /// What it hears from the system's other processes.
+    /// Links to the other processes of the system.
     pub mesh: Arc<Mesh>,
     settings: Settings,
     phase: watch::Sender<Phase>,
-    progress: Arc<ConnectionCounter>,
+    connection_counter: Arc<ConnectionCounter>,
 }
 
 impl Entry {
-    /// Starts an entry's tasks on the present runtime.
+    /// Starts the tasks of an entry on the current runtime.
     pub async fn start(settings: Settings, parts: Parts) -> Result<Self, Error> {
         let board = Arc::new(Board::new(Arc::clone(&parts.clock)));
         let callers = listen(settings.callers).await?;
         let ready = listen(settings.ready).await?;
-        let mesh = mesh(&settings, &board)?;
-        let pace = Arc::new(ReadSchedule::new(
+        let mesh = start_mesh(&settings, &board)?;
+        let read_schedule = Arc::new(ReadSchedule::new(
             settings.read_interval,
             settings.read_step,
             Duration::ZERO,
         ));
         let registry = parts.registry;
-        let figures = || ReadMetrics::new(&registry);
+        let read_metrics = || ReadMetrics::new(&registry);
         tokio::spawn(read_catalog(
             Arc::clone(&board),
             parts.catalog,
-            Arc::clone(&pace),
-            figures(),
+            Arc::clone(&read_schedule),
+            read_metrics(),
         ));
         tokio::spawn(read_roster(
             Arc::clone(&board),
             parts.roster,
-            Arc::clone(&pace),
-            figures(),
+            Arc::clone(&read_schedule),
+            read_metrics(),
         ));
-        let strikes_pace = Arc::new(ReadSchedule::new(
-            settings.read_interval * STRIKES_INTERVALS,
-            settings.read_step * STRIKES_INTERVALS,
+        let strikes_schedule = Arc::new(ReadSchedule::new(
+            settings.read_interval * CATALOG_READS_PER_STRIKES_READ,
+            settings.read_step * CATALOG_READS_PER_STRIKES_READ,
             Duration::ZERO,
         ));
         tokio::spawn(read_strikes(
             Arc::clone(&board),
             parts.strikes,
-            Arc::clone(&strikes_pace),
-            figures(),
+            Arc::clone(&strikes_schedule),
+            read_metrics(),
         ));
-        tokio::spawn(keep_strikes(
+        tokio::spawn(archive_strikes(
             Arc::clone(&board),
             parts.archive,
-            Arc::clone(&strikes_pace),
+            Arc::clone(&strikes_schedule),
         ));
-        let entries = Arc::new(AtomicUsize::new(UNKNOWN_ENTRIES));
+        let entry_count = Arc::new(AtomicUsize::new(ASSUMED_ENTRY_COUNT));
         let gateway = Arc::new(Gateway {
             board: Arc::clone(&board),
             mesh: Arc::clone(&mesh),
@@ -110,29 +112,34 @@
                 clock: Arc::clone(&parts.clock),
                 board: Arc::clone(&board),
                 dialect: Arc::new(parts.dialect),
-                max_idle_run_once: MAX_REST_ONCE,
+                max_idle_run_once: MAX_IDLE_RUN_ONCE,
             },
-            loads: Arc::new(Loads::new(Arc::clone(&entries))),
+            loads: Arc::new(Loads::new(Arc::clone(&entry_count))),
             response_monitor: ResponseMonitor::default(),
             hall: settings.hall.clone(),
             allowance: settings.allowance,
             retry_budgets: Mutex::new(HashMap::new()),
             traffic_split: TrafficSplit::default(),
-            metrics: Figures::new(Arc::clone(&registry)),
-            queues: Queues::new(Arc::clone(&mesh), Arc::clone(&entries)),
+            metrics: Metrics::new(Arc::clone(&registry)),
+            queues: Queues::new(Arc::clone(&mesh), Arc::clone(&entry_count)),
             sharers: AtomicUsize::new(0),
             started_at: board.now(),
             gates: Gates::default(),
             deadlines: Mutex::default(),
             retry_schedules: Mutex::default(),
         });
-        let progress = Arc::new(ConnectionCounter::default());
-        tell_levels(&registry, &board, &mesh, &progress);
-        tokio::spawn(admit_waiting(Arc::clone(&gateway)));
-        let paces = [pace, strikes_pace];
-        tokio::spawn(follow_line(Arc::clone(&mesh), paces, entries, Arc::clone(&gateway)));
-        tokio::spawn(follow_members(Arc::clone(&mesh), Arc::clone(&board)));
-        tokio::spawn(forget_gone(Arc::clone(&gateway)));
+        let connection_counter = Arc::new(ConnectionCounter::default());
+        register_gauges(&registry, &board, &mesh, &connection_counter);
+        tokio::spawn(follow_group_loads(Arc::clone(&gateway)));
+        let read_schedules = [read_schedule, strikes_schedule];
+        tokio::spawn(follow_mesh_status(
+            Arc::clone(&mesh),
+            read_schedules,
+            entry_count,
+            Arc::clone(&gateway),
+        ));
+        tokio::spawn(follow_mesh_members(Arc::clone(&mesh), Arc::clone(&board)));
+        tokio::spawn(drop_removed(Arc::clone(&gateway)));
         let (phase, phases) = watch::channel(Phase::Serving);
         let entry = Self {
             callers: callers.local_addr().context(AddressSnafu)?,
@@ -141,29 +148,35 @@
             board: Arc::clone(&board),
             mesh: Arc::clone(&mesh),
             phase,
-            progress,
+            connection_counter,
             settings,
         };
-        tokio::spawn(ready::serve(ready, board, phases.clone()));
+        tokio::spawn(readiness::serve(ready, board, phases.clone()));
         let freshness = entry.settings.freshness;
         let admission = Arc::new(Admission { gateway, freshness });
-        tokio::spawn(server::serve(callers, admission, Arc::clone(&entry.progress), phases));
+        tokio::spawn(server::serve(
+            callers,
+            admission,
+            Arc::clone(&entry.connection_counter),
+            phases,
+        ));
         log::info!(target: DECISION, decision = "start", name = entry.settings.name.as_str(), callers = entry.callers.to_string().as_str(); "entry started");
         Ok(entry)
     }
 
-    /// Tells the balancer, serves what it still sends, and ends when nothing is in progress or the grace is over.
+    /// Fails the readiness check, keeps serving until the load balancer has noticed, and returns once all connections have ended
+    /// or the grace period is over.
     pub async fn stop(&self) {
-        let began = Instant::now();
-        let connections = || self.progress.connections.load(Ordering::Relaxed);
+        let stop_requested_at = Instant::now();
+        let connections = || self.connection_counter.connections.load(Ordering::Relaxed);
         self.phase.send_replace(Phase::Draining);
-        log::info!(target: DECISION, decision = "stop", connections = connections(); "told to stop");
+        log::info!(target: DECISION, decision = "stop", connections = connections(); "stop requested; draining connections");
         tokio::time::sleep(self.settings.leave_time).await;
         self.phase.send_replace(Phase::Closing);
-        while connections() > 0 && began.elapsed() < self.settings.grace {
-            tokio::time::sleep(STOP_PAUSE).await;
+        while connections() > 0 && stop_requested_at.elapsed() < self.settings.grace {
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
-        log::info!(target: DECISION, decision = "stopped", connections = connections(); "stopped");
+        log::info!(target: DECISION, decision = "stopped", connections = connections(); "entry stopped");
     }
 }
 
@@ -171,7 +184,7 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn mesh(settings: &Settings, board: &Arc<Board>) -> Result<Arc<Mesh>, Error> {
+fn start_mesh(settings: &Settings, board: &Arc<Board>) -> Result<Arc<Mesh>, Error> {
     let endpoint =
         Endpoint::with_streams(settings.peers, Identity::Made(Role::Entry), FEW_STREAMS).context(PeersSnafu)?;
     let settings = sparscale_mesh::Settings {
@@ -187,39 +200,45 @@
     Ok(mesh)
 }
 
-/// Tells the store of requests that crash targets.
-async fn keep_strikes(board: Arc<Board>, archive: Box<dyn Archive>, pace: Arc<ReadSchedule>) {
+/// Writes the strikes to the archive, as long as this entry is the first reader of the store.
+async fn archive_strikes(board: Arc<Board>, archive: Box<dyn Archive>, read_schedule: Arc<ReadSchedule>) {
     board
         .quarantine
-        .sync_to_archive(archive, || pace.reader_index() == 0)
+        .sync_to_archive(archive, || read_schedule.reader_index() == 0)
         .await;
 }
 
-/// Keeps this entry's place among the readers of the store, its share of the room of groups and of the budget's slack.
-async fn follow_line(mesh: Arc<Mesh>, paces: [Arc<ReadSchedule>; 2], room: Arc<AtomicUsize>, gateway: Arc<Gateway>) {
-    let mut line = mesh.status();
-    let mut told = line.borrow().entries;
-    while line.changed().await.is_ok() {
+/// Follows the status of the mesh: the index of this entry among the readers of the store, and the numbers of entries that share
+/// the headroom of groups and the slack of the retry budgets.
+async fn follow_mesh_status(
+    mesh: Arc<Mesh>,
+    read_schedules: [Arc<ReadSchedule>; 2],
+    entry_count: Arc<AtomicUsize>,
+    gateway: Arc<Gateway>,
+) {
+    let mut status = mesh.status();
+    let mut last_entries = status.borrow().entries;
+    while status.changed().await.is_ok() {
         let MeshStatus {
-            index: place,
+            index,
             entries,
             sharers,
-        } = *line.borrow_and_update();
-        for pace in &paces {
-            pace.set_reader_index(place);
+        } = *status.borrow_and_update();
+        for read_schedule in &read_schedules {
+            read_schedule.set_reader_index(index);
         }
-        // Before any other entry is met, the guess stays.
-        if entries != told {
-            room.store(entries, Ordering::Relaxed);
-            told = entries;
+        // The assumed number stays until another entry is known.
+        if entries != last_entries {
+            entry_count.store(entries, Ordering::Relaxed);
+            last_entries = entries;
         }
         gateway.sharers.store(sharers.unwrap_or(0), Ordering::Relaxed);
-        log::info!(target: DECISION, decision = "line", place, entries, sharers; "place among the entries");
+        log::info!(target: DECISION, decision = "line", place = index, entries, sharers; "index among the entries changed");
     }
 }
 
-/// Keeps this entry's share of the rates of targets.
-async fn follow_members(mesh: Arc<Mesh>, board: Arc<Board>) {
+/// Follows the members of the mesh, among which the rate limits of targets are divided.
+async fn follow_mesh_members(mesh: Arc<Mesh>, board: Arc<Board>) {
     let mut members = mesh.members();
     members.mark_changed();
     while members.changed().await.is_ok() {
@@ -228,14 +247,14 @@
     }
 }
 
-/// Pause after news of loads: many groups tell theirs at many times, and each look goes through all targets.
-const NEWS_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum time between two updates from load reports: many groups send reports, and each update iterates over all targets.
+const MIN_LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Lets requests in that wait whenever loads were told.
-async fn admit_waiting(gateway: Arc<Gateway>) {
-    let mut news = gateway.mesh.subscribe_group_loads();
-    while news.next().await {
-        let crowded = gateway.queues.groups_with_backlog();
+/// Updates the stragglers and the response monitor on each change of load reports, and admits waiting requests.
+async fn follow_group_loads(gateway: Arc<Gateway>) {
+    let mut changes = gateway.mesh.subscribe_group_loads();
+    while changes.next().await {
+        let backlogged_groups = gateway.queues.groups_with_backlog();
         let (Some(catalog), Some(targets)) = (gateway.board.catalog(), gateway.board.targets()) else {
             continue;
         };
@@ -243,9 +262,9 @@
         for load in gateway.mesh.group_loads() {
             gateway.response_monitor.record_report(&load);
         }
-        // Looked up once a service: it may have many groups.
+        // Cached by service, as a service may have many groups.
         let mut limits = HashMap::new();
-        for group in crowded {
+        for group in backlogged_groups {
             let Some((name, size)) = targets.value.service_of(&group) else {
                 continue;
             };
@@ -254,33 +273,33 @@
                 let engine = catalog.value.service(service).engine.as_ref()?;
                 Some((engine, catalog.value.pause_of(name)?))
             });
-            if let Some((engine, pause)) = limits {
-                let ranks = Group { name: &group, size };
-                let open_part = gateway.open_fraction(&targets.value, ranks);
-                gateway.queues.refresh(ranks, open_part, engine, pause);
+            if let Some((engine, max_pause)) = limits {
+                let group = Group { name: &group, size };
+                let open_fraction = gateway.open_fraction(&targets.value, group);
+                gateway.queues.refresh(group, open_fraction, engine, max_pause);
             }
         }
-        tokio::time::sleep(NEWS_PAUSE).await;
+        tokio::time::sleep(MIN_LOAD_UPDATE_INTERVAL).await;
     }
 }
 
-/// Drops what is kept about targets that are gone.
-async fn forget_gone(gateway: Arc<Gateway>) {
+/// Drops the state of targets and routes that no longer exist.
+async fn drop_removed(gateway: Arc<Gateway>) {
     let mut targets = gateway.board.subscribe_targets();
     while targets.changed().await.is_ok() {
-        let Some(belief) = targets.borrow_and_update().clone() else {
+        let Some(observation) = targets.borrow_and_update().clone() else {
             continue;
         };
-        gateway.target_client.pool.retain(&belief.value);
-        gateway.loads.retain(&belief.value);
-        gateway.response_monitor.retain(&belief.value);
-        gateway.board.throttle.retain(&belief.value);
+        gateway.target_client.pool.retain(&observation.value);
+        gateway.loads.retain(&observation.value);
+        gateway.response_monitor.retain(&observation.value);
+        gateway.board.throttle.retain(&observation.value);
         if let Some(catalog) = gateway.board.catalog() {
             let routes = &catalog.value.document().routes;
-            let is_there = |name: &str| routes.iter().any(|route| route.name == name);
-            gateway.traffic_split.retain(is_there);
+            let exists = |name: &str| routes.iter().any(|route| route.name == name);
+            gateway.traffic_split.retain(exists);
             let mut deadlines = gateway.deadlines.lock().unwrap_or_else(PoisonError::into_inner);
-            deadlines.retain(is_there);
+            deadlines.retain(exists);
         }
     }
 }
--- a/crates/sparscale_gateway/src/events.rs
+++ b/crates/sparscale_gateway/src/events.rs
@@ -1,63 +1,63 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits the bytes of a server-sent event stream into complete events.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
-/// Longest event; a longer one is no event of a sound target.
-const MAX_EVENT: usize = 1 << 20;
+/// Maximum length of an event; bounds the buffer if a target sends no end of an event.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, as its bytes.
+/// A complete event as raw bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Event {
     pub(crate) bytes: Bytes,
-    /// Its id; none for a comment or an event without one.
+    /// Id of the event; none for a comment or an event without a numeric id.
     pub(crate) id: Option<u64>,
 }
 
-/// The stream holds an event that is too long.
+/// An event of the stream exceeds [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct TooLong;
+pub(crate) struct EventTooLong;
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
-pub(crate) struct Splitter {
+pub(crate) struct EventSplitter {
     pending: BytesMut,
-    /// Bytes at the front in which no end was found.
-    searched: usize,
+    /// Number of leading bytes known to contain no end of an event.
+    searched_bytes: usize,
 }
 
-impl Splitter {
-    /// Takes in bytes as they came.
-    pub(crate) fn feed(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
+impl EventSplitter {
+    /// Appends received bytes.
+    pub(crate) fn feed(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.pending.extend_from_slice(bytes);
-        if self.pending.len() > MAX_EVENT {
-            return Err(TooLong);
+        if self.pending.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
         }
         Ok(())
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub(crate) fn next(&mut self) -> Option<Event> {
-        let Some(end) = end_of_event(&self.pending, self.searched) else {
-            // An end has up to four bytes, of which three may be here already.
-            self.searched = self.pending.len().saturating_sub(3);
+        let Some(end) = end_of_event(&self.pending, self.searched_bytes) else {
+            // The end marker has up to four bytes, of which three may have arrived.
+            self.searched_bytes = self.pending.len().saturating_sub(3);
             return None;
         };
-        self.searched = 0;
+        self.searched_bytes = 0;
         let bytes = self.pending.split_to(end).freeze();
         let id = id_of(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Whether part of an event is pending.
-    pub(crate) fn is_torn(&self) -> bool {
+    /// Whether an incomplete event is buffered.
+    pub(crate) fn has_partial_event(&self) -> bool {
         self.pending.has_remaining()
     }
 }
 
-/// Index after the first empty line.
+/// Index after the first empty line at or after `from`.
 fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
-    let ends = |index: usize| {
+    let end_at = |index: usize| {
         let tail = &rest[index..];
         [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"]
             .into_iter()
@@ -66,7 +66,7 @@
     };
     (0..rest.len())
         .filter(|index| matches!(rest[*index], b'\n' | b'\r'))
-        .find_map(ends)
+        .find_map(end_at)
 }
 
 fn id_of(event: &[u8]) -> Option<u64> {
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Takes one request from admission to its answer: waits for headroom, sends attempts, and decides about retries.
+//! Takes one request from admission to its response: waits for headroom, sends attempts, and decides about retries.
 //!
 //! Retries are paid for from a budget that all entries share, so that failing targets don't cause a flood of retries.
 
@@ -28,16 +28,18 @@
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, CALLER_LEFT, Stream};
-use crate::attempt::{Outbound, PartialResponse, Rejection, Reply, ResponseError, SendOutcome, TargetClient};
+use crate::attempt::{
+    CompleteResponse, Outbound, PartialResponse, Rejection, ResponseError, SendOutcome, TargetClient,
+};
 use crate::attempt_history::AttemptHistory;
 use crate::attempted_targets::AttemptedTargets;
-use crate::figures::Figures;
+use crate::caller_response::{CALLER_LEFT, CallerResponse, StreamResponse};
+use crate::event_stream::EventStream;
 use crate::gate::Gates;
 use crate::loads::{InFlightGuard, Loads};
+use crate::metrics::Metrics;
 use crate::queues::{Arrival, Permit, Queues};
 use crate::refusal::{Reason, Refusal};
-use crate::relay::Run;
 use crate::response_monitor::ResponseMonitor;
 use crate::traffic_split::TrafficSplit;
 
@@ -63,7 +65,7 @@
     pub(crate) allowance: Allowance,
     pub(crate) retry_budgets: Mutex<HashMap<String, Budget>>,
     pub(crate) traffic_split: TrafficSplit,
-    pub(crate) metrics: Figures,
+    pub(crate) metrics: Metrics,
     /// Number of entries that share the slack of the budgets, including this one; 0 while unknown.
     pub(crate) sharers: AtomicUsize,
     /// Start of this process.
@@ -79,16 +81,16 @@
 
 /// Outcome of an attempt.
 enum AttemptOutcome {
-    /// There is an answer for the caller.
-    Answered(Answer),
+    /// There is a response for the caller.
+    Responded(CallerResponse),
     /// The target could not be reached; nothing was sent.
     NotSent,
     /// The target reported that it did not run the request.
     Rejected(Rejection),
-    /// The target answered with an error, and the request may run again.
-    Failed(Reply),
-    /// The request may have run, but there is no complete reply.
-    ReplyLost(ResponseError),
+    /// The target responded with an error, and the request may run again.
+    Failed(CompleteResponse),
+    /// The request may have run, but there is no complete response.
+    ResponseLost(ResponseError),
     /// The target was abandoned in favor of another one.
     Abandoned,
 }
@@ -96,7 +98,7 @@
 /// Why a request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RetryReason {
-    /// The target rejected it, failed, or sent no complete reply.
+    /// The target rejected it, failed, or sent no complete response.
     NotServed,
     /// Another incarnation had the target's address.
     Replaced,
@@ -146,14 +148,14 @@
             instance,
             response_part: self.first_awaited(),
             due_within: self.route().objective,
-            caller_timeout: self.given_up_after(),
+            caller_timeout: self.caller_timeout(),
         }
     }
 
     /// Time without a response after which the caller gives up.
-    pub(crate) fn given_up_after(&self) -> Duration {
+    pub(crate) fn caller_timeout(&self) -> Duration {
         match self.route().kind {
-            Kind::Stream { .. } => caller_timeout::stream_timeout(self.route().objective, longest_pause_of(self)),
+            Kind::Stream { .. } => caller_timeout::stream_timeout(self.route().objective, max_pause_of(self)),
             Kind::Once | Kind::Repeatable => self.outbound.deadline.saturating_duration_since(self.arrived_at),
         }
     }
@@ -184,24 +186,24 @@
         };
         let engine = job.catalog.find_service(service);
         let engine = engine.and_then(|key| job.catalog.service(key).engine.as_ref());
-        let (Some(engine), Some(longest_pause)) = (engine, longest_pause) else {
+        let (Some(engine), Some(max_pause)) = (engine, longest_pause) else {
             return Ok(None);
         };
-        let time_in_earlier_attempts = self.time_in_earlier_attempts(job);
+        let retry_age = self.retry_age(job);
         let groups = observation.value.groups_of(service);
         let sampled = groups.choose_multiple(&mut rand::rng(), MAX_SAMPLED_GROUPS).into_iter();
         let arrivals = sampled.map(|group| Arrival {
             request_id: job.outbound.head.id_text(),
             group: group.name,
             engine,
-            longest_pause,
+            max_pause,
             objective: job.route().objective,
             tier: job.outbound.urgency.unwrap_or_default(),
             rank_count: group.size,
             open_fraction: self.open_fraction(&observation.value, group),
-            received_at: job.arrived_at,
-            time_in_earlier_attempts,
-            time_left: job.outbound.head.deadline,
+            arrived_at: job.arrived_at,
+            retry_age,
+            remaining: job.outbound.head.deadline,
         });
         let arrivals: Vec<Arrival<'_>> = arrivals.collect();
         let Some(arrival) = self
@@ -215,7 +217,7 @@
     }
 
     /// Time that the caller spent on attempts before this one.
-    fn time_in_earlier_attempts(&self, job: &Job) -> Duration {
+    fn retry_age(&self, job: &Job) -> Duration {
         let Some(deadline) = job.outbound.head.deadline else {
             return Duration::ZERO;
         };
@@ -223,8 +225,12 @@
         deadlines.retry_age(&job.route().name, deadline, job.arrived_at.into_std())
     }
 
-    /// Sends attempts until there is an answer or no further attempt is allowed.
-    pub(crate) async fn answer(&self, job: &Job, history: &mut AttemptHistory) -> Result<Answer, Refusal> {
+    /// Sends attempts until there is a response or no further attempt is allowed.
+    pub(crate) async fn obtain_response(
+        &self,
+        job: &Job,
+        history: &mut AttemptHistory,
+    ) -> Result<CallerResponse, Refusal> {
         loop {
             if self.board.now() >= job.outbound.deadline_timestamp {
                 return history.final_result(Refusal::retry_immediately(Reason::TooLate));
@@ -244,8 +250,8 @@
                 return history.final_result(Refusal::with_retry_after(Reason::NoTarget, NO_TARGET_RETRY_DELAY));
             };
             let outcome = self.attempt(job, &instance, history).await;
-            if let Some(answer) = self.handle_outcome(job, instance, outcome, history).await? {
-                return Ok(answer);
+            if let Some(response) = self.handle_outcome(job, instance, outcome, history).await? {
+                return Ok(response);
             }
         }
     }
@@ -256,25 +262,25 @@
         self.throttle_refusal(job, history.service.as_deref()?, &targets.value)
     }
 
-    /// Handles the outcome of an attempt: returns an answer, none for another attempt, or a refusal.
+    /// Handles the outcome of an attempt: returns a response, none for another attempt, or a refusal.
     async fn handle_outcome(
         &self,
         job: &Job,
         instance: Seat,
         outcome: AttemptOutcome,
         history: &mut AttemptHistory,
-    ) -> Result<Option<Answer>, Refusal> {
+    ) -> Result<Option<CallerResponse>, Refusal> {
         match outcome {
-            AttemptOutcome::Answered(answer) => {
+            AttemptOutcome::Responded(response) => {
                 self.loads.record_success(instance.key);
                 if let Some(membership) = &instance.target.membership {
-                    self.gates.record_answer(&membership.group);
+                    self.gates.record_response(&membership.group);
                 }
-                if matches!(answer, Answer::Complete(_)) {
+                if matches!(response, CallerResponse::Complete(_)) {
                     self.board.quarantine.record_answer(&job.outbound.fingerprint);
                 }
                 history.attempted_targets.push(instance);
-                return Ok(Some(answer));
+                return Ok(Some(response));
             }
             // The next attempt was charged to the budget when the target was abandoned.
             AttemptOutcome::Abandoned => {
@@ -303,8 +309,8 @@
                 self.switch_group(job, history);
                 history.not_run_refusal = Some(Refusal::with_retry_after(Reason::Rejected, REJECTED_RETRY_DELAY));
             }
-            AttemptOutcome::Failed(reply) => history.error_reply = Some(reply),
-            AttemptOutcome::ReplyLost(error) => self.record_lost_reply(job, &instance, error, history).await?,
+            AttemptOutcome::Failed(response) => history.error_response = Some(response),
+            AttemptOutcome::ResponseLost(error) => self.record_lost_response(job, &instance, error, history).await?,
         }
         history.attempted_targets.push(instance);
         if self.may_retry(job, history) {
@@ -316,7 +322,7 @@
         history.final_result(Refusal::new(Reason::NoAnswer)).map(Some)
     }
 
-    /// Runs one attempt, up to a complete reply or the first event. A target that turns out to be a straggler, or that
+    /// Runs one attempt, up to a complete response or the first event. A target that turns out to be a straggler, or that
     /// is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each pass
     /// of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
     async fn attempt(&self, job: &Job, instance: &Seat, history: &AttemptHistory) -> AttemptOutcome {
@@ -351,26 +357,26 @@
                 .record_response(instance, ResponsePart::FullResponse, since);
         }
         match outcome {
-            SendOutcome::Partial(partial) => match self.begin_reply(job, partial, in_flight).await {
-                Ok(answer) => {
+            SendOutcome::Partial(partial) => match self.begin_response(job, partial, in_flight).await {
+                Ok(response) => {
                     self.response_monitor
                         .record_response(instance, job.first_awaited(), since);
-                    AttemptOutcome::Answered(answer)
+                    AttemptOutcome::Responded(response)
                 }
-                Err(error) => AttemptOutcome::ReplyLost(error),
+                Err(error) => AttemptOutcome::ResponseLost(error),
             },
-            SendOutcome::Complete(reply) if is_failure(reply.status) && job.outbound.retryable => {
-                AttemptOutcome::Failed(reply)
+            SendOutcome::Complete(response) if is_failure(response.status) && job.outbound.retryable => {
+                AttemptOutcome::Failed(response)
             }
-            SendOutcome::Complete(reply) => AttemptOutcome::Answered(Answer::Complete(reply)),
+            SendOutcome::Complete(response) => AttemptOutcome::Responded(CallerResponse::Complete(response)),
             SendOutcome::NotSent => AttemptOutcome::NotSent,
             SendOutcome::Rejected(rejection) => AttemptOutcome::Rejected(rejection),
-            SendOutcome::ReplyLost(error) => AttemptOutcome::ReplyLost(error),
+            SendOutcome::ResponseLost(error) => AttemptOutcome::ResponseLost(error),
         }
     }
 
-    /// Handles an attempt without a complete reply, which is final unless the request may run again.
-    async fn record_lost_reply(
+    /// Handles an attempt without a complete response, which is final unless the request may run again.
+    async fn record_lost_response(
         &self,
         job: &Job,
         instance: &Seat,
@@ -399,10 +405,11 @@
         Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.left))
     }
 
-    /// Checks whether the target that did not complete its reply has terminated or only the connection was lost. A
+    /// Checks whether the target that did not complete its response has terminated or only the connection was lost. A
     /// termination is recorded against the request, which may have caused it.
     pub(crate) async fn investigate_lost_response(&self, job: &Job, instance: &Seat, error: ResponseError) {
-        let terminated = error == ResponseError::ConnectionLost && self.target_client.pool.has_ended(instance).await;
+        let terminated =
+            error == ResponseError::ConnectionLost && self.target_client.pool.has_terminated(instance).await;
         if terminated {
             self.board
                 .quarantine
@@ -416,7 +423,7 @@
             at = instance.target.id.as_str(),
             loss = error.name(),
             ended = terminated;
-            "no complete reply from the target"
+            "no complete response from the target"
         );
     }
 
@@ -427,9 +434,9 @@
         }
         let allowed = self.charge_retry_budget(job, history, RetryReason::NotServed);
         let counter = if allowed {
-            &self.metrics.repeats
+            &self.metrics.retries
         } else {
-            &self.metrics.unpaid_repeats
+            &self.metrics.denied_retries
         };
         counter.add_one();
         allowed
@@ -479,31 +486,32 @@
         verdict.source.is_some()
     }
 
-    /// Waits for the first event of a stream. Other long replies are returned as they are.
-    async fn begin_reply(
+    /// Waits for the first event of a stream. Other long responses are returned as they are.
+    async fn begin_response(
         &self,
         job: &Job,
         partial: PartialResponse,
         in_flight: InFlightGuard,
-    ) -> Result<Answer, ResponseError> {
+    ) -> Result<CallerResponse, ResponseError> {
         if !is_stream(job) || !partial.status.is_success() {
-            return Ok(Answer::Long(Box::new(partial), in_flight));
+            return Ok(CallerResponse::Partial(Box::new(partial), in_flight));
         }
-        let last_event = job.outbound.last_event_id.or(job.outbound.head.last_event);
-        let mut run = Run::new(partial.remainder, last_event);
-        let first = run.next(job.outbound.deadline).await?;
-        Ok(Answer::Stream(Box::new(Stream {
+        let last_event_id = job.outbound.last_event_id.or(job.outbound.head.last_event_id);
+        let mut events = EventStream::new(partial.remainder, last_event_id);
+        let first_event = events.next(job.outbound.deadline).await?;
+        Ok(CallerResponse::Stream(Box::new(StreamResponse {
             status: partial.status,
             headers: partial.headers,
-            first,
-            run,
-            running: in_flight,
+            first_event,
+            events,
+            in_flight,
         })))
     }
 
     /// Records the end of a request. Failures are logged as warnings, which the log never drops.
     pub(crate) fn record_end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
-        self.metrics.end(job.route().kind, outcome, job.arrived_at.elapsed());
+        self.metrics
+            .record_end(job.route().kind, outcome, job.arrived_at.elapsed());
         let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
         let level = if is_success { log::Level::Info } else { log::Level::Warn };
         log::log!(
@@ -517,7 +525,7 @@
             outcome,
             status,
             targets:? = attempted.ids(),
-            prompt_tokens = job.outbound.head.size.prompt,
+            prompt_tokens = job.outbound.head.token_counts.prompt,
             took_ms = job.arrived_at.elapsed().as_millis() as u64;
             "request finished"
         );
@@ -530,7 +538,7 @@
 }
 
 /// Longest pause between events that the route of the request allows.
-pub(crate) fn longest_pause_of(job: &Job) -> Duration {
+pub(crate) fn max_pause_of(job: &Job) -> Duration {
     match job.route().kind {
         Kind::Stream { longest_pause, .. } => longest_pause.unwrap_or_default(),
         Kind::Once | Kind::Repeatable => Duration::ZERO,
--- a/crates/sparscale_gateway/src/exchange/choice.rs
+++ b/crates/sparscale_gateway/src/exchange/choice.rs
@@ -6,7 +6,7 @@
 use sparscale_telemetry::DECISION;
 use sparscale_wire::RankLoad;
 
-use super::{Gateway, Job, longest_pause_of};
+use super::{Gateway, Job, max_pause_of};
 use crate::attempt::{Rejection, is_named};
 use crate::attempt_history::AttemptHistory;
 use crate::attempted_targets::AttemptedTargets;
@@ -43,7 +43,7 @@
     /// Waits for the request's group to open; returns whether it stays closed for longer than the request can wait.
     pub(super) async fn stays_closed(&self, job: &Job, history: &AttemptHistory) -> bool {
         let Some(group) = &history.group else { return false };
-        let until = job.arrived_at + caller_timeout::max_admission_wait(job.route().objective, longest_pause_of(job));
+        let until = job.arrived_at + caller_timeout::max_admission_wait(job.route().objective, max_pause_of(job));
         self.gates
             .wait_until_open(group, until.min(job.outbound.deadline))
             .await
--- a/crates/sparscale_gateway/src/gate.rs
+++ b/crates/sparscale_gateway/src/gate.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Records that a target of `group` has started to answer a request.
-    pub(crate) fn record_answer(&self, group: &str) {
+    /// Records that a target of `group` has started to respond to a request.
+    pub(crate) fn record_response(&self, group: &str) {
         let mut gates = self.lock();
         let Some(group_gate) = gates.get_mut(group) else { return };
         if let Some(closed_for) = group_gate.gate.record_response(now()) {
--- a/crates/sparscale_gateway/src/head.rs
+++ b/crates/sparscale_gateway/src/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request: what the entry needs of it, and what goes on to a target.
+//! Parses the head of a request: the values that the entry uses, and the headers that are forwarded to a target.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::dialect::Dialect;
 
-/// Headers that belong to one connection and never go on.
+/// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::TE,
@@ -21,48 +21,48 @@
     header::EXPECT,
 ];
 
-/// Tokens of a request, as far as its caller tells.
+/// Token counts of a request as stated by its caller; 0 where none is stated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Size {
+pub(crate) struct TokenCounts {
     /// Tokens of the prompt.
     pub(crate) prompt: u32,
-    /// Most tokens of the answer.
-    pub(crate) answer_limit: u32,
-    /// The caller's guess at the tokens of the answer.
-    pub(crate) answer_guess: Option<u32>,
+    /// Maximum number of output tokens.
+    pub(crate) output_limit: u32,
+    /// Number of output tokens that the caller expects.
+    pub(crate) output_guess: Option<u32>,
 }
 
-/// Bytes of a head as it came: the library drops the spaces and line ends, which count four to a line.
-pub(crate) fn length_of(parts: &Parts) -> usize {
-    const ENDS: usize = 4;
-    let lines = parts
+/// Bytes of a head as it was received. The HTTP library drops separators and line ends; they count as four bytes a line.
+pub(crate) fn received_bytes(parts: &Parts) -> usize {
+    const SEPARATOR_BYTES: usize = 4;
+    let header_lines = parts
         .headers
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + ENDS);
-    let line = parts.method.as_str().len() + parts.uri.to_string().len() + ENDS + "HTTP/1.1".len();
-    line + lines.sum::<usize>() + ENDS
+        .map(|(name, value)| name.as_str().len() + value.len() + SEPARATOR_BYTES);
+    let request_line = parts.method.as_str().len() + parts.uri.to_string().len() + SEPARATOR_BYTES + "HTTP/1.1".len();
+    request_line + header_lines.sum::<usize>() + SEPARATOR_BYTES
 }
 
-/// A request's head.
+/// The parsed head of a request.
 #[derive(Debug, Clone)]
 pub(crate) struct Head {
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
     pub(crate) host: String,
-    /// Headers that go on to a target.
+    /// Headers to forward to a target.
     pub(crate) headers: HeaderMap,
     pub(crate) id: Option<HeaderValue>,
-    /// Time that the caller will wait.
+    /// Time that the caller waits for the response.
     pub(crate) deadline: Option<Duration>,
-    /// The caller's key.
-    pub(crate) bearer: Option<String>,
-    /// Last event of the stream that the caller has.
-    pub(crate) last_event: Option<u64>,
-    pub(crate) size: Size,
+    /// Key of the caller.
+    pub(crate) bearer_key: Option<String>,
+    /// Id of the last event that the caller has received, to resume a stream.
+    pub(crate) last_event_id: Option<u64>,
+    pub(crate) token_counts: TokenCounts,
 }
 
 impl Head {
-    /// Takes a request's head apart.
+    /// Parses the head of a request.
     pub(crate) fn new(parts: Parts, dialect: &Dialect) -> Self {
         let headers = parts.headers;
         let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
@@ -72,16 +72,16 @@
             host: host.to_owned(),
             id: headers.get(&dialect.request_id).cloned(),
             deadline: number(&dialect.deadline).map(Duration::from_millis),
-            bearer: text(&header::AUTHORIZATION).and_then(bearer),
-            last_event: number(&HeaderName::from_static("last-event-id")),
-            size: size(text(&dialect.sizes), number(&dialect.answer_guess)),
+            bearer_key: text(&header::AUTHORIZATION).and_then(parse_bearer_key),
+            last_event_id: number(&HeaderName::from_static("last-event-id")),
+            token_counts: parse_token_counts(text(&dialect.sizes), number(&dialect.answer_guess)),
             path: path_of(&parts.uri),
             method: parts.method,
-            headers: to_target(&headers, dialect),
+            headers: target_headers(&headers, dialect),
         }
     }
 
-    /// The request's id, for logs.
+    /// Id of the request for the log; empty if there is none.
     pub(crate) fn id_text(&self) -> &str {
         self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
@@ -92,24 +92,24 @@
     path.unwrap_or_else(|| PathAndQuery::from_static("/"))
 }
 
-fn bearer(value: &str) -> Option<String> {
+fn parse_bearer_key(value: &str) -> Option<String> {
     let (scheme, key) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
 }
 
-fn size(sizes: Option<&str>, answer_guess: Option<u64>) -> Size {
+fn parse_token_counts(sizes: Option<&str>, output_guess: Option<u64>) -> TokenCounts {
     let mut numbers = sizes.unwrap_or_default().split(',');
     let mut next = || numbers.next().and_then(|part| part.trim().parse().ok()).unwrap_or(0);
-    Size {
+    TokenCounts {
         prompt: next(),
-        answer_limit: next(),
-        answer_guess: answer_guess.map(|tokens| u32::try_from(tokens).unwrap_or(u32::MAX)),
+        output_limit: next(),
+        output_guess: output_guess.map(|tokens| u32::try_from(tokens).unwrap_or(u32::MAX)),
     }
 }
 
-/// The headers without those of the connection, without the key, and without those that only the entry sets.
-fn to_target(headers: &HeaderMap, dialect: &Dialect) -> HeaderMap {
-    let mut kept = without_hop_by_hop(headers);
+/// Headers to forward to a target: without hop-by-hop headers, the caller's key, and headers that only the entry sets.
+fn target_headers(headers: &HeaderMap, dialect: &Dialect) -> HeaderMap {
+    let mut forwarded = without_hop_by_hop(headers);
     for name in [
         &header::AUTHORIZATION,
         &header::CONTENT_LENGTH,
@@ -119,25 +119,25 @@
         &dialect.urgency,
         &dialect.expected_weights,
     ] {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
-/// The headers without those that belong to one connection, named ones included.
+/// Removes the hop-by-hop headers, including those named in `Connection`.
 pub(crate) fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for value in headers.get_all(header::CONNECTION) {
         for name in value.to_str().unwrap_or_default().split(',') {
             if let Ok(name) = HeaderName::from_bytes(name.trim().as_bytes()) {
-                kept.remove(name);
+                forwarded.remove(name);
             }
         }
     }
     for name in HOP_BY_HOP {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept.remove(HeaderName::from_static("keep-alive"));
-    kept.remove(HeaderName::from_static("proxy-connection"));
-    kept
+    forwarded.remove(HeaderName::from_static("keep-alive"));
+    forwarded.remove(HeaderName::from_static("proxy-connection"));
+    forwarded
 }
--- a/crates/sparscale_gateway/src/lib.rs
+++ b/crates/sparscale_gateway/src/lib.rs
@@ -1,30 +1,31 @@
-//! The gateway: takes HTTP requests from callers and sends them straight to targets, by a catalog of routes.
+//! The gateway: accepts HTTP requests from callers and sends them directly to targets, following a catalog of routes.
 //!
-//! It decides by its beliefs (see [`sparscale_belief`]) and keeps nothing else. Every request gets one final answer:
-//! a target's own, whole and unchanged, or a refusal that says whether it has run and when to come back.
+//! Its decisions rest on the observed state (see [`sparscale_belief`]); it keeps no other state. Each request gets
+//! exactly one final response: that of a target, complete and unchanged, or a refusal that states whether the request
+//! has run and when to retry.
 
 mod admission;
-mod answer;
 mod attempt;
 mod attempt_history;
 mod attempted_targets;
 mod body;
+mod caller_response;
 mod dialect;
 mod entry;
+mod event_stream;
 mod events;
 mod exchange;
-mod figures;
 mod gate;
 mod head;
-mod incoming;
 mod loads;
+mod metrics;
 mod phase;
 mod pool;
 mod program;
 mod queues;
-mod ready;
+mod readiness;
 mod refusal;
-mod relay;
+mod request_body;
 mod respond;
 mod response_monitor;
 mod server;
--- a/crates/sparscale_gateway/src/loads.rs
+++ b/crates/sparscale_gateway/src/loads.rs
@@ -39,7 +39,7 @@
     /// Consecutive failures.
     consecutive_failures: u32,
     avoid_until: Option<Instant>,
-    /// Whether another incarnation answered at its address.
+    /// Whether another incarnation responded at its address.
     replaced: bool,
     /// Recent sends that the latest load report may not include yet.
     recent_sends: VecDeque<Instant>,
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Records a successful answer of a target.
+    /// Records a successful response of a target.
     pub(crate) fn record_success(&self, target: Incarnation) {
         if let Some(state) = self.lock().get_mut(&target) {
             state.consecutive_failures = 0;
--- a/crates/sparscale_gateway/src/figures.rs
+++ b/crates/sparscale_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of an entry.
+//! Metrics of an entry.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,36 +12,36 @@
 use crate::phase::ConnectionCounter;
 use crate::refusal::Reason;
 
-/// Figures that requests change.
+/// Metrics that are updated by requests.
 #[derive(Debug)]
-pub(crate) struct Figures {
+pub(crate) struct Metrics {
     registry: Arc<Registry>,
-    first: [Arc<Histogram>; 3],
-    whole: [Arc<Histogram>; 3],
-    pub(crate) repeats: Arc<Counter>,
-    pub(crate) unpaid_repeats: Arc<Counter>,
-    pub(crate) resumed: Arc<Counter>,
+    response_times: [Arc<Histogram>; 3],
+    request_times: [Arc<Histogram>; 3],
+    pub(crate) retries: Arc<Counter>,
+    pub(crate) denied_retries: Arc<Counter>,
+    pub(crate) resumed_streams: Arc<Counter>,
 }
 
-impl Figures {
+impl Metrics {
     pub(crate) fn new(registry: Arc<Registry>) -> Self {
-        let times = |name, help| KINDS.map(|kind| registry.histogram(name, help, &[("kind", kind)]));
+        let histograms = |name, help| KIND_LABELS.map(|kind| registry.histogram(name, help, &[("kind", kind)]));
         Self {
-            first: times(
+            response_times: histograms(
                 "sparscale_first_seconds",
                 "Time from a request's head to its answer or first event.",
             ),
-            whole: times(
+            request_times: histograms(
                 "sparscale_whole_seconds",
                 "Time from a request's head to the end of its answer.",
             ),
-            repeats: registry.counter("sparscale_repeats_total", "Sends beyond the first of a request.", &[]),
-            unpaid_repeats: registry.counter(
+            retries: registry.counter("sparscale_repeats_total", "Sends beyond the first of a request.", &[]),
+            denied_retries: registry.counter(
                 "sparscale_repeats_refused_total",
                 "Sends beyond the first that the budget did not allow.",
                 &[],
             ),
-            resumed: registry.counter(
+            resumed_streams: registry.counter(
                 "sparscale_resumed_total",
                 "Streams that went on at another target.",
                 &[],
@@ -50,23 +50,23 @@
         }
     }
 
-    /// An answer or its first event is there.
-    pub(crate) fn first(&self, kind: Kind, took: Duration) {
-        self.first[index_of(kind)].note(took);
+    /// Records that the response, or the first event of a stream, has arrived after `took`.
+    pub(crate) fn record_response(&self, kind: Kind, took: Duration) {
+        self.response_times[kind_index(kind)].note(took);
     }
 
-    /// A request is over.
-    pub(crate) fn end(&self, kind: Kind, outcome: &str, took: Duration) {
-        self.whole[index_of(kind)].note(took);
-        let labels = [("kind", KINDS[index_of(kind)]), ("outcome", outcome)];
+    /// Records the end of a request.
+    pub(crate) fn record_end(&self, kind: Kind, outcome: &str, took: Duration) {
+        self.request_times[kind_index(kind)].note(took);
+        let labels = [("kind", KIND_LABELS[kind_index(kind)]), ("outcome", outcome)];
         let help = "Requests that are over, by outcome.";
         self.registry
             .counter("sparscale_requests_total", help, &labels)
             .add_one();
     }
 
-    /// A request was refused before it was given to any target.
-    pub(crate) fn refused(&self, reason: Reason) {
+    /// Records a request that was rejected before it was sent to any target.
+    pub(crate) fn record_refusal(&self, reason: Reason) {
         let help = "Requests refused at admission, by reason.";
         let labels = [("reason", reason.name())];
         self.registry
@@ -75,10 +75,10 @@
     }
 }
 
-/// Names of the kinds of requests, in the order of [`index_of`].
-const KINDS: [&str; 3] = ["repeatable", "once", "stream"];
+/// Values of the label `kind`, in the order of [`kind_index`].
+const KIND_LABELS: [&str; 3] = ["repeatable", "once", "stream"];
 
-fn index_of(kind: Kind) -> usize {
+fn kind_index(kind: Kind) -> usize {
     match kind {
         Kind::Repeatable => 0,
         Kind::Once => 1,
@@ -86,12 +86,12 @@
     }
 }
 
-/// Tells levels that are read off the entry's parts.
-pub(crate) fn tell_levels(
+/// Registers the gauges, which read their values from the components of the entry.
+pub(crate) fn register_gauges(
     registry: &Arc<Registry>,
     board: &Arc<Board>,
     mesh: &Arc<Mesh>,
-    progress: &Arc<ConnectionCounter>,
+    connection_counter: &Arc<ConnectionCounter>,
 ) {
     let gauge = |name, help| registry.gauge(name, help, &[]);
     let catalog_age = gauge(
@@ -103,7 +103,7 @@
         "Age of the roster; -1 if there is none.",
     );
     let version = gauge("sparscale_catalog_version", "Version of the catalog in force.");
-    let place = gauge(
+    let reader_index = gauge(
         "sparscale_line_place",
         "Place among the entries that read the store, 0 for the first.",
     );
@@ -112,14 +112,18 @@
         "Entries that share the room of groups, this one included.",
     );
     let connections = gauge("sparscale_caller_connections", "Connections from callers.");
-    let (board, line, progress) = (Arc::clone(board), mesh.status(), Arc::clone(progress));
+    let (board, mesh_status, connection_counter) = (Arc::clone(board), mesh.status(), Arc::clone(connection_counter));
     registry.before_telling(move || {
         let seconds = |age: Option<Duration>| age.map_or(-1.0, |age| age.as_secs_f64());
         catalog_age.set(seconds(board.catalog_age()));
         roster_age.set(seconds(board.roster_age()));
-        version.set(board.catalog().map_or(0.0, |belief| belief.position.offset as f64));
-        place.set(line.borrow().index as f64);
-        entries.set(line.borrow().entries as f64);
-        connections.set(progress.connections.load(Ordering::Relaxed) as f64);
+        version.set(
+            board
+                .catalog()
+                .map_or(0.0, |observation| observation.position.offset as f64),
+        );
+        reader_index.set(mesh_status.borrow().index as f64);
+        entries.set(mesh_status.borrow().entries as f64);
+        connections.set(connection_counter.connections.load(Ordering::Relaxed) as f64);
     });
 }
--- a/crates/sparscale_gateway/src/phase.rs
+++ b/crates/sparscale_gateway/src/phase.rs
@@ -7,7 +7,7 @@
 pub enum Phase {
     /// Callers are served normally.
     Serving,
-    /// The load balancer is being notified; new requests are still served, and each answer closes its connection.
+    /// The load balancer is being notified; new requests are still served, and each response closes its connection.
     Draining,
     /// Idle connections are closed, and no new ones are accepted.
     Closing,
--- a/crates/sparscale_gateway/src/pool.rs
+++ b/crates/sparscale_gateway/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to targets: opened when needed, kept while they are good, and never trusted when they may be dead.
+//! Pool of connections to targets. Connections are opened on demand and reused until they are closed or idle for so long
+//! that the target may have closed them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,60 +18,60 @@
 use sparscale_policy::budget;
 use tokio::net::TcpStream;
 
-/// Time that a new connection may take: several round trips inside a region. The opening packet of a connection that a
-/// full target drops is sent again after a second only, too late to wait for.
+/// Maximum time to open a connection: several round trips inside a region. If an overloaded target drops the SYN packet, it
+/// is retransmitted only after a second, which is too late to wait for.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for which sent bytes may stay unacknowledged before the kernel gives the connection up. A box without power
-/// says nothing. The budget counts on nothing being on its way for longer.
+/// Time that sent bytes may stay unacknowledged before the kernel drops the connection: a box without power sends no
+/// reset. The retry budget relies on no request being in transit for longer.
 const UNACKNOWLEDGED_TIMEOUT: Duration = budget::MAX_SEND_DELAY;
-/// Part of the time that a target keeps an idle connection for which it is still used, so that a request does not
-/// meet its close.
-const KEEP_ALIVE_PART: f64 = 0.5;
-/// Longest rest of a connection before it is used again, where the target names no time.
-const MAX_REST: Duration = Duration::from_secs(4);
-/// Connections that rest at one target at most.
-const MAX_IDLE: usize = 32;
+/// Fraction of the target's keep-alive time during which an idle connection is reused, so that no request arrives just as
+/// the target closes the connection.
+const KEEP_ALIVE_FRACTION: f64 = 0.5;
+/// Maximum idle time of a connection, also if the target states no shorter keep-alive time.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections to one target.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// Why a connection could not be opened.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    /// The target did not answer in time.
-    #[snafu(display("no connection within {} ms", CONNECT_TIMEOUT.as_millis()))]
+    /// The connection was not established in time.
+    #[snafu(display("connecting took longer than {} ms", CONNECT_TIMEOUT.as_millis()))]
     Timeout,
-    /// The operating system refused.
-    #[snafu(display("no connection: {source}"))]
+    /// The connection could not be opened.
+    #[snafu(display("connecting failed: {source}"))]
     Connect { source: std::io::Error },
-    /// HTTP could not begin.
-    #[snafu(display("no HTTP on a new connection: {source}"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("HTTP handshake on a new connection failed: {source}"))]
     Handshake { source: hyper::Error },
 }
 
-/// A connection that one request uses.
+/// A connection in use by one request.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// Whether no request was sent on it yet.
-    pub(crate) fresh: bool,
+    /// Whether no request has been sent on it yet.
+    pub(crate) is_new: bool,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    since: Timestamp,
-    /// Rest after which the target may close it.
-    rest: Duration,
+    idle_since: Timestamp,
+    /// Idle time after which the target may close it.
+    idle_limit: Duration,
 }
 
-/// Idle connections to each start of each target: an address may pass to another target, and an id to the next start of
-/// the same one, which knows nothing of what was opened before.
+/// Idle connections by incarnation. Neither address nor id would do as key: an address may be taken over by another target,
+/// and a target that restarts keeps its id but none of its connections.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    idle: Mutex<HashMap<Incarnation, Vec<Idle>>>,
+    idle: Mutex<HashMap<Incarnation, Vec<IdleConnection>>>,
     clock: Arc<dyn Clock>,
 }
 
 impl Pool {
-    /// A pool in which nothing rests yet.
+    /// Creates an empty pool.
     pub(crate) fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             idle: Mutex::default(),
@@ -78,50 +79,50 @@
         }
     }
 
-    /// The connection that was used last, if it has rested for `max_rest` at most.
-    pub(crate) fn take(&self, target: Incarnation, max_rest: Duration) -> Option<Connection> {
+    /// Takes the most recently used connection, if it has been idle for at most `max_idle_time`.
+    pub(crate) fn take(&self, target: Incarnation, max_idle_time: Duration) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.lock();
-        let waiting = idle.get_mut(&target)?;
-        while let Some(last) = waiting.pop() {
-            let rested = now.since(last.since);
-            if rested > last.rest || last.sender.is_closed() {
+        let connections = idle.get_mut(&target)?;
+        while let Some(last) = connections.pop() {
+            let idle_time = now.since(last.idle_since);
+            if idle_time > last.idle_limit || last.sender.is_closed() {
                 continue;
             }
-            if rested > max_rest || !last.sender.is_ready() {
-                waiting.push(last);
+            if idle_time > max_idle_time || !last.sender.is_ready() {
+                connections.push(last);
                 return None;
             }
             return Some(Connection {
                 sender: last.sender,
-                fresh: false,
+                is_new: false,
             });
         }
         None
     }
 
-    /// Gives back a connection whose answer was read to its end.
-    pub(crate) fn put(&self, target: Incarnation, connection: Connection, answer: &HeaderMap) {
+    /// Returns a connection whose response was read to the end.
+    pub(crate) fn put(&self, target: Incarnation, connection: Connection, response_headers: &HeaderMap) {
         if connection.sender.is_closed() {
             return;
         }
         let mut idle = self.lock();
-        let waiting = idle.entry(target).or_default();
-        if waiting.len() < MAX_IDLE {
-            waiting.push(Idle {
+        let connections = idle.entry(target).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection {
                 sender: connection.sender,
-                since: self.clock.now(),
-                rest: rest_of(answer),
+                idle_since: self.clock.now(),
+                idle_limit: idle_limit(response_headers),
             });
         }
     }
 
-    /// Whether the process of a target that broke a connection off is not there any more: nothing listens at its address.
-    /// One that does not answer may be cut off. A connection that comes about is kept.
-    pub(crate) async fn has_ended(&self, seat: &Seat) -> bool {
-        match connect(seat.target.address).await {
+    /// Whether the process of a target that closed a connection has terminated, that is, nothing listens at its address.
+    /// A target that does not respond may be partitioned instead. A connection that is opened goes into the pool.
+    pub(crate) async fn has_terminated(&self, instance: &Seat) -> bool {
+        match connect(instance.target.address).await {
             Ok(connection) => {
-                self.put(seat.key, connection, &HeaderMap::new());
+                self.put(instance.key, connection, &HeaderMap::new());
                 false
             }
             Err(Error::Connect { source }) => source.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -129,12 +130,12 @@
         }
     }
 
-    /// Closes the connections of targets that are gone.
+    /// Closes the connections to targets that are no longer listed.
     pub(crate) fn retain(&self, targets: &Directory) {
         self.lock().retain(|target, _| targets.find(*target).is_some());
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Vec<Idle>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -152,19 +153,19 @@
         .context(ConnectSnafu)?;
     let (sender, driver) = http1::handshake(TokioIo::new(stream)).await.context(HandshakeSnafu)?;
     tokio::spawn(async move {
-        // The request that uses the connection sees the same error; an idle connection just ends.
+        // A request that uses the connection gets the same error; an idle connection needs no handling.
         let _ended = driver.await;
     });
-    Ok(Connection { sender, fresh: true })
+    Ok(Connection { sender, is_new: true })
 }
 
-/// Time for which a target keeps the connection of this answer open without use, less a margin.
-fn rest_of(answer: &HeaderMap) -> Duration {
-    let named = answer
+/// Maximum idle time of a connection after this response: the target's keep-alive time, less a margin.
+fn idle_limit(response_headers: &HeaderMap) -> Duration {
+    let keep_alive = response_headers
         .get(HeaderName::from_static("keep-alive"))
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")))
         .and_then(|seconds| seconds.trim().parse::<u32>().ok());
-    let named = named.map(|seconds| Duration::from_secs(u64::from(seconds)).mul_f64(KEEP_ALIVE_PART));
-    named.map_or(MAX_REST, |rest| rest.min(MAX_REST))
+    let keep_alive = keep_alive.map(|seconds| Duration::from_secs(u64::from(seconds)).mul_f64(KEEP_ALIVE_FRACTION));
+    keep_alive.map_or(MAX_IDLE_TIME, |time| time.min(MAX_IDLE_TIME))
 }
--- a/crates/sparscale_gateway/src/queues.rs
+++ b/crates/sparscale_gateway/src/queues.rs
@@ -27,7 +27,7 @@
     pub(crate) group: &'a str,
     pub(crate) engine: &'a Engine,
     /// Longest pause between events that the route allows.
-    pub(crate) longest_pause: Duration,
+    pub(crate) max_pause: Duration,
     /// Time within which the first event is due.
     pub(crate) objective: Duration,
     /// Priority; 0 is the most urgent.
@@ -37,11 +37,11 @@
     /// Fraction of the ranks that accept requests from this entry, 0 to 1.
     pub(crate) open_fraction: f64,
     /// When the request arrived.
-    pub(crate) received_at: Instant,
+    pub(crate) arrived_at: Instant,
     /// Time that the caller spent on earlier attempts; the value of a request is counted from its first attempt.
-    pub(crate) time_in_earlier_attempts: Duration,
+    pub(crate) retry_age: Duration,
     /// How much longer the caller waits, if it sent a deadline.
-    pub(crate) time_left: Option<Duration>,
+    pub(crate) remaining: Option<Duration>,
 }
 
 /// Reference count of the admitted requests: each of them holds a clone, and so does the queue.
@@ -154,20 +154,20 @@
     }
 
     /// Admits waiting requests after the load report of a group has changed.
-    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &Engine, longest_pause: Duration) {
+    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &Engine, max_pause: Duration) {
         let mut queues = self.lock();
         let arrival = Arrival {
             request_id: "",
             group: group.name,
             engine,
-            longest_pause,
+            max_pause,
             objective: Duration::ZERO,
             tier: 0,
             rank_count: group.size,
             open_fraction,
-            received_at: Instant::now(),
-            time_in_earlier_attempts: Duration::ZERO,
-            time_left: None,
+            arrived_at: Instant::now(),
+            retry_age: Duration::ZERO,
+            remaining: None,
         };
         self.refreshed_queue(&mut queues, arrival);
     }
@@ -199,7 +199,7 @@
         let group_queue = queues.entry(arrival.group.to_owned()).or_insert_with(GroupQueue::new);
         let group = queue::Group {
             engine: arrival.engine,
-            max_pause: arrival.longest_pause,
+            max_pause: arrival.max_pause,
             rank_count: arrival.rank_count,
             open_fraction: arrival.open_fraction,
             entry_count: self.entry_count.load(Ordering::Relaxed),
@@ -220,11 +220,11 @@
 impl Arrival<'_> {
     fn request(&self) -> Request {
         Request {
-            arrived_at: self.received_at.into_std(),
+            arrived_at: self.arrived_at.into_std(),
             objective: self.objective,
-            max_pause: self.longest_pause,
-            retry_age: self.time_in_earlier_attempts,
-            remaining: self.time_left,
+            max_pause: self.max_pause,
+            retry_age: self.retry_age,
+            remaining: self.remaining,
         }
     }
 }
--- a/crates/sparscale_gateway/src/ready.rs
+++ b/crates/sparscale_gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer in front whether this entry takes callers.
+//! Readiness check: lets the load balancer in front query whether this entry accepts callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 use crate::phase::Phase;
 
-/// Answers every question at `listener`; never ends.
+/// Responds to every request at `listener`; never returns.
 pub(crate) async fn serve(listener: TcpListener, board: Arc<Board>, phase: watch::Receiver<Phase>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -25,11 +25,11 @@
         };
         let (board, phase) = (Arc::clone(&board), phase.clone());
         let service = service_fn(move |_request: Request<Incoming>| {
-            let ready = *phase.borrow() == Phase::Serving && board.catalog().is_some() && board.targets().is_some();
-            async move { Ok::<_, Infallible>(response(ready)) }
+            let is_ready = *phase.borrow() == Phase::Serving && board.catalog().is_some() && board.targets().is_some();
+            async move { Ok::<_, Infallible>(response(is_ready)) }
         });
         tokio::spawn(async move {
-            // A question that breaks off is asked again.
+            // The load balancer repeats a check whose connection is lost.
             let _ended = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -37,8 +37,8 @@
     }
 }
 
-fn response(ready: bool) -> Response<Full<Bytes>> {
-    let (status, text) = if ready {
+fn response(is_ready: bool) -> Response<Full<Bytes>> {
+    let (status, text) = if is_ready {
         (StatusCode::OK, "ready\n")
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
--- a/crates/sparscale_gateway/src/refusal.rs
+++ b/crates/sparscale_gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the entry itself gives for requests that are not served: the reason, and when to retry.
+//! Responses of the entry itself to requests that are not served: the reason, and when to retry.
 
 use std::time::Duration;
 
@@ -24,13 +24,13 @@
     HeadTooLong,
     /// The body is longer than allowed.
     BodyTooLong,
-    /// The body did not arrive in time.
+    /// The body did not arrive on time.
     BodyTimeout,
     /// The body could not be read.
     BodyUnreadable,
     /// No target of the service accepts requests.
     NoTarget,
-    /// All targets already have as many requests as they can serve in time.
+    /// All targets already have as many requests as they can serve on time.
     Busy,
     /// The group of targets does not serve now.
     GroupClosed,
@@ -46,9 +46,9 @@
     Starting,
     /// The deadline passed before the request was sent.
     TooLate,
-    /// The request was sent, and no complete answer arrived in time.
+    /// The request was sent, and no complete response arrived on time.
     NoAnswer,
-    /// The request was sent, and the answer was interrupted or did not come from the target.
+    /// The request was sent, and the response was interrupted or did not come from the target.
     BrokenAnswer,
 }
 
--- a/crates/sparscale_gateway/src/incoming.rs
+++ b/crates/sparscale_gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, read whole.
+//! Reads request bodies into memory.
 
 use bytes::Bytes;
 use http_body_util::BodyExt as _;
@@ -7,14 +7,14 @@
 
 use crate::refusal::{Reason, Refusal};
 
-/// Reads a whole body, within the limits.
+/// Reads a complete body; fails if it exceeds the size limit or if the next part takes longer than the header time.
 pub(crate) async fn read_body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, Refusal> {
-    let declared = hyper::body::Body::size_hint(&incoming).lower();
-    if declared > limits.body_bytes as u64 {
+    let declared_bytes = hyper::body::Body::size_hint(&incoming).lower();
+    if declared_bytes > limits.body_bytes as u64 {
         return Err(Refusal::new(Reason::BodyTooLong));
     }
-    let mut collected: Vec<Bytes> = Vec::new();
-    let mut length = 0;
+    let mut chunks: Vec<Bytes> = Vec::new();
+    let mut received_bytes = 0;
     loop {
         let frame = tokio::time::timeout(limits.header_time, incoming.frame()).await;
         let Some(frame) = frame.map_err(|_elapsed| Refusal::retry_immediately(Reason::BodyTimeout))? else {
@@ -22,14 +22,14 @@
         };
         let frame = frame.map_err(|_broken| Refusal::new(Reason::BodyUnreadable))?;
         let Ok(data) = frame.into_data() else { continue };
-        length += data.len();
-        if length > limits.body_bytes {
+        received_bytes += data.len();
+        if received_bytes > limits.body_bytes {
             return Err(Refusal::new(Reason::BodyTooLong));
         }
-        collected.push(data);
+        chunks.push(data);
     }
-    if collected.len() == 1 {
-        return Ok(collected.swap_remove(0));
+    if chunks.len() == 1 {
+        return Ok(chunks.swap_remove(0));
     }
-    Ok(Bytes::from(collected.concat()))
+    Ok(Bytes::from(chunks.concat()))
 }
--- a/crates/sparscale_gateway/src/respond.rs
+++ b/crates/sparscale_gateway/src/respond.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Sends responses to callers. A stream whose target fails or is abandoned is resumed at another target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,323 +13,341 @@
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, CALLER_LEFT};
 use crate::attempt::{RemainingBody, ResponseError};
 use crate::attempt_history::AttemptHistory;
 use crate::body::Body;
+use crate::caller_response::{CALLER_LEFT, CallerResponse};
+use crate::event_stream::{EventStream, join_buffered};
 use crate::events::Event;
-use crate::exchange::{Gateway, Job, longest_pause_of};
+use crate::exchange::{Gateway, Job, max_pause_of};
 use crate::loads::InFlightGuard;
 use crate::queues::Permit;
-use crate::relay::{Run, join};
 use crate::response_monitor::UnresponsiveTarget;
 
 impl Gateway {
     /// Serves a request that has passed all checks.
     pub(crate) async fn serve(self: &Arc<Self>, job: Job) -> Response<Body> {
         self.credit_retry_budgets(&job);
-        let mut tries = AttemptHistory::default();
-        let served = match self.acquire_permit(&job, &mut tries).await {
-            Ok(permit) => self.answer(&job, &mut tries).await.map(|answer| (permit, answer)),
+        let mut history = AttemptHistory::default();
+        let result = match self.acquire_permit(&job, &mut history).await {
+            Ok(permit) => self
+                .obtain_response(&job, &mut history)
+                .await
+                .map(|response| (permit, response)),
             Err(refusal) => Err(refusal),
         };
-        match served {
-            Ok((permit, answer)) => respond(self, job, tries, permit, answer),
+        match result {
+            Ok((permit, response)) => respond(self, job, history, permit, response),
             Err(refusal) => {
                 let status = refusal.reason.status().as_u16();
-                self.record_end(&job, refusal.reason.name(), &tries.attempted_targets, status);
+                self.record_end(&job, refusal.reason.name(), &history.attempted_targets, status);
                 refusal.response(&self.target_client.dialect.request_id, job.outbound.head.id.as_ref())
             }
         }
     }
 }
 
-/// The answer as the caller gets it.
+/// Builds the HTTP response for the caller.
 fn respond(
     gateway: &Arc<Gateway>,
     job: Job,
-    tries: AttemptHistory,
+    history: AttemptHistory,
     permit: Option<Permit>,
-    answer: Answer,
+    response: CallerResponse,
 ) -> Response<Body> {
-    gateway.metrics.first(job.route().kind, job.arrived_at.elapsed());
-    match answer {
-        Answer::Complete(whole) => {
-            gateway.record_end(&job, "answered", &tries.attempted_targets, whole.status.as_u16());
-            let body = Full::new(whole.body).map_err(|never| match never {}).boxed_unsync();
-            response(whole.status, whole.headers, body)
+    gateway
+        .metrics
+        .record_response(job.route().kind, job.arrived_at.elapsed());
+    match response {
+        CallerResponse::Complete(complete) => {
+            gateway.record_end(&job, "answered", &history.attempted_targets, complete.status.as_u16());
+            let body = Full::new(complete.body).map_err(|never| match never {}).boxed_unsync();
+            build_response(complete.status, complete.headers, body)
         }
-        Answer::Long(begun, running) => {
-            gateway.record_end(&job, "passed_on", &tries.attempted_targets, begun.status.as_u16());
-            let (status, headers) = (begun.status, begun.headers);
-            let long = Long {
+        CallerResponse::Partial(partial, in_flight) => {
+            gateway.record_end(&job, "passed_on", &history.attempted_targets, partial.status.as_u16());
+            let (status, headers) = (partial.status, partial.headers);
+            let relay = BodyRelay {
                 gateway: Arc::clone(gateway),
                 job,
-                tries,
-                collected: Some(begun.buffered),
-                rest: begun.remainder,
-                _running: running,
+                history,
+                buffered: Some(partial.buffered),
+                remainder: partial.remainder,
+                _in_flight: in_flight,
             };
-            response(status, headers, long.into_body())
+            build_response(status, headers, relay.into_body())
         }
-        Answer::Stream(stream) => {
+        CallerResponse::Stream(stream) => {
             if let Some(permit) = &permit {
                 permit.record_first_event();
             }
             let (status, headers) = (stream.status, stream.headers);
-            let relay = Relay {
+            let relay = StreamRelay {
                 gateway: Arc::clone(gateway),
                 job,
-                first: stream.first,
-                run: stream.run,
-                running: stream.running,
+                first_event: stream.first_event,
+                events: stream.events,
+                in_flight: stream.in_flight,
                 _permit: permit,
-                tries,
-                pauses: Pauses::begin(),
-                stays: false,
-                over: false,
+                history,
+                timing: EventTiming::begin(),
+                is_pinned: false,
+                is_finished: false,
             };
-            response(status, headers, relay.into_body())
+            build_response(status, headers, relay.into_body())
         }
     }
 }
 
-/// A stream on its way to the caller.
-struct Relay {
+/// Forwards an event stream to the caller.
+struct StreamRelay {
     gateway: Arc<Gateway>,
     job: Job,
-    first: Option<Event>,
-    run: Run,
-    /// Counts as load of the target for as long as it is held.
-    running: InFlightGuard,
+    first_event: Option<Event>,
+    events: EventStream,
+    /// Counts the request as load of the target until dropped.
+    in_flight: InFlightGuard,
     _permit: Option<Permit>,
-    tries: AttemptHistory,
-    pauses: Pauses,
-    /// Whether it stays where it is, even if that is slow.
-    stays: bool,
-    over: bool,
+    history: AttemptHistory,
+    timing: EventTiming,
+    /// Whether the stream stays at its target even if that is slow, because it must not move to another.
+    is_pinned: bool,
+    is_finished: bool,
 }
 
-/// How evenly events come.
+/// When the events of a stream arrived.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pauses {
-    began: Instant,
-    last: Instant,
-    /// Longest time between two events so far.
-    pub(crate) longest: Duration,
+pub(crate) struct EventTiming {
+    first_event_at: Instant,
+    last_event_at: Instant,
+    /// Longest pause between two events so far.
+    pub(crate) longest_pause: Duration,
 }
 
-impl Pauses {
-    /// The first event is there.
+impl EventTiming {
+    /// Starts with the first event.
     fn begin() -> Self {
         let now = Instant::now();
         Self {
-            began: now,
-            last: now,
-            longest: Duration::ZERO,
+            first_event_at: now,
+            last_event_at: now,
+            longest_pause: Duration::ZERO,
         }
     }
 
-    /// Another event is there.
-    fn note(&mut self) {
+    /// Records the arrival of another event.
+    fn record_event(&mut self) {
         let now = Instant::now();
-        self.longest = self.longest.max(now.saturating_duration_since(self.last));
-        self.last = now;
+        self.longest_pause = self
+            .longest_pause
+            .max(now.saturating_duration_since(self.last_event_at));
+        self.last_event_at = now;
     }
 }
 
-impl Relay {
+impl StreamRelay {
     fn into_body(self) -> Body {
-        let pieces = stream::unfold(self, |mut relay| async move {
-            let piece = relay.next().await?;
-            Some((piece.map(Frame::data), relay))
+        let chunks = stream::unfold(self, |mut relay| async move {
+            let chunk = relay.next().await?;
+            Some((chunk.map(Frame::data), relay))
         });
-        BodyExt::boxed_unsync(StreamBody::new(pieces))
+        BodyExt::boxed_unsync(StreamBody::new(chunks))
     }
 
-    /// The next bytes for the caller; an error breaks the connection, so that the answer does not look whole.
+    /// Returns the next bytes for the caller. An error aborts the connection, so that the response does not look complete.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        if self.over {
+        if self.is_finished {
             return None;
         }
         loop {
-            if let Some(first) = self.first.take() {
-                self.pauses.note();
-                return Some(Ok(join(first, &mut self.run)));
+            if let Some(first_event) = self.first_event.take() {
+                self.timing.record_event();
+                return Some(Ok(join_buffered(first_event, &mut self.events)));
             }
             let next = tokio::select! {
                 biased;
-                next = self.run.next(self.job.outbound.deadline) => next,
-                () = self.gateway.loads.stragglers.wait_until_straggler(self.running.target), if !self.stays => {
-                    self.leave_slow().await;
+                next = self.events.next(self.job.outbound.deadline) => next,
+                () = self.gateway.loads.stragglers.wait_until_straggler(self.in_flight.target), if !self.is_pinned => {
+                    self.abandon_straggler().await;
                     continue;
                 }
-                verdict = silence(&self.gateway, &self.job, &self.tries), if !self.stays => {
-                    self.leave_silent(verdict).await;
+                verdict = wait_until_unresponsive(&self.gateway, &self.job, &self.history), if !self.is_pinned => {
+                    self.abandon_unresponsive(verdict).await;
                     continue;
                 }
             };
             match next {
                 Ok(Some(event)) => {
-                    self.note_event();
-                    return Some(Ok(join(event, &mut self.run)));
+                    self.record_event();
+                    return Some(Ok(join_buffered(event, &mut self.events)));
                 }
                 Ok(None) => {
                     let request = &self.job.outbound.fingerprint;
                     self.gateway.board.quarantine.record_answer(request);
-                    self.end("streamed");
+                    self.finish("streamed");
                     return None;
                 }
-                Err(loss) => {
-                    if !self.resume(loss).await {
-                        self.end(loss.name());
-                        return Some(Err(std::io::Error::other("the answer broke off")));
+                Err(error) => {
+                    if !self.resume(error).await {
+                        self.finish(error.name());
+                        return Some(Err(std::io::Error::other("the event stream was interrupted")));
                     }
                 }
             }
         }
     }
 
-    /// Another event is there.
-    fn note_event(&mut self) {
-        if let Some(seat) = self.tries.attempted_targets.last() {
+    /// Records the arrival of another event.
+    fn record_event(&mut self) {
+        if let Some(instance) = self.history.attempted_targets.last() {
             self.gateway
                 .response_monitor
-                .record_response(seat, ResponsePart::NextEvent, self.pauses.last);
+                .record_response(instance, ResponsePart::NextEvent, self.timing.last_event_at);
         }
-        self.pauses.note();
+        self.timing.record_event();
     }
 
-    /// Leaves a target that holds its group back, if the stream can go on elsewhere. If that fails in the end, the run that
-    /// was left shows as broken.
-    async fn leave_slow(&mut self) {
-        let sends = self.tries.attempted_targets.len();
-        let at = self.tries.attempted_targets.last().map_or("", |seat| &seat.target.id);
-        let left = self.gateway.may_abandon_straggler(&self.job, at, sends, &self.tries);
-        self.leave(left).await;
+    /// Abandons a target that is a straggler, if the stream may continue at another one. If no other target serves the rest,
+    /// the caller sees an interrupted response.
+    async fn abandon_straggler(&mut self) {
+        let attempts_made = self.history.attempted_targets.len();
+        let target_id = self
+            .history
+            .attempted_targets
+            .last()
+            .map_or("", |instance| &instance.target.id);
+        let abandoned = self
+            .gateway
+            .may_abandon_straggler(&self.job, target_id, attempts_made, &self.history);
+        self.finish_abandonment(abandoned).await;
     }
 
-    /// The same for one that is silent.
-    async fn leave_silent(&mut self, verdict: UnresponsiveTarget) {
-        let sends = self.tries.attempted_targets.len();
-        let may_leave = |seat| {
+    /// Abandons an unresponsive target in the same way.
+    async fn abandon_unresponsive(&mut self, verdict: UnresponsiveTarget) {
+        let attempts_made = self.history.attempted_targets.len();
+        let abandons = |instance| {
             self.gateway
-                .may_abandon_unresponsive(&self.job, seat, verdict, sends, &self.tries)
+                .may_abandon_unresponsive(&self.job, instance, verdict, attempts_made, &self.history)
         };
-        let left = self.tries.attempted_targets.last().is_some_and(may_leave);
-        self.leave(left).await;
+        let abandoned = self.history.attempted_targets.last().is_some_and(abandons);
+        self.finish_abandonment(abandoned).await;
     }
 
-    async fn leave(&mut self, left: bool) {
-        self.stays = !left;
-        if left {
-            self.run.leave();
-            self.go_on(ResponseError::ConnectionLost).await;
+    /// Continues elsewhere if the target is abandoned; otherwise keeps the stream at its target for good.
+    async fn finish_abandonment(&mut self, abandoned: bool) {
+        self.is_pinned = !abandoned;
+        if abandoned {
+            self.events.close();
+            self.continue_elsewhere(ResponseError::ConnectionLost).await;
         }
     }
 
-    /// Goes on elsewhere after the last event that the caller has, if that may be.
-    async fn resume(&mut self, loss: ResponseError) -> bool {
-        if let Some(seat) = self.tries.attempted_targets.last() {
-            self.gateway.investigate_lost_response(&self.job, seat, loss).await;
+    /// Resumes the stream at another target after the last event that the caller has, if route and retry budget allow it.
+    async fn resume(&mut self, error: ResponseError) -> bool {
+        if let Some(instance) = self.history.attempted_targets.last() {
+            self.gateway.investigate_lost_response(&self.job, instance, error).await;
         }
-        let resumable = self.job.outbound.retryable && loss != ResponseError::Timeout;
-        resumable && self.gateway.may_retry(&self.job, &self.tries) && self.go_on(loss).await
+        let resumable = self.job.outbound.retryable && error != ResponseError::Timeout;
+        resumable && self.gateway.may_retry(&self.job, &self.history) && self.continue_elsewhere(error).await
     }
 
-    /// Sends the rest of the stream elsewhere.
-    async fn go_on(&mut self, loss: ResponseError) -> bool {
-        self.job.outbound.last_event_id = self.run.last().or(self.job.outbound.last_event_id);
-        let Ok(Answer::Stream(stream)) = self.gateway.answer(&self.job, &mut self.tries).await else {
+    /// Requests the rest of the stream from another target.
+    async fn continue_elsewhere(&mut self, error: ResponseError) -> bool {
+        self.job.outbound.last_event_id = self.events.last_id().or(self.job.outbound.last_event_id);
+        let Ok(CallerResponse::Stream(stream)) = self.gateway.obtain_response(&self.job, &mut self.history).await
+        else {
             return false;
         };
-        log::info!(target: DECISION, decision = "resumed", request = self.job.outbound.head.id_text(), after = self.job.outbound.last_event_id, loss = loss.name(); "stream goes on elsewhere");
-        self.gateway.metrics.resumed.add_one();
-        self.first = stream.first;
-        self.run = stream.run;
-        self.running = stream.running;
+        log::info!(target: DECISION, decision = "resumed", request = self.job.outbound.head.id_text(), after = self.job.outbound.last_event_id, loss = error.name(); "stream resumed at another target");
+        self.gateway.metrics.resumed_streams.add_one();
+        self.first_event = stream.first_event;
+        self.events = stream.events;
+        self.in_flight = stream.in_flight;
         true
     }
 
-    /// Says of a stream that its caller had to wait for events how long, and for which.
-    fn log_pauses(&self) {
-        let first = self.pauses.began.saturating_duration_since(self.job.arrived_at);
-        log::info!(target: DECISION, decision = "pauses", request = self.job.outbound.head.id_text(), first_ms = first.as_millis() as u64, longest_pause_ms = self.pauses.longest.as_millis() as u64; "stream");
+    /// Logs how long the caller waited for the first event, and the longest pause between two events.
+    fn log_timing(&self) {
+        let first_wait = self
+            .timing
+            .first_event_at
+            .saturating_duration_since(self.job.arrived_at);
+        log::info!(target: DECISION, decision = "pauses", request = self.job.outbound.head.id_text(), first_ms = first_wait.as_millis() as u64, longest_pause_ms = self.timing.longest_pause.as_millis() as u64; "pauses of the event stream");
     }
 
-    fn end(&mut self, outcome: &str) {
-        self.over = true;
-        self.log_pauses();
+    fn finish(&mut self, outcome: &str) {
+        self.is_finished = true;
+        self.log_timing();
         self.gateway
-            .record_end(&self.job, outcome, &self.tries.attempted_targets, 200);
+            .record_end(&self.job, outcome, &self.history.attempted_targets, 200);
     }
 }
 
-/// Returns once the target of a stream has been silent for too long.
-async fn silence(gateway: &Gateway, job: &Job, tries: &AttemptHistory) -> UnresponsiveTarget {
-    let pause = longest_pause_of(job);
-    let Some(seat) = tries.attempted_targets.last().filter(|_| !pause.is_zero()) else {
+/// Returns once the target of a stream has been unresponsive for too long; never if the route limits no pauses.
+async fn wait_until_unresponsive(gateway: &Gateway, job: &Job, history: &AttemptHistory) -> UnresponsiveTarget {
+    let max_pause = max_pause_of(job);
+    let Some(instance) = history.attempted_targets.last().filter(|_| !max_pause.is_zero()) else {
         return std::future::pending().await;
     };
     let wait = PendingResponse {
-        instance: seat,
+        instance,
         response_part: ResponsePart::NextEvent,
-        due_within: pause,
-        caller_timeout: job.given_up_after(),
+        due_within: max_pause,
+        caller_timeout: job.caller_timeout(),
     };
     gateway.response_monitor.wait_until_unresponsive(wait).await
 }
 
-impl Drop for Relay {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.is_finished {
             self.gateway
-                .record_end(&self.job, CALLER_LEFT, &self.tries.attempted_targets, 200);
+                .record_end(&self.job, CALLER_LEFT, &self.history.attempted_targets, 200);
         }
     }
 }
 
-fn response(status: StatusCode, headers: HeaderMap, body: Body) -> Response<Body> {
+fn build_response(status: StatusCode, headers: HeaderMap, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// A long answer on its way to the caller.
-struct Long {
+/// Forwards a response longer than the buffer to the caller.
+struct BodyRelay {
     gateway: Arc<Gateway>,
     job: Job,
-    tries: AttemptHistory,
-    /// What was collected before it was found to be long.
-    collected: Option<Bytes>,
-    rest: RemainingBody,
-    /// Counts as load of the target for as long as it is held.
-    _running: InFlightGuard,
+    history: AttemptHistory,
+    /// Start of the body, buffered until it exceeded the limit.
+    buffered: Option<Bytes>,
+    remainder: RemainingBody,
+    /// Counts the request as load of the target until dropped.
+    _in_flight: InFlightGuard,
 }
 
-impl Long {
+impl BodyRelay {
     fn into_body(self) -> Body {
-        let pieces = stream::unfold(self, |mut long| async move {
-            let piece = long.next().await?;
-            Some((piece.map(Frame::data), long))
+        let chunks = stream::unfold(self, |mut relay| async move {
+            let chunk = relay.next().await?;
+            Some((chunk.map(Frame::data), relay))
         });
-        BodyExt::boxed_unsync(StreamBody::new(pieces))
+        BodyExt::boxed_unsync(StreamBody::new(chunks))
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        if let Some(bytes) = self.collected.take() {
+        if let Some(bytes) = self.buffered.take() {
             return Some(Ok(bytes));
         }
-        let next = tokio::time::timeout_at(self.job.outbound.deadline, self.rest.next()).await;
+        let next = tokio::time::timeout_at(self.job.outbound.deadline, self.remainder.next()).await;
         match next.unwrap_or(Err(ResponseError::Timeout)) {
             Ok(Some(bytes)) => Some(Ok(bytes)),
             Ok(None) => None,
-            Err(loss) => {
-                if let Some(seat) = self.tries.attempted_targets.last() {
-                    self.gateway.investigate_lost_response(&self.job, seat, loss).await;
+            Err(error) => {
+                if let Some(instance) = self.history.attempted_targets.last() {
+                    self.gateway.investigate_lost_response(&self.job, instance, error).await;
                 }
-                Some(Err(std::io::Error::other(loss.name())))
+                Some(Err(std::io::Error::other(error.name())))
             }
         }
     }
--- a/crates/sparscale_gateway/src/server.rs
+++ b/crates/sparscale_gateway/src/server.rs
@@ -1,4 +1,5 @@
-//! Connections from callers.
+//! Serves the connections of callers: reads requests, closes connections that are idle or too slow, and drains at
+//! shutdown.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,32 +25,32 @@
 use crate::body::Body;
 use crate::phase::{ConnectionCounter, Phase};
 
-/// Pause after a connection could not be accepted: descriptors are short, and waiting frees some.
+/// Delay after accepting a connection failed: usually file descriptors are exhausted, and some become free meanwhile.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Shortest read buffer that the HTTP library takes.
-const MIN_BUFFER: usize = 8 << 10;
-/// Added to the callers' idle time, so that the entry never closes a connection that a caller may still use.
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Added to the idle time that callers know, so that the entry never closes a connection that a caller may still use.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a connection is waiting for.
+/// What a connection currently waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wait {
     /// The first byte of a request.
     Request = 0,
-    /// The rest of a head.
+    /// The rest of a request head.
     Head = 1,
-    /// An answer of ours.
-    Answer = 2,
+    /// The response of the entry.
+    Response = 2,
 }
 
-/// What a connection is waiting for, and since when.
+/// Tracks what a connection waits for and since when, to enforce its timeouts.
 #[derive(Debug)]
-struct Watch {
+struct WaitTracker {
     wait: AtomicU8,
     since: Mutex<Instant>,
 }
 
-impl Watch {
+impl WaitTracker {
     fn new() -> Self {
         Self {
             wait: AtomicU8::new(Wait::Request as u8),
@@ -62,14 +63,14 @@
         *self.since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    fn note_bytes(&self) {
+    fn record_bytes(&self) {
         if self.wait.load(Ordering::Relaxed) == Wait::Request as u8 {
             self.set(Wait::Head);
         }
     }
 
-    /// When the present wait is over.
-    fn over(&self, limits: &Limits) -> Option<Instant> {
+    /// When the current wait times out; none while the entry responds.
+    fn deadline(&self, limits: &Limits) -> Option<Instant> {
         let since = *self.since.lock().unwrap_or_else(PoisonError::into_inner);
         match self.wait.load(Ordering::Relaxed) {
             wait if wait == Wait::Request as u8 => Some(since + limits.idle_time + IDLE_MARGIN),
@@ -79,24 +80,24 @@
     }
 }
 
-/// A stream that tells its [`Watch`] when bytes arrive.
-struct Watched {
+/// A stream that reports received bytes to its [`WaitTracker`].
+struct TrackedStream {
     stream: TcpStream,
-    watch: Arc<Watch>,
+    tracker: Arc<WaitTracker>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before {
-            self.watch.note_bytes();
+        if buf.filled().len() > filled_before {
+            self.tracker.record_bytes();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -122,13 +123,13 @@
     }
 }
 
-/// A body that tells its [`Watch`] when the answer is over.
-struct Answer {
+/// A response body that resets its [`WaitTracker`] when the response has ended.
+struct TrackedBody {
     body: Body,
-    watch: Arc<Watch>,
+    tracker: Arc<WaitTracker>,
 }
 
-impl hyper::body::Body for Answer {
+impl hyper::body::Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -148,17 +149,17 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.watch.set(Wait::Request);
+        self.tracker.set(Wait::Request);
     }
 }
 
-/// Serves callers at `listener` until `phase` says to close.
+/// Serves callers at `listener` until the phase is [`Phase::Closing`].
 pub(crate) async fn serve(
     listener: TcpListener,
     admission: Arc<Admission>,
-    progress: Arc<ConnectionCounter>,
+    connection_counter: Arc<ConnectionCounter>,
     mut phase: watch::Receiver<Phase>,
 ) {
     loop {
@@ -168,92 +169,93 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let connection = connection(stream, Arc::clone(&admission), phase.clone());
-                let counted = Counted::new(Arc::clone(&progress));
+                let connection = serve_connection(stream, Arc::clone(&admission), phase.clone());
+                let guard = ConnectionGuard::new(Arc::clone(&connection_counter));
                 tokio::spawn(async move {
-                    let _counted = counted;
+                    let _guard = guard;
                     connection.await;
                 });
             }
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "a connection was not accepted");
+                log::warn!(error = error.to_string().as_str(); "accepting a connection failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-struct Counted {
-    progress: Arc<ConnectionCounter>,
+/// Counts an open connection until dropped.
+struct ConnectionGuard {
+    connection_counter: Arc<ConnectionCounter>,
 }
 
-impl Counted {
-    fn new(progress: Arc<ConnectionCounter>) -> Self {
-        progress.connections.fetch_add(1, Ordering::Relaxed);
-        Self { progress }
+impl ConnectionGuard {
+    fn new(connection_counter: Arc<ConnectionCounter>) -> Self {
+        connection_counter.connections.fetch_add(1, Ordering::Relaxed);
+        Self { connection_counter }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.progress.connections.fetch_sub(1, Ordering::Relaxed);
+        self.connection_counter.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn connection(stream: TcpStream, admission: Arc<Admission>, mut phase: watch::Receiver<Phase>) {
+async fn serve_connection(stream: TcpStream, admission: Arc<Admission>, mut phase: watch::Receiver<Phase>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error = error.to_string().as_str(); "a caller left at once");
+        log::debug!(error = error.to_string().as_str(); "caller closed the connection immediately");
         return;
     }
-    let watch = Arc::new(Watch::new());
+    let tracker = Arc::new(WaitTracker::new());
     let limits = admission.limits();
     let service = {
-        let (admission, watch, phase) = (Arc::clone(&admission), Arc::clone(&watch), phase.clone());
-        service_fn(move |request| answer(Arc::clone(&admission), request, Arc::clone(&watch), *phase.borrow()))
+        let (admission, tracker, phase) = (Arc::clone(&admission), Arc::clone(&tracker), phase.clone());
+        service_fn(move |request| respond(Arc::clone(&admission), request, Arc::clone(&tracker), *phase.borrow()))
     };
-    let io = TokioIo::new(Watched {
+    let io = TokioIo::new(TrackedStream {
         stream,
-        watch: Arc::clone(&watch),
+        tracker: Arc::clone(&tracker),
     });
     let serving = http1::Builder::new()
         .auto_date_header(false)
-        .max_buf_size(limits.header_bytes.max(MIN_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     let mut serving = pin!(serving);
-    let mut closing = false;
+    let mut is_closing = false;
     loop {
-        let over = watch.over(&limits);
-        let check = over.unwrap_or_else(|| Instant::now() + limits.header_time);
+        let deadline = tracker.deadline(&limits);
+        let next_check = deadline.unwrap_or_else(|| Instant::now() + limits.header_time);
         tokio::select! {
-            // The caller sees how its connection ended.
+            // An error needs no handling: the caller sees how its connection ended.
             _ended = serving.as_mut() => return,
-            () = tokio::time::sleep_until(check) => {
-                if watch.over(&limits).is_some_and(|over| over <= Instant::now()) {
+            () = tokio::time::sleep_until(next_check) => {
+                if tracker.deadline(&limits).is_some_and(|deadline| deadline <= Instant::now()) {
                     serving.as_mut().graceful_shutdown();
-                    if watch.wait.load(Ordering::Relaxed) == Wait::Head as u8 {
+                    if tracker.wait.load(Ordering::Relaxed) == Wait::Head as u8 {
                         return;
                     }
                 }
             }
-            _ = phase.wait_for(|phase| *phase == Phase::Closing), if !closing => {
-                closing = true;
+            _ = phase.wait_for(|phase| *phase == Phase::Closing), if !is_closing => {
+                is_closing = true;
                 serving.as_mut().graceful_shutdown();
             }
         }
     }
 }
 
-async fn answer(
+async fn respond(
     admission: Arc<Admission>,
     request: Request<Incoming>,
-    watch: Arc<Watch>,
+    tracker: Arc<WaitTracker>,
     phase: Phase,
-) -> Result<Response<Answer>, Infallible> {
-    watch.set(Wait::Answer);
-    let mut response = admission.answer(request).await;
+) -> Result<Response<TrackedBody>, Infallible> {
+    tracker.set(Wait::Response);
+    let mut response = admission.handle(request).await;
     if phase != Phase::Serving {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
     }
-    Ok(response.map(|body| Answer { body, watch }))
+    Ok(response.map(|body| TrackedBody { body, tracker }))
 }
--- a/crates/sparscale_gateway/src/settings.rs
+++ b/crates/sparscale_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is started with.
+//! Settings and dependencies of a gateway, and the errors of its start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,52 +16,52 @@
 use crate::admission::Freshness;
 use crate::dialect::Dialect;
 
-/// Checked settings of a gateway.
+/// Validated settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this process.
+    /// Name of this process, for the log.
     pub name: String,
-    /// Hall that its box stands in.
+    /// Hall of the box that this process runs on.
     pub hall: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this entry takes callers.
+    /// Address of the readiness check for the load balancer in front.
     pub ready: SocketAddr,
-    /// Where this process takes connections from other processes.
+    /// Address that other processes of the system connect to.
     pub peers: SocketAddr,
-    /// Entries that the settings name.
+    /// Addresses of other entries to connect to at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two messages on a link without news.
+    /// Time between two messages on a link without updates.
     pub interval: Duration,
-    /// How old beliefs may be.
+    /// Maximum age of the catalog for decisions about requests.
     pub freshness: Freshness,
-    /// Budget of sends beyond the first, over all entries.
+    /// Retry budget, shared by all entries.
     pub allowance: Allowance,
-    /// Age at which the first reader in line reads the store.
+    /// Age of the observed state at which the first of the entries reads the store.
     pub read_interval: Duration,
-    /// What each place in line adds to it.
+    /// Time that each further entry waits longer than the one before it.
     pub read_step: Duration,
-    /// Time after SIGTERM for which callers are still accepted: until the balancer has noticed.
+    /// Time after SIGTERM during which connections are still accepted, so that the load balancer can notice the stop.
     pub leave_time: Duration,
-    /// Time after SIGTERM at which the process ends whatever is in progress.
+    /// Time after SIGTERM after which the process exits even if requests are in flight.
     pub grace: Duration,
 }
 
-/// What a gateway is connected to.
+/// Dependencies of a gateway.
 pub struct Parts {
-    /// Gives the catalog.
+    /// Source of the catalog.
     pub catalog: Box<dyn Source<Catalog>>,
-    /// Gives the roster.
+    /// Source of the roster.
     pub roster: Box<dyn Source<Roster>>,
-    /// Gives what the store keeps of requests that crash targets.
+    /// Source of the stored strikes: records of requests during which a target terminated.
     pub strikes: Box<dyn Source<Vec<Strike>>>,
-    /// Keeps what this process sees of them.
+    /// Archive for the strikes that this process observes.
     pub archive: Box<dyn Archive>,
-    /// Tells how old beliefs are.
+    /// Clock for deadlines and for the age of the observed state; counts suspended time.
     pub clock: Arc<dyn Clock>,
-    /// Names of the headers.
+    /// Header names.
     pub dialect: Dialect,
-    /// The process's figures.
+    /// Registry of the process's metrics.
     pub registry: Arc<Registry>,
 }
 
@@ -73,28 +73,28 @@
     }
 }
 
-/// Why a gateway cannot run.
+/// Why a gateway cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The operating system does not tell an address.
-    #[snafu(display("no address of its own: {source}"))]
+    /// The operating system did not return the address of a socket.
+    #[snafu(display("cannot determine the local address of a socket: {source}"))]
     Address {
-        /// What it said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// An address cannot be listened at.
-    #[snafu(display("{address}: cannot be listened at: {source}; choose a free address of this box"))]
+    /// Listening on an address failed.
+    #[snafu(display("cannot listen on {address}: {source}; choose a free address of this box"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The socket towards other processes cannot be opened.
+    /// The socket for other processes cannot be opened.
     #[snafu(display("{source}"))]
     Peers {
-        /// What is wrong.
+        /// Why the socket cannot be opened.
         source: EndpointError,
     },
 }
