--- a/crates/sparscale_gateway/src/caller_response.rs
+++ b/crates/sparscale_gateway/src/caller_response.rs
@@ -8,7 +8,7 @@
 use crate::loads::InFlightGuard;
 
 /// Outcome of a request whose caller closed the connection before the response ended.
-pub(crate) const CALLER_LEFT: &str = "caller_left";
+pub(crate) const CALLER_DISCONNECTED: &str = "caller_left";
 
 /// A response that can be sent to the caller.
 #[derive(Debug)]
--- a/crates/sparscale_gateway/src/entry.rs
+++ b/crates/sparscale_gateway/src/entry.rs
@@ -32,8 +32,8 @@
 use crate::settings::{AddressSnafu, Error, ListenSnafu, Parts, PeersSnafu, Settings};
 use crate::traffic_split::TrafficSplit;
 
-/// Maximum idle time of a connection that is reused for a request which may run only once: always a new connection, as
-/// the target may have dropped an idle one.
+/// Maximum idle time of a connection that is reused for a request which may run only once. Zero: the target may have
+/// dropped an idle connection.
 const MAX_IDLE_RUN_ONCE: Duration = Duration::ZERO;
 /// Number of entries assumed to share the headroom of groups until another entry is known.
 const ASSUMED_ENTRY_COUNT: usize = 4;
@@ -47,11 +47,11 @@
 #[derive(Debug)]
 pub struct Entry {
     /// Address that callers connect to.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of the readiness check for the load balancer in front.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Address that other processes of the system connect to.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The observed state of the system.
     pub board: Arc<Board>,
     /// Links to the other processes of the system.
@@ -139,12 +139,12 @@
             Arc::clone(&gateway),
         ));
         tokio::spawn(follow_mesh_members(Arc::clone(&mesh), Arc::clone(&board)));
-        tokio::spawn(drop_removed(Arc::clone(&gateway)));
+        tokio::spawn(drop_removed_state(Arc::clone(&gateway)));
         let (phase, phases) = watch::channel(Phase::Serving);
         let entry = Self {
-            callers: callers.local_addr().context(AddressSnafu)?,
-            ready: ready.local_addr().context(AddressSnafu)?,
-            peers: mesh.address(),
+            caller_address: callers.local_addr().context(AddressSnafu)?,
+            ready_address: ready.local_addr().context(AddressSnafu)?,
+            peer_address: mesh.address(),
             board: Arc::clone(&board),
             mesh: Arc::clone(&mesh),
             phase,
@@ -160,7 +160,7 @@
             Arc::clone(&entry.connection_counter),
             phases,
         ));
-        log::info!(target: DECISION, decision = "start", name = entry.settings.name.as_str(), callers = entry.callers.to_string().as_str(); "entry started");
+        log::info!(target: DECISION, decision = "start", name = entry.settings.name.as_str(), callers = entry.caller_address.to_string().as_str(); "entry started");
         Ok(entry)
     }
 
@@ -217,7 +217,7 @@
     gateway: Arc<Gateway>,
 ) {
     let mut status = mesh.status();
-    let mut last_entries = status.borrow().entries;
+    let mut last_entry_count = status.borrow().entries;
     while status.changed().await.is_ok() {
         let MeshStatus {
             index,
@@ -228,12 +228,12 @@
             read_schedule.set_reader_index(index);
         }
         // The assumed number stays until another entry is known.
-        if entries != last_entries {
+        if entries != last_entry_count {
             entry_count.store(entries, Ordering::Relaxed);
-            last_entries = entries;
+            last_entry_count = entries;
         }
         gateway.sharers.store(sharers.unwrap_or(0), Ordering::Relaxed);
-        log::info!(target: DECISION, decision = "line", place = index, entries, sharers; "index among the entries changed");
+        log::info!(target: DECISION, decision = "line", place = index, entries, sharers; "status of the mesh changed");
     }
 }
 
@@ -263,18 +263,18 @@
         for load in gateway.mesh.group_loads() {
             gateway.response_monitor.record_report(&load);
         }
-        // Cached by service, as a service may have many groups.
-        let mut limits = HashMap::new();
+        // Engine and maximum pause by service, as a service may have many groups.
+        let mut engines = HashMap::new();
         for group in backlogged_groups {
-            let Some((name, size)) = targets.value.service_of(&group) else {
+            let Some((service_name, size)) = targets.value.service_of(&group) else {
                 continue;
             };
-            let limits = *limits.entry(name).or_insert_with(|| {
-                let service = catalog.value.find_service(name)?;
+            let engine = *engines.entry(service_name).or_insert_with(|| {
+                let service = catalog.value.find_service(service_name)?;
                 let engine = catalog.value.service(service).engine.as_ref()?;
-                Some((engine, catalog.value.pause_of(name)?))
+                Some((engine, catalog.value.pause_of(service_name)?))
             });
-            if let Some((engine, max_pause)) = limits {
+            if let Some((engine, max_pause)) = engine {
                 let group = Group { name: &group, size };
                 let open_fraction = gateway.open_fraction(&targets.value, group);
                 gateway.queues.refresh(group, open_fraction, engine, max_pause);
@@ -285,7 +285,7 @@
 }
 
 /// Drops the state of targets and routes that no longer exist.
-async fn drop_removed(gateway: Arc<Gateway>) {
+async fn drop_removed_state(gateway: Arc<Gateway>) {
     let mut targets = gateway.board.subscribe_targets();
     while targets.changed().await.is_ok() {
         let Some(observation) = targets.borrow_and_update().clone() else {
@@ -297,10 +297,10 @@
         gateway.board.throttle.retain(&observation.value);
         if let Some(catalog) = gateway.board.catalog() {
             let routes = &catalog.value.document().routes;
-            let exists = |name: &str| routes.iter().any(|route| route.name == name);
-            gateway.traffic_split.retain(exists);
+            let route_exists = |name: &str| routes.iter().any(|route| route.name == name);
+            gateway.traffic_split.retain(route_exists);
             let mut deadlines = gateway.deadlines.lock().unwrap_or_else(PoisonError::into_inner);
-            deadlines.retain(exists);
+            deadlines.retain(route_exists);
         }
     }
 }
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -33,7 +33,7 @@
 };
 use crate::attempt_history::AttemptHistory;
 use crate::attempted_targets::AttemptedTargets;
-use crate::caller_response::{CALLER_LEFT, CallerResponse, StreamResponse};
+use crate::caller_response::{CALLER_DISCONNECTED, CallerResponse, StreamResponse};
 use crate::event_stream::EventStream;
 use crate::gate::Gates;
 use crate::loads::{InFlightGuard, Loads};
@@ -512,7 +512,7 @@
     pub(crate) fn record_end(&self, job: &Job, outcome: &str, attempted: &AttemptedTargets, status: u16) {
         self.metrics
             .record_end(job.route().kind, outcome, job.arrived_at.elapsed());
-        let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_LEFT) && status < 500;
+        let is_success = matches!(outcome, "answered" | "passed_on" | "streamed" | CALLER_DISCONNECTED) && status < 500;
         let level = if is_success { log::Level::Info } else { log::Level::Warn };
         log::log!(
             target: DECISION,
--- a/crates/sparscale_gateway/src/pool.rs
+++ b/crates/sparscale_gateway/src/pool.rs
@@ -27,7 +27,7 @@
 /// Fraction of the target's keep-alive time during which an idle connection is reused, so that no request arrives just
 /// as the target closes the connection.
 const KEEP_ALIVE_FRACTION: f64 = 0.5;
-/// Maximum idle time of a connection, also if the target states no shorter keep-alive time.
+/// Maximum idle time of a connection that is reused; a keep-alive time of the target can shorten it.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Maximum number of idle connections to one target.
 const MAX_IDLE_CONNECTIONS: usize = 32;
--- a/crates/sparscale_gateway/src/respond.rs
+++ b/crates/sparscale_gateway/src/respond.rs
@@ -16,7 +16,7 @@
 use crate::attempt::{RemainingBody, ResponseError};
 use crate::attempt_history::AttemptHistory;
 use crate::body::Body;
-use crate::caller_response::{CALLER_LEFT, CallerResponse};
+use crate::caller_response::{CALLER_DISCONNECTED, CallerResponse};
 use crate::event_stream::{EventStream, join_buffered};
 use crate::events::Event;
 use crate::exchange::{Gateway, Job, max_pause_of};
@@ -304,7 +304,7 @@
     fn drop(&mut self) {
         if !self.is_finished {
             self.gateway
-                .record_end(&self.job, CALLER_LEFT, &self.history.attempted_targets, 200);
+                .record_end(&self.job, CALLER_DISCONNECTED, &self.history.attempted_targets, 200);
         }
     }
 }
--- a/crates/sparscale_gateway/tests/path/entry.rs
+++ b/crates/sparscale_gateway/tests/path/entry.rs
@@ -195,7 +195,7 @@
 /// Settings of an entry that connects to `first` and learns of the other entries from it.
 pub fn linked_settings(first: &Fixture) -> Settings {
     Settings {
-        seeds: vec![first.entry.peers],
+        seeds: vec![first.entry.peer_address],
         ..settings()
     }
 }
@@ -332,7 +332,7 @@
 
 impl Caller {
     pub fn open(fixture: &Fixture) -> Self {
-        Self::connect(fixture.entry.callers)
+        Self::connect(fixture.entry.caller_address)
     }
 
     pub fn connect(address: SocketAddr) -> Self {
--- a/crates/sparscale_gateway/tests/path/requested_backoffs.rs
+++ b/crates/sparscale_gateway/tests/path/requested_backoffs.rs
@@ -120,11 +120,11 @@
 #[test]
 fn not_resumed_during_backoff() {
     let limited = backing_off();
-    let send_count = Arc::new(AtomicUsize::new(0));
+    let arrival_count = Arc::new(AtomicUsize::new(0));
     let interrupting = {
-        let send_count = Arc::clone(&send_count);
+        let arrival_count = Arc::clone(&arrival_count);
         Target::start(move |arrival, connection| {
-            if send_count.fetch_add(1, Ordering::SeqCst).is_multiple_of(2) {
+            if arrival_count.fetch_add(1, Ordering::SeqCst).is_multiple_of(2) {
                 connection.stream_head(arrival, "d");
                 connection.event(1);
                 std::thread::sleep(Duration::from_millis(20));
--- a/crates/sparscale_gateway/tests/path/stopping.rs
+++ b/crates/sparscale_gateway/tests/path/stopping.rs
@@ -7,7 +7,7 @@
 use crate::target::Target;
 
 fn is_ready(fixture: &Fixture) -> bool {
-    let mut caller = Caller::connect(fixture.entry.ready);
+    let mut caller = Caller::connect(fixture.entry.ready_address);
     caller.send("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     caller.read_response().status == 200
 }
