--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -134,7 +134,7 @@
     }
 
     /// What the target is expected to send first.
-    fn first_awaited(&self) -> ResponsePart {
+    fn first_response_part(&self) -> ResponsePart {
         if is_stream(self) {
             ResponsePart::FirstEvent
         } else {
@@ -146,7 +146,7 @@
     fn first_wait<'a>(&self, instance: &'a Seat) -> PendingResponse<'a> {
         PendingResponse {
             instance,
-            response_part: self.first_awaited(),
+            response_part: self.first_response_part(),
             due_within: self.route().objective,
             caller_timeout: self.caller_timeout(),
         }
@@ -360,7 +360,7 @@
             SendOutcome::Partial(partial) => match self.begin_response(job, partial, in_flight).await {
                 Ok(response) => {
                     self.response_monitor
-                        .record_response(instance, job.first_awaited(), since);
+                        .record_response(instance, job.first_response_part(), since);
                     AttemptOutcome::Responded(response)
                 }
                 Err(error) => AttemptOutcome::ResponseLost(error),
