--- a/crates/sparscale_admit/src/ledger.rs
+++ b/crates/sparscale_admit/src/ledger.rs
@@ -10,7 +10,7 @@
 use snafu::Snafu;
 
 /// An entry in progress is looked at again after this long.
-const IN_PROGRESS_PAUSE: Duration = Duration::from_secs(1);
+const IN_PROGRESS_RECHECK: Duration = Duration::from_secs(1);
 
 /// Names an attempt: the incarnation of the process that made it, and that incarnation's counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -83,7 +83,7 @@
     capacity: usize,
     entries: BTreeMap<Attempt, Entry>,
     by_expiry: BTreeSet<(Duration, Attempt)>,
-    floors: HashMap<u64, u64>,
+    counter_floors: HashMap<u64, u64>,
     keys: HashMap<Key, KeyEntry>,
 }
 
@@ -94,7 +94,7 @@
             capacity,
             entries: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
-            floors: HashMap::new(),
+            counter_floors: HashMap::new(),
             keys: HashMap::new(),
         }
     }
@@ -154,17 +154,17 @@
     /// Notes that `attempt` is handed on now. False if it may not be: it does not wait.
     #[must_use]
     pub fn hand_on(&mut self, attempt: Attempt) -> bool {
-        self.change(attempt, State::Queued, State::Running)
+        self.transition(attempt, State::Queued, State::Running)
     }
 
     /// Notes that `attempt`, which was handed on, ended.
     pub fn end(&mut self, attempt: Attempt) {
-        self.change(attempt, State::Running, State::Ended);
+        self.transition(attempt, State::Running, State::Ended);
     }
 
     /// Notes that `attempt` was handed on, but provably never reached the target.
     pub fn take_back(&mut self, attempt: Attempt) {
-        if self.change(attempt, State::Running, State::Tombstone) {
+        if self.transition(attempt, State::Running, State::Tombstone) {
             self.release_key(attempt);
         }
     }
@@ -174,7 +174,7 @@
     /// `None` means that the ledger cannot tell. An attempt that never arrived gets a tombstone, too: its late
     /// original is refused.
     pub fn settle(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Option<State> {
-        if self.change(attempt, State::Queued, State::Tombstone) {
+        if self.transition(attempt, State::Queued, State::Tombstone) {
             self.release_key(attempt);
         }
         if let Some(state) = self.state(attempt) {
@@ -204,26 +204,26 @@
                 return;
             }
             self.by_expiry.pop_first();
-            if self.in_progress(attempt) {
-                self.by_expiry.insert((now + IN_PROGRESS_PAUSE, attempt));
+            if self.is_in_progress(attempt) {
+                self.by_expiry.insert((now + IN_PROGRESS_RECHECK, attempt));
                 continue;
             }
-            self.forget(attempt);
+            self.evict(attempt);
         }
     }
 
-    fn in_progress(&self, attempt: Attempt) -> bool {
+    fn is_in_progress(&self, attempt: Attempt) -> bool {
         matches!(self.state(attempt), Some(State::Queued | State::Running))
     }
 
-    fn forget(&mut self, attempt: Attempt) {
+    fn evict(&mut self, attempt: Attempt) {
         let Some(entry) = self.entries.remove(&attempt) else {
             return;
         };
         if let Some(key) = entry.key {
             self.keys.remove(&key);
         }
-        let floor = self.floors.entry(attempt.sender).or_default();
+        let floor = self.counter_floors.entry(attempt.sender).or_default();
         *floor = (*floor).max(attempt.counter + 1);
     }
 
@@ -241,7 +241,7 @@
         self.entries.insert(attempt, entry);
     }
 
-    fn change(&mut self, attempt: Attempt, from: State, to: State) -> bool {
+    fn transition(&mut self, attempt: Attempt, from: State, to: State) -> bool {
         match self.entries.get_mut(&attempt) {
             Some(entry) if entry.state == from => {
                 entry.state = to;
@@ -252,7 +252,7 @@
     }
 
     fn is_below_floor(&self, attempt: Attempt) -> bool {
-        let floor = self.floors.get(&attempt.sender);
+        let floor = self.counter_floors.get(&attempt.sender);
         floor.is_some_and(|floor| attempt.counter < *floor)
     }
 }
--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -9,7 +9,7 @@
 use snafu::Snafu;
 
 /// Rounds of smoothing for the observed service time: each new observation counts one part in this many.
-const SMOOTHING: f64 = 16.0;
+const SERVICE_TIME_SMOOTHING: f64 = 16.0;
 
 /// A waiting request.
 #[derive(Debug, Clone, PartialEq)]
@@ -70,28 +70,28 @@
     tiers: BTreeMap<u8, Tier<K>>,
     waiting: usize,
     running: usize,
-    since_floor: u32,
+    dispatches_since_floor: u32,
     /// Smoothed time that one place is held for one unit of cost.
     seconds_per_cost: f64,
 }
 
 #[derive(Debug)]
 struct Tier<K> {
-    lanes: BTreeMap<String, Lane<K>>,
+    workspaces: BTreeMap<String, WorkspaceQueue<K>>,
     /// Lanes that have work, by virtual finish time.
-    order: BTreeSet<(Virtual, String)>,
-    virtual_now: Virtual,
+    by_finish: BTreeSet<(VirtualTime, String)>,
+    virtual_now: VirtualTime,
     cost: f64,
 }
 
 #[derive(Debug)]
-struct Lane<K> {
+struct WorkspaceQueue<K> {
     jobs: VecDeque<Job<K>>,
-    finish: Virtual,
+    virtual_finish: VirtualTime,
 }
 
 /// Virtual time in thousandths of a cost unit at weight 1.
-type Virtual = u64;
+type VirtualTime = u64;
 
 impl<K: Clone + PartialEq> Queue<K> {
     /// An empty queue.
@@ -101,7 +101,7 @@
             tiers: BTreeMap::new(),
             waiting: 0,
             running: 0,
-            since_floor: 0,
+            dispatches_since_floor: 0,
             seconds_per_cost: 0.0,
         }
     }
@@ -132,10 +132,10 @@
         if self.running >= self.limits.running && now + wait >= job.deadline {
             return Err(Refusal::TooLate { retry_after: wait });
         }
-        let displaced = if self.has_room() {
+        let displaced = if self.has_headroom() {
             None
         } else {
-            let dropped = self.drop_lower(job.tier);
+            let dropped = self.displace_lower_tier(job.tier);
             Some(dropped.ok_or(Refusal::Full { retry_after: wait })?)
         };
         self.push(job);
@@ -151,7 +151,7 @@
                 expired.push(job.key);
                 continue;
             }
-            self.count_floor(tier);
+            self.count_dispatch(tier);
             self.running += 1;
             return Some(job);
         }
@@ -159,13 +159,13 @@
     }
 
     /// Frees the place of a request that ran for `held` with expected work `cost`.
-    pub fn finished(&mut self, cost: f64, held: Duration) {
+    pub fn finished(&mut self, cost: f64, residence: Duration) {
         self.running = self.running.saturating_sub(1);
-        let observed = held.as_secs_f64() / cost.max(1.0);
+        let observed = residence.as_secs_f64() / cost.max(1.0);
         if self.seconds_per_cost == 0.0 {
             self.seconds_per_cost = observed;
         }
-        self.seconds_per_cost += (observed - self.seconds_per_cost) / SMOOTHING;
+        self.seconds_per_cost += (observed - self.seconds_per_cost) / SERVICE_TIME_SMOOTHING;
     }
 
     /// Frees the place of a request that turned out not to run.
@@ -193,17 +193,17 @@
         Duration::from_secs_f64(seconds.clamp(0.0, 3_600.0))
     }
 
-    fn has_room(&self) -> bool {
+    fn has_headroom(&self) -> bool {
         self.waiting < self.limits.waiting || self.running < self.limits.running
     }
 
     /// Drops the newest request of the lowest tier below `tier`, to make room for one of `tier`.
-    fn drop_lower(&mut self, tier: u8) -> Option<K> {
+    fn displace_lower_tier(&mut self, tier: u8) -> Option<K> {
         let below = self
             .tiers
             .range(tier + 1..)
             .rev()
-            .find(|(_, tier)| !tier.order.is_empty());
+            .find(|(_, tier)| !tier.by_finish.is_empty());
         let lowest = below.map(|(index, _)| *index)?;
         let job = self.tiers.get_mut(&lowest)?.drop_newest()?;
         self.waiting -= 1;
@@ -222,25 +222,29 @@
     }
 
     fn next_tier(&self) -> Option<u8> {
-        let mut busy = self.tiers.iter().filter(|(_, tier)| !tier.order.is_empty());
+        let mut busy = self.tiers.iter().filter(|(_, tier)| !tier.by_finish.is_empty());
         let highest = busy.next()?;
         let lowest = busy.next_back().unwrap_or(highest);
-        let floor_due = self.limits.floor_one_in > 0 && self.since_floor + 1 >= self.limits.floor_one_in;
+        let floor_due = self.limits.floor_one_in > 0 && self.dispatches_since_floor + 1 >= self.limits.floor_one_in;
         let chosen = if floor_due { lowest } else { highest };
         Some(*chosen.0)
     }
 
-    fn count_floor(&mut self, tier: u8) {
-        let others_wait = self.tiers.range(tier + 1..).any(|(_, tier)| !tier.order.is_empty());
-        self.since_floor = if others_wait { self.since_floor + 1 } else { 0 };
+    fn count_dispatch(&mut self, tier: u8) {
+        let others_wait = self.tiers.range(tier + 1..).any(|(_, tier)| !tier.by_finish.is_empty());
+        self.dispatches_since_floor = if others_wait {
+            self.dispatches_since_floor + 1
+        } else {
+            0
+        };
     }
 }
 
 impl<K: Clone + PartialEq> Tier<K> {
     fn new() -> Self {
         Self {
-            lanes: BTreeMap::new(),
-            order: BTreeSet::new(),
+            workspaces: BTreeMap::new(),
+            by_finish: BTreeSet::new(),
             virtual_now: 0,
             cost: 0.0,
         }
@@ -249,50 +253,51 @@
     fn push(&mut self, job: Job<K>) {
         self.cost += job.cost;
         let name = job.workspace.clone();
-        let lane = self.lanes.entry(name.clone()).or_insert_with(|| Lane {
+        let workspace = self.workspaces.entry(name.clone()).or_insert_with(|| WorkspaceQueue {
             jobs: VecDeque::new(),
-            finish: 0,
+            virtual_finish: 0,
         });
-        if lane.jobs.is_empty() {
+        if workspace.jobs.is_empty() {
             // A workspace that was idle starts at the present: it gains no credit by waiting.
-            lane.finish = lane.finish.max(self.virtual_now);
-            self.order.insert((lane.finish, name));
+            workspace.virtual_finish = workspace.virtual_finish.max(self.virtual_now);
+            self.by_finish.insert((workspace.virtual_finish, name));
         }
-        lane.jobs.push_back(job);
+        workspace.jobs.push_back(job);
     }
 
     fn pop(&mut self) -> Option<Job<K>> {
-        let (finish, name) = self.order.pop_first()?;
+        let (finish, name) = self.by_finish.pop_first()?;
         self.virtual_now = finish;
-        let lane = self.lanes.get_mut(&name)?;
-        let job = lane.jobs.pop_front()?;
+        let workspace = self.workspaces.get_mut(&name)?;
+        let job = workspace.jobs.pop_front()?;
         self.cost -= job.cost;
-        lane.finish = finish + virtual_cost(&job);
-        if lane.jobs.is_empty() {
-            self.forget_idle_lanes();
+        workspace.virtual_finish = finish + virtual_cost(&job);
+        if workspace.jobs.is_empty() {
+            self.evict_idle_workspaces();
         } else {
-            self.order.insert((lane.finish, name));
+            self.by_finish.insert((workspace.virtual_finish, name));
         }
         Some(job)
     }
 
-    /// Idle lanes whose finish time has passed hold no information; dropping them bounds the memory.
-    fn forget_idle_lanes(&mut self) {
+    /// Idle workspaces whose finish time has passed hold no information; dropping them bounds the memory.
+    fn evict_idle_workspaces(&mut self) {
         let now = self.virtual_now;
-        self.lanes.retain(|_, lane| !lane.jobs.is_empty() || lane.finish > now);
-        if self.order.is_empty() {
+        self.workspaces
+            .retain(|_, workspace| !workspace.jobs.is_empty() || workspace.virtual_finish > now);
+        if self.by_finish.is_empty() {
             self.cost = 0.0;
         }
     }
 
     fn remove(&mut self, key: &K) -> Option<f64> {
-        for (name, lane) in &mut self.lanes {
-            let Some(index) = lane.jobs.iter().position(|job| job.key == *key) else {
+        for (name, workspace) in &mut self.workspaces {
+            let Some(index) = workspace.jobs.iter().position(|job| job.key == *key) else {
                 continue;
             };
-            let job = lane.jobs.remove(index)?;
-            if lane.jobs.is_empty() {
-                self.order.remove(&(lane.finish, name.clone()));
+            let job = workspace.jobs.remove(index)?;
+            if workspace.jobs.is_empty() {
+                self.by_finish.remove(&(workspace.virtual_finish, name.clone()));
             }
             return Some(job.cost);
         }
@@ -300,18 +305,18 @@
     }
 
     fn drop_newest(&mut self) -> Option<Job<K>> {
-        let (finish, name) = self.order.last()?.clone();
-        let lane = self.lanes.get_mut(&name)?;
-        let job = lane.jobs.pop_back()?;
-        if lane.jobs.is_empty() {
-            self.order.remove(&(finish, name));
+        let (finish, name) = self.by_finish.last()?.clone();
+        let workspace = self.workspaces.get_mut(&name)?;
+        let job = workspace.jobs.pop_back()?;
+        if workspace.jobs.is_empty() {
+            self.by_finish.remove(&(finish, name));
         }
         self.cost -= job.cost;
         Some(job)
     }
 }
 
-fn virtual_cost<K>(job: &Job<K>) -> Virtual {
+fn virtual_cost<K>(job: &Job<K>) -> VirtualTime {
     let cost = job.cost.max(1.0) * 1_000.0 / f64::from(job.weight.max(1));
-    (cost as Virtual).max(1)
+    (cost as VirtualTime).max(1)
 }
--- a/crates/sparscale_admit/tests/attempt_ledger.rs
+++ b/crates/sparscale_admit/tests/attempt_ledger.rs
@@ -8,12 +8,12 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Enter(Attempt),
-    HandOn(Attempt),
+    Register(Attempt),
+    Forward(Attempt),
     End(Attempt),
-    TakeBack(Attempt),
+    RecordUndelivered(Attempt),
     Settle(Attempt),
-    Pass(u8),
+    Advance(u8),
 }
 
 fn attempt(g: &mut Gen) -> Attempt {
@@ -26,51 +26,51 @@
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 12 {
-            0..4 => Self::Enter(attempt(g)),
-            4..7 => Self::HandOn(attempt(g)),
+            0..4 => Self::Register(attempt(g)),
+            4..7 => Self::Forward(attempt(g)),
             7 => Self::End(attempt(g)),
-            8 => Self::TakeBack(attempt(g)),
+            8 => Self::RecordUndelivered(attempt(g)),
             9..11 => Self::Settle(attempt(g)),
-            _ => Self::Pass(u8::arbitrary(g) % 40),
+            _ => Self::Advance(u8::arbitrary(g) % 40),
         }
     }
 }
 
 /// Runs `events` on a ledger and on the plain facts of what was handed on and what was called not run.
-fn holds(events: Vec<Event>) -> bool {
+fn runs_at_most_once(events: Vec<Event>) -> bool {
     const CAPACITY: usize = 4;
-    const KEEP: Duration = Duration::from_secs(20);
+    const RETENTION: Duration = Duration::from_secs(20);
     let mut ledger = Ledger::new(CAPACITY);
     let mut now = Duration::ZERO;
-    let mut handed_on: HashMap<Attempt, u32> = HashMap::new();
+    let mut forward_counts: HashMap<Attempt, u32> = HashMap::new();
     let mut not_run: HashSet<Attempt> = HashSet::new();
     for event in events {
         match event {
-            Event::Enter(id) => drop(ledger.enter(id, now + KEEP, now)),
-            Event::HandOn(id) => {
+            Event::Register(id) => drop(ledger.enter(id, now + RETENTION, now)),
+            Event::Forward(id) => {
                 if ledger.hand_on(id) {
-                    *handed_on.entry(id).or_default() += 1;
+                    *forward_counts.entry(id).or_default() += 1;
                 }
             }
             Event::End(id) => ledger.end(id),
-            Event::TakeBack(id) => {
+            Event::RecordUndelivered(id) => {
                 if ledger.state(id) == Some(State::Running) {
                     ledger.take_back(id);
                     // It provably never reached the target.
-                    handed_on.remove(&id);
+                    forward_counts.remove(&id);
                     not_run.insert(id);
                 }
             }
             Event::Settle(id) => {
-                if ledger.settle(id, now + KEEP, now) == Some(State::Tombstone) {
+                if ledger.settle(id, now + RETENTION, now) == Some(State::Tombstone) {
                     not_run.insert(id);
                 }
             }
-            Event::Pass(seconds) => now += Duration::from_secs(u64::from(seconds)),
+            Event::Advance(seconds) => now += Duration::from_secs(u64::from(seconds)),
         }
-        let twice = handed_on.values().any(|count| *count > 1);
-        let lied = not_run.iter().any(|id| handed_on.contains_key(id));
-        if twice || lied || ledger.len() > CAPACITY {
+        let ran_twice = forward_counts.values().any(|count| *count > 1);
+        let has_false_proof = not_run.iter().any(|id| forward_counts.contains_key(id));
+        if ran_twice || has_false_proof || ledger.len() > CAPACITY {
             return false;
         }
     }
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn at_most_once() {
+fn attempt_runs_at_most_once() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 1))
         .tests(50_000)
-        .quickcheck(holds as fn(Vec<Event>) -> bool);
+        .quickcheck(runs_at_most_once as fn(Vec<Event>) -> bool);
 }
 
 #[test]
-fn full_refuses() {
+fn full_ledger_rejects() {
     let mut ledger = Ledger::new(1);
     let first = Attempt { sender: 1, counter: 1 };
     let second = Attempt { sender: 1, counter: 2 };
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn forgotten_refuses() {
+fn evicted_attempt_rejected() {
     let mut ledger = Ledger::new(4);
     let id = Attempt { sender: 1, counter: 5 };
     let second = Duration::from_secs(1);
--- a/crates/sparscale_admit/tests/tier_queue.rs
+++ b/crates/sparscale_admit/tests/tier_queue.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn floor_holds() {
+fn floor_share_for_lowest_tier() {
     let mut queue = queue(1, 1_000, 5);
     for key in 0..200 {
         queue
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn weights_share() {
+fn weights_set_shares() {
     let mut queue = queue(1, 1_000, 0);
     for key in 0..300 {
         let (name, weight) = if key % 2 == 0 { ("heavy", 3) } else { ("light", 1) };
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn idle_gains_nothing() {
+fn idle_workspace_gains_no_credit() {
     let mut queue = queue(1, 1_000, 0);
     for key in 0..100 {
         queue
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn early_refusal() {
+fn late_request_rejected_early() {
     let mut queue = queue(1, 1_000, 0);
     queue.offer(job(0, 0, "a", 1), Duration::ZERO).expect("there is room");
     let running = queue.next(Duration::ZERO, &mut Vec::new()).expect("a place is free");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn lower_tier_yields() {
+fn lower_tier_displaced() {
     let mut queue = queue(1, 2, 0);
     let running = job(0, 0, "a", 1);
     queue.offer(running, Duration::ZERO).expect("there is room");
@@ -166,7 +166,7 @@
 }
 
 /// Nothing is lost, nothing comes twice, bounds hold, and no job runs while a higher tier waits (without a floor).
-fn accounts(events: Vec<Event>) -> bool {
+fn accounts_for_every_job(events: Vec<Event>) -> bool {
     let mut queue = queue(3, 6, 0);
     let mut waiting: HashMap<u32, u8> = HashMap::new();
     let mut running = Vec::new();
@@ -218,9 +218,9 @@
 }
 
 #[test]
-fn nothing_lost() {
+fn no_job_lost_or_duplicated() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(150, 2))
         .tests(20_000)
-        .quickcheck(accounts as fn(Vec<Event>) -> bool);
+        .quickcheck(accounts_for_every_job as fn(Vec<Event>) -> bool);
 }
--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -7,8 +7,8 @@
 use slotmap::{SlotMap, new_key_type};
 use sparscale_bundle::{Bundle, Call, Fleet};
 
-use crate::hints::Hints;
-use crate::model::{Holding, StepModel};
+use crate::hints::PrefixHints;
+use crate::model::{ResidenceTimes, StepModel};
 
 new_key_type! {
     /// Names a target on the board.
@@ -18,7 +18,7 @@
 }
 
 /// Requests in progress that are remembered for one target; more change no decision.
-const MAX_SENT: usize = 1_024;
+const MAX_TRACKED_REQUESTS: usize = 1_024;
 /// Time that a report is taken to have been on its way.
 const REPORT_LAG: Duration = Duration::from_millis(100);
 
@@ -31,7 +31,7 @@
     /// It takes work.
     Live,
     /// It takes no new work: the list or its agent says so.
-    Leaving,
+    Draining,
 }
 
 /// How far a target is.
@@ -81,10 +81,10 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentRequest {
     counter: u64,
     prefill_tokens: u32,
-    at: Duration,
+    sent_at: Duration,
 }
 
 /// A back end.
@@ -103,17 +103,17 @@
     /// Load as last reported.
     pub load: Load,
     /// Prompt prefixes that it probably has.
-    pub hints: Hints,
+    pub hints: PrefixHints,
     /// Counter of this entry's last request there.
     pub last_sent: u64,
     /// Not to be used before this time: its agent could not be reached.
     avoid_until: Duration,
     /// Not to be used before this time: its agent turned work away whatever the work is.
-    refuses_until: Duration,
+    rejecting_until: Duration,
     reported_at: Option<Duration>,
     /// Requests of this entry that have not ended.
-    sent: VecDeque<Sent>,
-    failures: u32,
+    sent: VecDeque<SentRequest>,
+    consecutive_failures: u32,
 }
 
 /// A group of ranks.
@@ -126,31 +126,31 @@
     /// Its ranks, in rank order.
     pub ranks: Vec<TargetKey>,
     /// What its step time depends on.
-    pub step: StepModel,
-    sends: Sends,
+    pub step_model: StepModel,
+    sends: RecentSends,
 }
 
 /// This entry's requests to a group, fading with age.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sends {
+struct RecentSends {
     count: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
-impl Sends {
+impl RecentSends {
     /// Time in which a request's weight falls by a factor of e.
-    const FADE: Duration = Duration::from_secs(2);
+    const DECAY_TIME: Duration = Duration::from_secs(2);
 
-    fn faded(self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        self.count * (-age / Self::FADE.as_secs_f64()).exp()
+    fn decayed(self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.count * (-age / Self::DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
 impl Group {
     /// This entry's requests to the group in the last few seconds, late ones counting less.
     pub fn recent_sends(&self, now: Duration) -> f64 {
-        self.sends.faded(now)
+        self.sends.decayed(now)
     }
 }
 
@@ -172,11 +172,11 @@
     by_name: HashMap<String, TargetKey>,
     services: BTreeMap<String, Service>,
     /// Version of the bundle that the board shows; 0 for none.
-    pub version: u64,
+    pub bundle_version: u64,
     /// Requests that one target runs at once.
-    pub places: u32,
+    pub max_in_flight_per_target: u32,
     /// How long requests last.
-    pub holding: Holding,
+    pub residence_times: ResidenceTimes,
 }
 
 impl Board {
@@ -232,8 +232,8 @@
     /// Shows `bundle`. Targets that stay keep their key and everything that is known about them.
     pub fn apply_bundle(&mut self, bundle: &Bundle) {
         let fleet = bundle.fleet();
-        self.version = bundle.version();
-        self.places = fleet.limits.in_flight_per_target;
+        self.bundle_version = bundle.version();
+        self.max_in_flight_per_target = fleet.limits.in_flight_per_target;
         self.replace_targets(fleet);
         self.replace_groups(fleet);
         self.services = fleet
@@ -271,7 +271,7 @@
         let known: HashMap<String, StepModel> = self
             .groups
             .values()
-            .map(|group| (group.name.clone(), group.step))
+            .map(|group| (group.name.clone(), group.step_model))
             .collect();
         self.groups.clear();
         for group in &fleet.groups {
@@ -280,8 +280,8 @@
                 name: group.name.clone(),
                 model: group.model.clone(),
                 ranks: ranks.clone(),
-                step: known.get(&group.name).copied().unwrap_or_default(),
-                sends: Sends::default(),
+                step_model: known.get(&group.name).copied().unwrap_or_default(),
+                sends: RecentSends::default(),
             });
             for (index, rank) in ranks.into_iter().enumerate() {
                 if let Some(target) = self.targets.get_mut(rank) {
@@ -325,7 +325,7 @@
         }
         target.load = load;
         target.reported_at = Some(now);
-        target.failures = 0;
+        target.consecutive_failures = 0;
         target.avoid_until = Duration::ZERO;
         self.observe_step(key);
     }
@@ -335,21 +335,21 @@
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        target.hints.note(blocks, now);
+        target.hints.record(blocks, now);
         target.last_sent = counter;
         let group = target.rank.map(|(group, _)| group);
-        target.sent.push_back(Sent {
+        target.sent.push_back(SentRequest {
             counter,
             prefill_tokens,
-            at: now,
+            sent_at: now,
         });
-        if target.sent.len() > MAX_SENT {
+        if target.sent.len() > MAX_TRACKED_REQUESTS {
             target.sent.pop_front();
         }
         if let Some(group) = group.and_then(|key| self.groups.get_mut(key)) {
-            group.sends = Sends {
-                count: group.sends.faded(now) + 1.0,
-                at: now,
+            group.sends = RecentSends {
+                count: group.sends.decayed(now) + 1.0,
+                updated_at: now,
             };
         }
     }
@@ -363,33 +363,33 @@
             return;
         };
         if let Some(sent) = target.sent.remove(index) {
-            self.holding.observe(now.saturating_sub(sent.at));
+            self.residence_times.observe(now.saturating_sub(sent.sent_at));
         }
     }
 
     /// Notes that the target under `key` could not be reached; it is avoided for a while that doubles each time.
-    pub fn note_failure(&mut self, key: TargetKey, now: Duration) {
-        const FIRST: Duration = Duration::from_millis(500);
+    pub fn record_failure(&mut self, key: TargetKey, now: Duration) {
+        const FIRST_PAUSE: Duration = Duration::from_millis(500);
         const MAX_DOUBLINGS: u32 = 5;
         if let Some(target) = self.targets.get_mut(key) {
-            let pause = FIRST * 2_u32.pow(target.failures.min(MAX_DOUBLINGS));
-            target.failures += 1;
+            let pause = FIRST_PAUSE * 2_u32.pow(target.consecutive_failures.min(MAX_DOUBLINGS));
+            target.consecutive_failures += 1;
             target.avoid_until = now + pause;
         }
     }
 
     /// Notes that the agent of the target under `key` takes no work at all for `pause`. A load report does not end this: an
     /// agent reports on and on beside a target that is gone.
-    pub fn note_refusal(&mut self, key: TargetKey, pause: Duration, now: Duration) {
+    pub fn record_rejection(&mut self, key: TargetKey, pause: Duration, now: Duration) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.refuses_until = now + pause;
+            target.rejecting_until = now + pause;
         }
     }
 
     /// Notes that the target under `key` answers.
-    pub fn note_answer(&mut self, key: TargetKey) {
+    pub fn record_response(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.refuses_until = Duration::ZERO;
+            target.rejecting_until = Duration::ZERO;
         }
     }
 
@@ -404,7 +404,7 @@
             return;
         }
         if let Some(group) = self.groups.get_mut(group) {
-            group.step.observe(f64::from(largest), step_ms);
+            group.step_model.observe(f64::from(largest), step_ms);
         }
     }
 }
@@ -441,13 +441,13 @@
     }
 
     /// Whether new work may go there now.
-    pub fn takes_work(&self, now: Duration) -> bool {
+    pub fn accepts_work(&self, now: Duration) -> bool {
         self.standing == Standing::Live && !self.load.closed && self.address.is_some() && now >= self.usable_at()
     }
 
     /// When a target that failed or turned work away may be tried again.
     pub fn usable_at(&self) -> Duration {
-        self.avoid_until.max(self.refuses_until)
+        self.avoid_until.max(self.rejecting_until)
     }
 }
 
--- a/crates/sparscale_board/src/hints.rs
+++ b/crates/sparscale_board/src/hints.rs
@@ -10,9 +10,9 @@
 /// Blocks of a prompt that are looked at; later ones change no decision.
 const MAX_BLOCKS: usize = 64;
 /// Blocks that are remembered for one target.
-const MAX_HINTS: usize = 2_048;
+const MAX_TRACKED_BLOCKS: usize = 2_048;
 /// Age from which a hint counts no more: the target has probably evicted the block.
-const MAX_AGE: Duration = Duration::from_mins(5);
+const MAX_HINT_AGE: Duration = Duration::from_mins(5);
 
 /// Hashes of the whole blocks at the start of `prompt`, each over everything up to its end.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
@@ -21,50 +21,52 @@
     blocks
         .map(|block| {
             digest.update(block);
-            let so_far: [u8; 32] = digest.clone().finalize().into();
-            let mut first = [0; 8];
-            first.copy_from_slice(&so_far[..8]);
-            u64::from_be_bytes(first)
+            let prefix_digest: [u8; 32] = digest.clone().finalize().into();
+            let mut leading_bytes = [0; 8];
+            leading_bytes.copy_from_slice(&prefix_digest[..8]);
+            u64::from_be_bytes(leading_bytes)
         })
         .collect()
 }
 
-/// Blocks that one target was sent lately. Hints age and may be wrong; they are never facts.
+/// Blocks that one target was sent lately. PrefixHints age and may be wrong; they are never facts.
 #[derive(Debug, Clone, Default)]
-pub struct Hints {
-    seen: HashMap<u64, Duration>,
-    order: VecDeque<u64>,
+pub struct PrefixHints {
+    last_sent_at: HashMap<u64, Duration>,
+    insertion_order: VecDeque<u64>,
 }
 
-impl Hints {
+impl PrefixHints {
     /// Notes that a prompt with these blocks went to the target.
-    pub fn note(&mut self, blocks: &[u64], now: Duration) {
+    pub fn record(&mut self, blocks: &[u64], now: Duration) {
         for block in blocks {
-            if self.seen.insert(*block, now).is_none() {
-                self.order.push_back(*block);
+            if self.last_sent_at.insert(*block, now).is_none() {
+                self.insertion_order.push_back(*block);
             }
         }
-        while self.order.len() > MAX_HINTS {
-            let Some(oldest) = self.order.pop_front() else { return };
-            self.seen.remove(&oldest);
+        while self.insertion_order.len() > MAX_TRACKED_BLOCKS {
+            let Some(oldest) = self.insertion_order.pop_front() else {
+                return;
+            };
+            self.last_sent_at.remove(&oldest);
         }
     }
 
     /// Forgets everything, for example when the target was replaced.
     pub fn clear(&mut self) {
-        self.seen.clear();
-        self.order.clear();
+        self.last_sent_at.clear();
+        self.insertion_order.clear();
     }
 
     /// Number of leading blocks that the target probably has.
-    pub fn expected_hit(&self, blocks: &[u64], now: Duration) -> usize {
-        if self.seen.is_empty() {
+    pub fn expected_hit_blocks(&self, blocks: &[u64], now: Duration) -> usize {
+        if self.last_sent_at.is_empty() {
             return 0;
         }
         let fresh = |block: &&u64| {
-            self.seen
+            self.last_sent_at
                 .get(block)
-                .is_some_and(|seen| now.saturating_sub(*seen) < MAX_AGE)
+                .is_some_and(|sent_at| now.saturating_sub(*sent_at) < MAX_HINT_AGE)
         };
         blocks.iter().take_while(fresh).count()
     }
--- a/crates/sparscale_board/src/lib.rs
+++ b/crates/sparscale_board/src/lib.rs
@@ -7,5 +7,5 @@
 mod model;
 
 pub use board::{Board, Group, GroupKey, HallDistance, Load, Service, Standing, Target, TargetKey};
-pub use hints::{BLOCK_BYTES, Hints, prefix_blocks};
-pub use model::{Holding, StepModel};
+pub use hints::{BLOCK_BYTES, PrefixHints, prefix_blocks};
+pub use model::{ResidenceTimes, StepModel};
--- a/crates/sparscale_board/src/model.rs
+++ b/crates/sparscale_board/src/model.rs
@@ -3,32 +3,32 @@
 use std::time::Duration;
 
 /// Weight that an earlier observation keeps with each new one.
-const FORGET: f64 = 0.98;
+const RETENTION: f64 = 0.98;
 /// Step time without load before anything was observed, in milliseconds.
 const INITIAL_BASE_MS: f64 = 4.5;
 /// Step time added by each sequence before anything was observed, in milliseconds.
 const INITIAL_SLOPE_MS: f64 = 0.1;
 /// Spread of observed loads below which no slope can be told.
-const MIN_SPREAD: f64 = 0.5;
+const MIN_LOAD_VARIANCE: f64 = 0.5;
 
 /// Least squares, with forgetting, of step time over the largest rank load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepModel {
-    weight: f64,
-    load: f64,
-    time: f64,
-    load_squared: f64,
-    load_time: f64,
+    weight_sum: f64,
+    load_sum: f64,
+    time_sum: f64,
+    load_squared_sum: f64,
+    load_time_sum: f64,
 }
 
 impl Default for StepModel {
     fn default() -> Self {
         Self {
-            weight: 0.0,
-            load: 0.0,
-            time: 0.0,
-            load_squared: 0.0,
-            load_time: 0.0,
+            weight_sum: 0.0,
+            load_sum: 0.0,
+            time_sum: 0.0,
+            load_squared_sum: 0.0,
+            load_time_sum: 0.0,
         }
     }
 }
@@ -36,64 +36,64 @@
 impl StepModel {
     /// Takes in a step of `milliseconds` whose most loaded rank ran `load` sequences.
     pub fn observe(&mut self, load: f64, milliseconds: f64) {
-        self.weight = self.weight * FORGET + 1.0;
-        self.load = self.load * FORGET + load;
-        self.time = self.time * FORGET + milliseconds;
-        self.load_squared = self.load_squared * FORGET + load * load;
-        self.load_time = self.load_time * FORGET + load * milliseconds;
+        self.weight_sum = self.weight_sum * RETENTION + 1.0;
+        self.load_sum = self.load_sum * RETENTION + load;
+        self.time_sum = self.time_sum * RETENTION + milliseconds;
+        self.load_squared_sum = self.load_squared_sum * RETENTION + load * load;
+        self.load_time_sum = self.load_time_sum * RETENTION + load * milliseconds;
     }
 
     /// Step time added by one more sequence on the most loaded rank, in milliseconds.
     pub fn slope_ms(&self) -> f64 {
-        if self.weight < 2.0 {
+        if self.weight_sum < 2.0 {
             return INITIAL_SLOPE_MS;
         }
-        let mean = self.load / self.weight;
-        let spread = self.load_squared / self.weight - mean * mean;
-        if spread < MIN_SPREAD {
+        let mean = self.load_sum / self.weight_sum;
+        let variance = self.load_squared_sum / self.weight_sum - mean * mean;
+        if variance < MIN_LOAD_VARIANCE {
             return INITIAL_SLOPE_MS;
         }
-        let covariance = self.load_time / self.weight - mean * self.time / self.weight;
-        (covariance / spread).max(0.0)
+        let covariance = self.load_time_sum / self.weight_sum - mean * self.time_sum / self.weight_sum;
+        (covariance / variance).max(0.0)
     }
 
     /// Step time when the most loaded rank runs `load` sequences, in milliseconds.
     pub fn step_ms(&self, load: f64) -> f64 {
-        if self.weight == 0.0 {
+        if self.weight_sum == 0.0 {
             return INITIAL_BASE_MS + INITIAL_SLOPE_MS * load;
         }
-        let mean_load = self.load / self.weight;
-        let mean_time = self.time / self.weight;
+        let mean_load = self.load_sum / self.weight_sum;
+        let mean_time = self.time_sum / self.weight_sum;
         mean_time + self.slope_ms() * (load - mean_load)
     }
 }
 
 /// Time that a request in progress is taken to last before any was observed, in seconds.
-const INITIAL_RESIDUAL: f64 = 0.5;
+const INITIAL_RESIDUAL_SECS: f64 = 0.5;
 
 /// How long requests last, with forgetting.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Holding {
-    weight: f64,
-    seconds: f64,
-    seconds_squared: f64,
+pub struct ResidenceTimes {
+    weight_sum: f64,
+    seconds_sum: f64,
+    seconds_squared_sum: f64,
 }
 
-impl Holding {
+impl ResidenceTimes {
     /// Takes in a request that lasted `held`.
-    pub fn observe(&mut self, held: Duration) {
-        let seconds = held.as_secs_f64();
-        self.weight = self.weight * FORGET + 1.0;
-        self.seconds = self.seconds * FORGET + seconds;
-        self.seconds_squared = self.seconds_squared * FORGET + seconds * seconds;
+    pub fn observe(&mut self, residence: Duration) {
+        let seconds = residence.as_secs_f64();
+        self.weight_sum = self.weight_sum * RETENTION + 1.0;
+        self.seconds_sum = self.seconds_sum * RETENTION + seconds;
+        self.seconds_squared_sum = self.seconds_squared_sum * RETENTION + seconds * seconds;
     }
 
     /// Mean time that a request found in progress still lasts, in seconds. Long requests are found more often, so
     /// this is the second moment over twice the first.
     pub fn residual_seconds(&self) -> f64 {
-        if self.weight < 2.0 || self.seconds <= 0.0 {
-            return INITIAL_RESIDUAL;
+        if self.weight_sum < 2.0 || self.seconds_sum <= 0.0 {
+            return INITIAL_RESIDUAL_SECS;
         }
-        self.seconds_squared / (2.0 * self.seconds)
+        self.seconds_squared_sum / (2.0 * self.seconds_sum)
     }
 }
--- a/crates/sparscale_entry/src/caller.rs
+++ b/crates/sparscale_entry/src/api.rs
@@ -20,10 +20,10 @@
 use crate::completion;
 use crate::dispatch::Dispatcher;
 use crate::job::{Job, Pool};
-use crate::limits::{InFlight, Place};
-use crate::live::Live;
+use crate::limits::{InFlight, InFlightGuard};
 use crate::problem::Problem;
-use crate::respond::{answer_text, json_response, service_response, stream_answer};
+use crate::respond::{json_response, response_text, service_response, stream_response};
+use crate::response_stream::ResponseStream;
 use crate::ticket::{self, Ticket};
 
 /// Header in which a caller names its deadline, in milliseconds from now.
@@ -31,9 +31,9 @@
 /// Header with which a caller marks re-sends of one request.
 const KEY_HEADER: &str = "idempotency-key";
 /// Longest idempotency key, in characters.
-const MAX_KEY: usize = 255;
+const MAX_KEY_CHARS: usize = 255;
 /// When to come back to an entry that has no bundle, and with a workspace that has too much in progress.
-const SHORT_RETRY: Duration = Duration::from_secs(1);
+const SHORT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Expected work of a plain service's call, in tokens.
 const SERVICE_TOKENS: u32 = 1;
 
@@ -49,7 +49,7 @@
 
 /// How much of an answer is read before the caller sees any of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Extent {
+enum ReadExtent {
     /// Its first chunk.
     FirstChunk,
     /// All of it.
@@ -62,11 +62,11 @@
     workspace: Arc<Workspace>,
     tier: u8,
     deadline: Instant,
-    place: Place,
+    guard: InFlightGuard,
 }
 
 type Context = RequestContext<Arc<Api>>;
-type Answer = Result<Response<Body>, HttpError>;
+type HandlerResult = Result<Response<Body>, HttpError>;
 
 #[derive(Deserialize, JsonSchema)]
 struct ServicePath {
@@ -85,28 +85,28 @@
 }
 
 #[derive(Serialize)]
-struct TicketAnswer {
+struct TicketResponse {
     ticket: String,
     expires_in_seconds: u64,
 }
 
 #[derive(Serialize)]
-struct Settled {
+struct RequestOutcome {
     outcome: &'static str,
 }
 
 /// A model answer, streamed if the caller asks for it.
 #[endpoint { method = POST, path = "/v1/chat/completions" }]
-async fn complete(context: Context, body: StreamingBody) -> Answer {
+async fn complete(context: Context, body: StreamingBody) -> HandlerResult {
     let api = context.context();
-    answer(api.complete(context.request.headers(), body).await)
+    into_handler_result(api.complete(context.request.headers(), body).await)
 }
 
 /// A call of a plain service.
 #[endpoint { method = POST, path = "/v1/services/{service}/{call}" }]
-async fn call_service(context: Context, path: Path<ServicePath>, body: StreamingBody) -> Answer {
+async fn call_service(context: Context, path: Path<ServicePath>, body: StreamingBody) -> HandlerResult {
     let api = context.context();
-    answer(
+    into_handler_result(
         api.call_service(context.request.headers(), &path.into_inner(), body)
             .await,
     )
@@ -114,27 +114,27 @@
 
 /// A ticket for one call that may not be repeated.
 #[endpoint { method = POST, path = "/v1/tickets/{service}" }]
-async fn issue_ticket(context: Context, path: Path<TicketPath>) -> Answer {
+async fn issue_ticket(context: Context, path: Path<TicketPath>) -> HandlerResult {
     let api = context.context();
-    answer(api.issue_ticket(context.request.headers(), path.into_inner().service))
+    into_handler_result(api.issue_ticket(context.request.headers(), path.into_inner().service))
 }
 
 /// What became of a request.
 #[endpoint { method = GET, path = "/v1/requests/{id}" }]
-async fn ask_about(context: Context, path: Path<RequestPath>) -> Answer {
+async fn ask_about(context: Context, path: Path<RequestPath>) -> HandlerResult {
     let api = context.context();
-    answer(api.ask_about(context.request.headers(), &path.into_inner().id).await)
+    into_handler_result(api.ask_about(context.request.headers(), &path.into_inner().id).await)
 }
 
 /// Whether the process lives.
 #[endpoint { method = GET, path = "/healthz" }]
-async fn health(_context: Context) -> Answer {
+async fn health(_context: Context) -> HandlerResult {
     Ok(Response::new(Body::from("alive\n")))
 }
 
 /// Whether the balancer may send callers here.
 #[endpoint { method = GET, path = "/readyz" }]
-async fn readiness(context: Context) -> Answer {
+async fn readiness(context: Context) -> HandlerResult {
     let api = context.context();
     let mut response = Response::new(Body::from("ready\n"));
     if api.stopping.load(Ordering::Relaxed) || api.journal.in_force().is_none() {
@@ -159,13 +159,13 @@
 }
 
 #[expect(clippy::unnecessary_wraps, reason = "the type that dropshot's handlers return")]
-fn answer(result: Result<Response<Body>, Problem>) -> Answer {
+fn into_handler_result(result: Result<Response<Body>, Problem>) -> HandlerResult {
     Ok(result.unwrap_or_else(|problem| problem.to_response()))
 }
 
 impl Api {
     async fn complete(&self, headers: &HeaderMap, body: StreamingBody) -> Result<Response<Body>, Problem> {
-        let caller = self.caller(headers)?;
+        let caller = self.admit_caller(headers)?;
         let body = self.read_body(body).await?;
         let request = completion::Request::parse(&body).map_err(|error| bad_request(&error.to_string()))?;
         let known = caller
@@ -184,7 +184,7 @@
             deadline: caller.deadline,
             repeatable: true,
             key: None,
-            keep: Duration::ZERO,
+            retention: Duration::ZERO,
             call: Call::Model { body },
             pool: Pool::Model(request.model.clone()),
             route: RouteRequest {
@@ -196,13 +196,13 @@
         });
         if request.stream {
             // Headers wait for the first token: until then a broken answer can start again elsewhere.
-            let (live, first) = self.read(&job, Extent::FirstChunk).await?;
-            return Ok(stream_answer(live, &first, caller.place));
+            let (stream, first) = self.read_response(&job, ReadExtent::FirstChunk).await?;
+            return Ok(stream_response(stream, &first, caller.guard));
         }
-        let (live, pieces) = self.read(&job, Extent::Whole).await?;
-        let text = answer_text(&pieces)?;
-        Ok(json_response(completion::whole(
-            &live.request_id(),
+        let (stream, chunks) = self.read_response(&job, ReadExtent::Whole).await?;
+        let text = response_text(&chunks)?;
+        Ok(json_response(completion::full_completion(
+            &stream.request_id(),
             &request.model,
             &text,
         )))
@@ -210,26 +210,26 @@
 
     /// Reads an answer up to its first chunk, or whole. While the caller has seen no byte, a broken one that may be
     /// repeated starts again.
-    async fn read(&self, job: &Arc<Job>, extent: Extent) -> Result<(Live, Vec<Bytes>), Problem> {
-        const STARTS: usize = 3;
-        let mut last = None;
-        for _ in 0..STARTS {
-            let begun = self.dispatcher.begin(job).await;
-            let mut live = match begun {
-                Ok(live) => live,
-                Err(problem) => return Err(last.unwrap_or(problem)),
+    async fn read_response(&self, job: &Arc<Job>, extent: ReadExtent) -> Result<(ResponseStream, Vec<Bytes>), Problem> {
+        const MAX_STARTS: usize = 3;
+        let mut last_problem = None;
+        for _ in 0..MAX_STARTS {
+            let started = self.dispatcher.dispatch(job).await;
+            let mut stream = match started {
+                Ok(stream) => stream,
+                Err(problem) => return Err(last_problem.unwrap_or(problem)),
             };
-            let problem = match read_chunks(&mut live, extent).await {
-                Ok(chunks) => return Ok((live, chunks)),
+            let problem = match read_chunks(&mut stream, extent).await {
+                Ok(chunks) => return Ok((stream, chunks)),
                 Err(problem) => problem,
             };
             if !job.repeatable || Instant::now() >= job.deadline {
                 return Err(problem);
             }
-            self.dispatcher.avoid(&live);
-            last = Some(problem);
+            self.dispatcher.avoid(&stream);
+            last_problem = Some(problem);
         }
-        Err(last.unwrap_or_else(|| Problem::failed("no whole answer")))
+        Err(last_problem.unwrap_or_else(|| Problem::failed("no whole answer")))
     }
 
     async fn call_service(
@@ -238,17 +238,17 @@
         path: &ServicePath,
         body: StreamingBody,
     ) -> Result<Response<Body>, Problem> {
-        let caller = self.caller(headers)?;
+        let caller = self.admit_caller(headers)?;
         let body = self.read_body(body).await?;
-        let repeatable = repeatable(&caller.bundle, path)?;
-        let content_type = text_of(headers, header::CONTENT_TYPE.as_str()).unwrap_or("application/octet-stream");
+        let repeatable = is_repeatable(&caller.bundle, path)?;
+        let content_type = header_text(headers, header::CONTENT_TYPE.as_str()).unwrap_or("application/octet-stream");
         let mut job = Job {
             workspace: Arc::clone(&caller.workspace),
             tier: caller.tier,
             deadline: caller.deadline,
             repeatable,
             key: None,
-            keep: Duration::ZERO,
+            retention: Duration::ZERO,
             call: Call::Service {
                 name: path.call.clone(),
                 content_type: content_type.to_owned(),
@@ -266,12 +266,12 @@
         {
             self.bind(&mut job, &path.service, key).await?;
         }
-        let (live, chunks) = self.read(&Arc::new(job), Extent::Whole).await?;
-        service_response(&live, Bytes::from(chunks.concat()))
+        let (stream, chunks) = self.read_response(&Arc::new(job), ReadExtent::Whole).await?;
+        service_response(&stream, Bytes::from(chunks.concat()))
     }
 
     fn issue_ticket(&self, headers: &HeaderMap, service: String) -> Result<Response<Body>, Problem> {
-        let caller = self.caller(headers)?;
+        let caller = self.admit_caller(headers)?;
         if !caller.bundle.fleet().services.iter().any(|known| known.name == service) {
             return Err(not_found(&format!("no service is called {service}")));
         }
@@ -281,23 +281,23 @@
             deadline: caller.deadline,
             repeatable: false,
             key: None,
-            keep: Duration::ZERO,
+            retention: Duration::ZERO,
             call: Call::Model { body: Bytes::new() },
             pool: Pool::Service(service.clone()),
             route: RouteRequest::default(),
             limits: caller.bundle.fleet().limits.clone(),
         };
-        let (target, incarnation) = self.dispatcher.choose_home(&job)?;
+        let (target, incarnation) = self.dispatcher.choose_binding_target(&job)?;
         let lifetime = self.ticket_lifetime.as_secs();
         let ticket = Ticket {
             workspace: caller.workspace.name.clone(),
             service,
             target,
             incarnation,
-            expires: ticket::seconds(SystemTime::now()) + lifetime,
+            expires: ticket::unix_seconds(SystemTime::now()) + lifetime,
             nonce: rand::random(),
         };
-        let answer = TicketAnswer {
+        let answer = TicketResponse {
             ticket: self.dispatcher.seal.issue_ticket(&ticket),
             expires_in_seconds: lifetime,
         };
@@ -306,7 +306,7 @@
     }
 
     async fn ask_about(&self, headers: &HeaderMap, id: &str) -> Result<Response<Body>, Problem> {
-        let caller = self.caller(headers)?;
+        let caller = self.admit_caller(headers)?;
         let name = self
             .dispatcher
             .seal
@@ -331,19 +331,19 @@
             Settlement::Unknown => "unknown",
         };
         Ok(json_response(
-            serde_json::to_string(&Settled { outcome }).unwrap_or_default(),
+            serde_json::to_string(&RequestOutcome { outcome }).unwrap_or_default(),
         ))
     }
 
     /// Authenticates the caller and takes a place for its request.
-    fn caller(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
+    fn admit_caller(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
         let Some(certificate) = self.journal.in_force() else {
             let detail = "this entry has no configuration yet";
             let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "Not ready", detail);
-            return Err(problem.retry_after(SHORT_RETRY));
+            return Err(problem.retry_after(SHORT_RETRY_DELAY));
         };
         let bundle = Arc::clone(&certificate.bundle);
-        let key = text_of(headers, header::AUTHORIZATION.as_str()).and_then(|value| value.strip_prefix("Bearer "));
+        let key = header_text(headers, header::AUTHORIZATION.as_str()).and_then(|value| value.strip_prefix("Bearer "));
         let workspace = key.and_then(|key| bundle.authenticate(key)).ok_or_else(unauthorized)?;
         let fleet = bundle.fleet();
         let tier = fleet
@@ -352,30 +352,30 @@
             .position(|tier| tier.name == workspace.tier)
             .unwrap_or_default();
         let deadline = Instant::now() + deadline_of(headers, fleet.limits.deadline_ms)?;
-        let place = self
+        let guard = self
             .in_flight
-            .enter(&workspace.name, workspace.in_flight)
+            .try_enter(&workspace.name, workspace.in_flight)
             .ok_or_else(|| {
                 let detail = format!("the workspace has {} requests in progress", workspace.in_flight);
                 Problem::not_run(StatusCode::TOO_MANY_REQUESTS, "Too many requests in progress", detail)
-                    .retry_after(SHORT_RETRY)
+                    .retry_after(SHORT_RETRY_DELAY)
             })?;
         Ok(Caller {
             bundle,
             workspace,
             tier: tier as u8,
             deadline,
-            place,
+            guard,
         })
     }
 
     async fn read_body(&self, body: StreamingBody) -> Result<Bytes, Problem> {
-        let mut collected = BytesMut::new();
+        let mut buffered = BytesMut::new();
         let mut pieces = std::pin::pin!(body.into_stream());
         while let Some(piece) = pieces.next().await {
             let piece = piece.map_err(|error| bad_request(&error.external_message))?;
-            collected.extend_from_slice(&piece);
-            if collected.len() > self.max_body_bytes {
+            buffered.extend_from_slice(&piece);
+            if buffered.len() > self.max_body_bytes {
                 let detail = format!("a body has at most {} bytes", self.max_body_bytes);
                 return Err(Problem::not_run(
                     StatusCode::PAYLOAD_TOO_LARGE,
@@ -384,22 +384,22 @@
                 ));
             }
         }
-        Ok(collected.freeze())
+        Ok(buffered.freeze())
     }
 }
 
-async fn read_chunks(live: &mut Live, extent: Extent) -> Result<Vec<Bytes>, Problem> {
+async fn read_chunks(stream: &mut ResponseStream, extent: ReadExtent) -> Result<Vec<Bytes>, Problem> {
     let mut chunks = Vec::new();
-    while let Some(chunk) = live.next().await {
+    while let Some(chunk) = stream.next().await {
         chunks.push(chunk?);
-        if extent == Extent::FirstChunk {
+        if extent == ReadExtent::FirstChunk {
             return Ok(chunks);
         }
     }
     Ok(chunks)
 }
 
-fn repeatable(bundle: &Bundle, path: &ServicePath) -> Result<bool, Problem> {
+fn is_repeatable(bundle: &Bundle, path: &ServicePath) -> Result<bool, Problem> {
     let service = bundle
         .fleet()
         .services
@@ -412,7 +412,7 @@
 }
 
 fn deadline_of(headers: &HeaderMap, default_ms: u64) -> Result<Duration, Problem> {
-    let Some(text) = text_of(headers, DEADLINE_HEADER) else {
+    let Some(text) = header_text(headers, DEADLINE_HEADER) else {
         return Ok(Duration::from_millis(default_ms));
     };
     let parsed: Option<u64> = text.parse().ok();
@@ -428,12 +428,12 @@
     if !headers.contains_key(KEY_HEADER) {
         return Ok(None);
     }
-    let key = text_of(headers, KEY_HEADER).filter(|key| (1..=MAX_KEY).contains(&key.len()));
-    let wrong = || bad_request(&format!("{KEY_HEADER} has 1 to {MAX_KEY} ASCII characters"));
+    let key = header_text(headers, KEY_HEADER).filter(|key| (1..=MAX_KEY_CHARS).contains(&key.len()));
+    let wrong = || bad_request(&format!("{KEY_HEADER} has 1 to {MAX_KEY_CHARS} ASCII characters"));
     key.map(Some).ok_or_else(wrong)
 }
 
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
--- a/crates/sparscale_entry/src/assembly.rs
+++ b/crates/sparscale_entry/src/assembly.rs
@@ -9,7 +9,7 @@
 use sparscale_wire::{Answer, AttemptId, Failure, Head, Load, Part, Refusal};
 
 /// Chunks that may wait for an earlier one; more means that the stream is broken.
-const MAX_AHEAD: usize = 1_024;
+const MAX_OUT_OF_ORDER_CHUNKS: usize = 1_024;
 
 /// What a frame leads to.
 #[derive(Debug, Clone, PartialEq)]
@@ -39,11 +39,11 @@
 #[derive(Debug, Clone)]
 pub struct Assembly {
     attempt: AttemptId,
-    next: u64,
-    ahead: BTreeMap<u64, Bytes>,
-    end: Option<(u64, Load)>,
+    next_sequence: u64,
+    out_of_order: BTreeMap<u64, Bytes>,
+    announced_end: Option<(u64, Load)>,
     head_seen: bool,
-    ended: bool,
+    is_complete: bool,
 }
 
 impl Assembly {
@@ -51,27 +51,27 @@
     pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
-            next: 0,
-            ahead: BTreeMap::new(),
-            end: None,
+            next_sequence: 0,
+            out_of_order: BTreeMap::new(),
+            announced_end: None,
             head_seen: false,
-            ended: false,
+            is_complete: false,
         }
     }
 
     /// Number of the first chunk that is missing.
-    pub fn next_chunk(&self) -> u64 {
-        self.next
+    pub fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
     /// Whether the whole answer was passed on.
-    pub fn has_ended(&self) -> bool {
-        self.ended
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Takes in one frame.
     pub fn accept(&mut self, answer: Answer) -> Step {
-        if answer.attempt != self.attempt || self.ended {
+        if answer.attempt != self.attempt || self.is_complete {
             return Step::Nothing;
         }
         match answer.part {
@@ -89,45 +89,45 @@
     }
 
     fn accept_chunk(&mut self, sequence: u64, data: Bytes) -> Step {
-        if sequence < self.next {
+        if sequence < self.next_sequence {
             return Step::Nothing;
         }
-        if self.end.is_some_and(|(chunks, _)| sequence >= chunks) {
+        if self.announced_end.is_some_and(|(chunks, _)| sequence >= chunks) {
             return Step::Broken("a chunk lies behind the end");
         }
-        self.ahead.insert(sequence, data);
-        if self.ahead.len() > MAX_AHEAD {
+        self.out_of_order.insert(sequence, data);
+        if self.out_of_order.len() > MAX_OUT_OF_ORDER_CHUNKS {
             return Step::Broken("too many chunks wait for an earlier one");
         }
         let ready = self.take_ready();
-        self.finish_if_whole(ready)
+        self.finish_if_complete(ready)
     }
 
     fn accept_end(&mut self, chunks: u64, load: Load) -> Step {
         let highest = self
-            .ahead
+            .out_of_order
             .last_key_value()
-            .map_or(self.next, |(sequence, _)| sequence + 1);
-        if chunks < highest || self.end.is_some_and(|(known, _)| known != chunks) {
+            .map_or(self.next_sequence, |(sequence, _)| sequence + 1);
+        if chunks < highest || self.announced_end.is_some_and(|(known, _)| known != chunks) {
             return Step::Broken("the end names fewer chunks than came");
         }
-        self.end = Some((chunks, load));
-        self.finish_if_whole(Vec::new())
+        self.announced_end = Some((chunks, load));
+        self.finish_if_complete(Vec::new())
     }
 
     fn take_ready(&mut self) -> Vec<Bytes> {
         let mut ready = Vec::new();
-        while let Some(data) = self.ahead.remove(&self.next) {
+        while let Some(data) = self.out_of_order.remove(&self.next_sequence) {
             ready.push(data);
-            self.next += 1;
+            self.next_sequence += 1;
         }
         ready
     }
 
-    fn finish_if_whole(&mut self, chunks: Vec<Bytes>) -> Step {
-        match self.end {
-            Some((total, load)) if total == self.next => {
-                self.ended = true;
+    fn finish_if_complete(&mut self, chunks: Vec<Bytes>) -> Step {
+        match self.announced_end {
+            Some((total, load)) if total == self.next_sequence => {
+                self.is_complete = true;
                 Step::End { chunks, load }
             }
             _ if chunks.is_empty() => Step::Nothing,
--- a/crates/sparscale_entry/src/binding.rs
+++ b/crates/sparscale_entry/src/binding.rs
@@ -6,20 +6,20 @@
 use sparscale_control::SubmitError;
 use sparscale_journal::{Binding, BindingKey, Body as RecordBody, Verdict};
 
-use crate::caller::{Api, bad_request};
+use crate::api::{Api, bad_request};
 use crate::job::{Job, Pool};
 use crate::problem::Problem;
 use crate::ticket::{self, TICKET_PREFIX};
 use crate::unserved::key_reused;
 
 /// Time for which the outcome under a plain key is kept by its agent.
-const KEEP_PLAIN_KEY: Duration = Duration::from_mins(50);
+const PLAIN_KEY_RETENTION: Duration = Duration::from_mins(50);
 /// Time by which an agent keeps an outcome beyond the ticket's end, for clocks that differ.
-const KEEP_AFTER_TICKET: Duration = Duration::from_mins(5);
+const RETENTION_AFTER_TICKET: Duration = Duration::from_mins(5);
 /// Time that binding a key through the log may take.
 const BIND_TIMEOUT: Duration = Duration::from_secs(2);
 /// When to come back while the log is down or has no room.
-const LOG_RETRY: Duration = Duration::from_secs(2);
+const LOG_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Api {
     /// Binds a request to one agent incarnation, through the ticket that it carries or through the log.
@@ -45,8 +45,8 @@
         if ticket.workspace != job.workspace.name || ticket.service != service {
             return Err(bad_request("the ticket was issued for another workspace or service"));
         }
-        let left = ticket.expires.saturating_sub(ticket::seconds(SystemTime::now()));
-        job.keep = Duration::from_secs(left) + KEEP_AFTER_TICKET;
+        let remaining_secs = ticket.expires.saturating_sub(ticket::unix_seconds(SystemTime::now()));
+        job.retention = Duration::from_secs(remaining_secs) + RETENTION_AFTER_TICKET;
         job.pool = Pool::Bound {
             target: ticket.target,
             incarnation: ticket.incarnation,
@@ -56,9 +56,9 @@
 
     async fn bind_by_log(&self, job: &mut Job) -> Result<(), Problem> {
         let Some(key) = job.key else { return Ok(()) };
-        job.keep = KEEP_PLAIN_KEY;
-        let known = self.journal.with_state(|state| state.binding(&key).cloned());
-        let binding = match known {
+        job.retention = PLAIN_KEY_RETENTION;
+        let existing = self.journal.with_state(|state| state.binding(&key).cloned());
+        let binding = match existing {
             Some(binding) => binding,
             None => self.append_binding(job, key).await?,
         };
@@ -74,7 +74,7 @@
 
     /// Appends a binding and reads back which one won.
     async fn append_binding(&self, job: &Job, key: BindingKey) -> Result<Binding, Problem> {
-        let (target, incarnation) = self.dispatcher.choose_home(job)?;
+        let (target, incarnation) = self.dispatcher.choose_binding_target(job)?;
         let binding = Binding {
             key,
             target,
@@ -89,7 +89,7 @@
             Ok(receipt) if receipt.verdict == Verdict::Accepted => Ok(binding),
             Ok(_) => {
                 let winner = self.journal.with_state(|state| state.binding(&key).cloned());
-                winner.ok_or_else(|| Problem::unknown("the log refused the key").retry_after(LOG_RETRY))
+                winner.ok_or_else(|| Problem::unknown("the log refused the key").retry_after(LOG_RETRY_DELAY))
             }
             Err(error) => Err(binding_unknown(&error)),
         }
@@ -100,7 +100,7 @@
 fn binding_unknown(error: &SubmitError) -> Problem {
     let retry = match error {
         SubmitError::Budget { retry_after } => *retry_after,
-        SubmitError::NotAppended { .. } | SubmitError::Unknown => LOG_RETRY,
+        SubmitError::NotAppended { .. } | SubmitError::Unknown => LOG_RETRY_DELAY,
     };
     let detail = format!(
         "this sending was not run; whether an earlier one under the key was cannot be told now ({error}); send it again with the same key, or use a ticket"
--- a/crates/sparscale_entry/src/board_control.rs
+++ b/crates/sparscale_entry/src/board_control.rs
@@ -13,18 +13,18 @@
 use tokio::time::Instant;
 
 /// Pause between two looks at which targets to watch.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+const WATCH_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// Targets that one entry watches at most.
-const MAX_WATCHED: usize = 16;
+const MAX_WATCHED_TARGETS: usize = 16;
 /// Time between two reports of one target, for each target that is watched, and the shortest.
-const INTERVAL_PER_WATCHED: Duration = Duration::from_millis(60);
-const MIN_INTERVAL: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL_PER_TARGET: Duration = Duration::from_millis(60);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The board of this entry, with the time that it is measured in.
 pub(crate) struct SharedBoard {
     board: Mutex<Board>,
     subsets: Mutex<HashMap<String, Subset>>,
-    started: Instant,
+    started_at: Instant,
     entry: String,
 }
 
@@ -33,7 +33,7 @@
         Self {
             board: Mutex::new(Board::new(hall)),
             subsets: Mutex::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             entry: entry.to_owned(),
         }
     }
@@ -43,7 +43,7 @@
     }
 
     pub(crate) fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Targets that this entry considers for `pool`, whose members are `all`.
@@ -54,7 +54,7 @@
         known.or_insert_with(|| subset(board, entry, all, limit)).clone()
     }
 
-    fn forget_subsets(&self) {
+    fn clear_subsets(&self) {
         self.subsets.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 }
@@ -68,10 +68,10 @@
     let mut heads = journal.heads();
     loop {
         if let Some(certificate) = journal.in_force()
-            && certificate.bundle.version() > board.lock().version
+            && certificate.bundle.version() > board.lock().bundle_version
         {
             board.lock().apply_bundle(&certificate.bundle);
-            board.forget_subsets();
+            board.clear_subsets();
             apply_listing(&board, &boxes.borrow());
         }
         if heads.changed().await.is_err() {
@@ -94,7 +94,7 @@
         .map(|listed| {
             let standing = match listed.standing {
                 ListedStanding::Live => Standing::Live,
-                ListedStanding::Leaving => Standing::Leaving,
+                ListedStanding::Leaving => Standing::Draining,
             };
             (listed.name.clone(), (listed.address, standing))
         })
@@ -109,10 +109,10 @@
 pub(crate) async fn watch_loads(board: Arc<SharedBoard>, endpoint: Arc<Endpoint>, incarnation: u64) {
     let watched: Watched = Arc::default();
     loop {
-        let wanted = wanted(&board);
-        let new = replace_watched(&watched, &wanted);
+        let wanted = targets_to_watch(&board);
+        let new = update_watched(&watched, &wanted);
         for (key, address) in new {
-            let watch = Watch {
+            let watch = LoadWatch {
                 board: Arc::clone(&board),
                 watched: Arc::clone(&watched),
                 key,
@@ -123,17 +123,17 @@
             tokio::spawn(async move { watch.run(&endpoint, incarnation).await });
         }
         endpoint.close_unused();
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(WATCH_UPDATE_INTERVAL).await;
     }
 }
 
 /// The more targets are watched, the less often each reports, so that the bytes stay within a node's budget.
 fn watch_interval(count: usize) -> Duration {
-    (INTERVAL_PER_WATCHED * count as u32).max(MIN_INTERVAL)
+    (REPORT_INTERVAL_PER_TARGET * count as u32).max(MIN_REPORT_INTERVAL)
 }
 
 /// Shows what is watched from now on; returns what was not before.
-fn replace_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
+fn update_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
     let mut watched = watched.lock().unwrap_or_else(PoisonError::into_inner);
     watched.retain(|key, address| wanted.get(key) == Some(address));
     let new = wanted.iter().filter(|(key, _)| !watched.contains_key(*key));
@@ -143,7 +143,7 @@
 }
 
 /// The targets that were used last, and the nearest of those that never were.
-fn wanted(board: &SharedBoard) -> HashMap<TargetKey, SocketAddr> {
+fn targets_to_watch(board: &SharedBoard) -> HashMap<TargetKey, SocketAddr> {
     let locked = board.lock();
     let live = locked.targets().filter(|(_, target)| target.standing == Standing::Live);
     let mut ranked: Vec<_> = live
@@ -159,13 +159,13 @@
     ranked.sort_unstable_by_key(|(last_sent, distance, _, _)| (*last_sent, *distance));
     ranked
         .into_iter()
-        .take(MAX_WATCHED)
+        .take(MAX_WATCHED_TARGETS)
         .map(|(_, _, key, address)| (key, address))
         .collect()
 }
 
 /// One target that is watched.
-struct Watch {
+struct LoadWatch {
     board: Arc<SharedBoard>,
     watched: Watched,
     key: TargetKey,
@@ -173,7 +173,7 @@
     interval: Duration,
 }
 
-impl Watch {
+impl LoadWatch {
     /// Takes in reports until the target is wanted no more or cannot be reached.
     async fn run(self, endpoint: &Endpoint, incarnation: u64) {
         // Whatever ends the stream, the next look at the wanted targets starts it again.
@@ -192,7 +192,7 @@
             interval_ms,
         };
         channel.sender.send(&Frame::Ask(ask)).await.ok()?;
-        while self.is_wanted() {
+        while self.is_watched() {
             let Frame::Load(load) = channel.receiver.receive().await.ok()? else {
                 return None;
             };
@@ -202,7 +202,7 @@
         None
     }
 
-    fn is_wanted(&self) -> bool {
+    fn is_watched(&self) -> bool {
         let watched = self.watched.lock().unwrap_or_else(PoisonError::into_inner);
         watched.get(&self.key) == Some(&self.address)
     }
--- a/crates/sparscale_entry/src/completion.rs
+++ b/crates/sparscale_entry/src/completion.rs
@@ -24,14 +24,14 @@
     pub(crate) content: String,
 }
 
-/// One piece of an answer as the engine sends it.
+/// One chunk of an answer as the engine sends it.
 #[derive(Debug, Deserialize)]
-struct Piece {
-    choices: Vec<PieceChoice>,
+struct StreamChunk {
+    choices: Vec<ChunkChoice>,
 }
 
 #[derive(Debug, Deserialize)]
-struct PieceChoice {
+struct ChunkChoice {
     delta: Delta,
 }
 
@@ -84,14 +84,14 @@
     (prompt.len() / BYTES_PER_TOKEN) as u32
 }
 
-/// The text that a piece adds to the answer.
-pub(crate) fn piece_text(piece: &[u8]) -> Result<String, serde_json::Error> {
-    let piece: Piece = serde_json::from_slice(piece)?;
-    Ok(piece.choices.into_iter().map(|choice| choice.delta.content).collect())
+/// The text that a chunk adds to the answer.
+pub(crate) fn chunk_text(chunk: &[u8]) -> Result<String, serde_json::Error> {
+    let chunk: StreamChunk = serde_json::from_slice(chunk)?;
+    Ok(chunk.choices.into_iter().map(|choice| choice.delta.content).collect())
 }
 
 /// The whole answer for a caller that did not ask for a stream.
-pub(crate) fn whole(id: &str, model: &str, content: &str) -> String {
+pub(crate) fn full_completion(id: &str, model: &str, content: &str) -> String {
     let completion = Completion {
         id,
         object: "chat.completion",
@@ -115,7 +115,7 @@
 }
 
 /// The event that ends a whole stream.
-pub(crate) fn done() -> Bytes {
+pub(crate) fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
--- a/crates/sparscale_entry/src/dispatch.rs
+++ b/crates/sparscale_entry/src/dispatch.rs
@@ -16,25 +16,25 @@
 
 use crate::assembly::{Assembly, Step};
 use crate::board_control::{SharedBoard, board_load, model_pool};
-use crate::job::{Job, Pool, Sent};
+use crate::job::{Job, Pool, SentAttempt};
 use crate::limits::RetryBudget;
-use crate::live::Live;
 use crate::problem::Problem;
 use crate::quarantine::Quarantine;
+use crate::response_stream::ResponseStream;
 use crate::route_log::{candidate_lines, log_route};
 use crate::ticket::{RequestName, Seal};
 use crate::unserved::{failed, key_reused, no_target, unreachable_target};
 
 /// Dispatches of one request at most.
-const MAX_TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// Time that settling one attempt may take.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time that a message about a caller that went away may take.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How one dispatch began.
-enum Began {
-    Live(Box<Live>),
+enum SendOutcome {
+    Responding(Box<ResponseStream>),
     Refused(Refusal),
     /// Proof that it was not handed on, without a refusal.
     NotRun,
@@ -49,10 +49,10 @@
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) seal: Seal,
     pub(crate) metrics: Metrics,
-    retries: RetryBudget,
+    retry_budget: RetryBudget,
     pub(crate) quarantine: Quarantine,
     incarnation: u64,
-    counter: AtomicU64,
+    next_counter: AtomicU64,
 }
 
 impl Dispatcher {
@@ -69,56 +69,56 @@
             endpoint,
             seal,
             metrics,
-            retries: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             quarantine,
             incarnation,
-            counter: AtomicU64::new(1),
+            next_counter: AtomicU64::new(1),
         }
     }
 
-    /// Dispatches `job` until an answer begins or nothing more may be tried.
-    pub(crate) async fn begin(self: &Arc<Self>, job: &Arc<Job>) -> Result<Live, Problem> {
-        self.retries.earn(job.limits.retry_percent);
-        let mut tried = Vec::new();
-        let mut last = None;
-        for index in 0..MAX_TRIES {
+    /// Dispatches `job` until an answer begins or nothing more may be attempted.
+    pub(crate) async fn dispatch(self: &Arc<Self>, job: &Arc<Job>) -> Result<ResponseStream, Problem> {
+        self.retry_budget.record_request(job.limits.retry_percent);
+        let mut attempted = Vec::new();
+        let mut last_problem = None;
+        for index in 0..MAX_ATTEMPTS {
             // Before each send: a target may have ended under it here or at another entry.
-            if let Some(held) = self.quarantine.held(job) {
-                return Err(last.unwrap_or(held));
+            if let Some(rejection) = self.quarantine.rejection_of(job) {
+                return Err(last_problem.unwrap_or(rejection));
             }
-            if index > 0 && !self.retries.spend() {
+            if index > 0 && !self.retry_budget.try_spend() {
                 break;
             }
-            let sent = match self.route(job, &tried) {
+            let sent = match self.route(job, &attempted) {
                 Ok(sent) => sent,
-                Err(problem) => return Err(last.unwrap_or(problem)),
+                Err(problem) => return Err(last_problem.unwrap_or(problem)),
             };
-            tried.push(sent.target);
+            attempted.push(sent.target);
             let request_id = self.request_id(job, &sent);
-            let began = self.send(job, &sent).await;
-            if !matches!(began, Began::Live(_)) {
-                self.note_ended(&sent);
+            let outcome = self.send(job, &sent).await;
+            if !matches!(outcome, SendOutcome::Responding(_)) {
+                self.record_end(&sent);
             }
-            if matches!(&began, Began::Failed(Failure::Ended { .. })) {
-                self.quarantine.note_end(job, &sent).await;
+            if matches!(&outcome, SendOutcome::Failed(Failure::Ended { .. })) {
+                self.quarantine.record_end(job, &sent).await;
             }
-            let problem = match began {
-                Began::Live(live) => return Ok(*live),
-                Began::Refused(refusal) => self.refused(job, &sent, &refusal)?,
-                Began::NotRun => unreachable_target(),
+            let problem = match outcome {
+                SendOutcome::Responding(live) => return Ok(*live),
+                SendOutcome::Refused(refusal) => self.handle_refusal(job, &sent, &refusal)?,
+                SendOutcome::NotRun => unreachable_target(),
                 // A repeatable request whose answer has not begun may start again, on the same target if need be.
-                Began::Failed(failure) if job.repeatable => {
-                    if self.has_tried_all(job, &tried) {
-                        tried.clear();
+                SendOutcome::Failed(failure) if job.repeatable => {
+                    if self.has_attempted_all(job, &attempted) {
+                        attempted.clear();
                     }
                     failed(job, &failure).request_id(request_id)
                 }
-                Began::Failed(failure) => return Err(failed(job, &failure).request_id(request_id)),
-                Began::Unknown if job.repeatable => {
+                SendOutcome::Failed(failure) => return Err(failed(job, &failure).request_id(request_id)),
+                SendOutcome::Unknown if job.repeatable => {
                     self.cancel_in_background(&sent);
                     unreachable_target()
                 }
-                Began::Unknown => {
+                SendOutcome::Unknown => {
                     let detail = "the target's agent cannot be reached any more; ask about the request id";
                     return Err(Problem::unknown(detail).request_id(request_id));
                 }
@@ -126,29 +126,33 @@
             if matches!(job.pool, Pool::Bound { .. }) || Instant::now() >= job.deadline {
                 return Err(problem);
             }
-            last = Some(problem);
+            last_problem = Some(problem);
         }
-        Err(last.unwrap_or_else(unreachable_target))
+        Err(last_problem.unwrap_or_else(unreachable_target))
     }
 
-    /// Chooses a target that was not tried yet and logs the decision.
-    fn route(&self, job: &Job, tried: &[TargetKey]) -> Result<Sent, Problem> {
+    /// Chooses a target that was not attempted yet and logs the decision.
+    fn route(&self, job: &Job, attempted: &[TargetKey]) -> Result<SentAttempt, Problem> {
         let now = self.board.now();
         let attempt = AttemptId {
             entry: self.incarnation,
-            counter: self.counter.fetch_add(1, Ordering::Relaxed),
+            counter: self.next_counter.fetch_add(1, Ordering::Relaxed),
         };
         let mut board = self.board.lock();
         let candidates = self.candidates(&board, job)?;
-        let untried: Vec<TargetKey> = candidates.iter().copied().filter(|key| !tried.contains(key)).collect();
-        let decision = choose(&board, &untried, &job.route, Rule::GroupCost, now, &mut rand::rng());
+        let remaining: Vec<TargetKey> = candidates
+            .iter()
+            .copied()
+            .filter(|key| !attempted.contains(key))
+            .collect();
+        let decision = choose(&board, &remaining, &job.route, Rule::GroupCost, now, &mut rand::rng());
         let decision = decision.map_err(|error| no_target(error.retry_after))?;
         let key = decision.target;
-        let version = board.version;
+        let version = board.bundle_version;
         let prefill = job.route.prompt_tokens;
         board.note_sent(key, attempt.counter, prefill, &job.route.blocks, now);
         let target = board.target(key).ok_or_else(unreachable_target)?;
-        let sent = Sent {
+        let sent = SentAttempt {
             target: key,
             name: target.name.clone(),
             address: target.address.ok_or_else(unreachable_target)?,
@@ -162,15 +166,15 @@
         Ok(sent)
     }
 
-    fn has_tried_all(&self, job: &Job, tried: &[TargetKey]) -> bool {
+    fn has_attempted_all(&self, job: &Job, attempted: &[TargetKey]) -> bool {
         let now = self.board.now();
         let board = self.board.lock();
         let candidates = self.candidates(&board, job).unwrap_or_default();
-        let usable = |key: &TargetKey| board.target(*key).is_some_and(|target| target.takes_work(now));
+        let usable = |key: &TargetKey| board.target(*key).is_some_and(|target| target.accepts_work(now));
         candidates
             .iter()
             .filter(|key| usable(key))
-            .all(|key| tried.contains(key))
+            .all(|key| attempted.contains(key))
     }
 
     fn candidates(&self, board: &sparscale_board::Board, job: &Job) -> Result<Vec<TargetKey>, Problem> {
@@ -182,15 +186,16 @@
                 (format!("service {service}"), targets.unwrap_or_default())
             }
             Pool::Bound { target, .. } => {
-                let gone = || Problem::unknown("the target that the key is bound to is gone; it cannot run any more");
-                return Ok(vec![board.find(target).ok_or_else(gone)?]);
+                let target_removed =
+                    || Problem::unknown("the target that the key is bound to is gone; it cannot run any more");
+                return Ok(vec![board.find(target).ok_or_else(target_removed)?]);
             }
         };
         Ok(self.board.subset(board, &pool, &all, limit).targets)
     }
 
     /// Chooses the target that a new idempotency key is bound to.
-    pub(crate) fn choose_home(&self, job: &Job) -> Result<(String, u64), Problem> {
+    pub(crate) fn choose_binding_target(&self, job: &Job) -> Result<(String, u64), Problem> {
         let now = self.board.now();
         let board = self.board.lock();
         let candidates = self.candidates(&board, job)?;
@@ -203,25 +208,25 @@
         Ok((target.name.clone(), target.load.incarnation))
     }
 
-    async fn send(self: &Arc<Self>, job: &Arc<Job>, sent: &Sent) -> Began {
+    async fn send(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let mut channel = match self.endpoint.open(sent.address, Role::Agent).await {
             Ok(channel) => channel,
             Err(error) => {
                 // Nothing was sent.
-                self.note_failure(sent, &error);
-                return Began::NotRun;
+                self.record_failure(sent, &error);
+                return SendOutcome::NotRun;
             }
         };
         let attempt = job.attempt(sent);
         if let Err(error) = channel.sender.send(&Frame::Ask(Ask::Attempt(Box::new(attempt)))).await {
-            self.note_failure(sent, &error);
-            return self.settle_begin(job, sent).await;
+            self.record_failure(sent, &error);
+            return self.settle_before_response(job, sent).await;
         }
         channel.sender.finish();
         self.wait_for_head(job, sent, channel).await
     }
 
-    async fn wait_for_head(self: &Arc<Self>, job: &Arc<Job>, sent: &Sent, mut channel: Channel) -> Began {
+    async fn wait_for_head(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt, mut channel: Channel) -> SendOutcome {
         let mut assembly = Assembly::new(sent.attempt);
         // Until the answer begins, dropping this future means that the caller went away.
         let guard = CancelGuard::new(self, sent);
@@ -230,37 +235,38 @@
             let frame = match received {
                 Ok(Ok(frame)) => frame,
                 Ok(Err(error)) => {
-                    self.note_failure(sent, &error);
+                    self.record_failure(sent, &error);
                     guard.disarm();
-                    return self.settle_begin(job, sent).await;
+                    return self.settle_before_response(job, sent).await;
                 }
                 Err(_elapsed) => {
                     guard.disarm();
-                    return self.settle_begin(job, sent).await;
+                    return self.settle_before_response(job, sent).await;
                 }
             };
             let Frame::Answer(answer) = frame else { continue };
             match assembly.accept(answer) {
                 Step::Head(head) => {
-                    self.board.lock().note_answer(sent.target);
-                    self.note_load(sent, &head.load);
+                    self.board.lock().record_response(sent.target);
+                    self.record_load(sent, &head.load);
                     guard.disarm();
-                    let live = Live::new(Arc::clone(self), Arc::clone(job), sent.clone(), assembly, channel, head);
-                    return Began::Live(Box::new(live));
+                    let live =
+                        ResponseStream::new(Arc::clone(self), Arc::clone(job), sent.clone(), assembly, channel, head);
+                    return SendOutcome::Responding(Box::new(live));
                 }
                 Step::Refused(refusal) => {
-                    self.note_load(sent, &refusal.load);
+                    self.record_load(sent, &refusal.load);
                     guard.disarm();
-                    return Began::Refused(refusal);
+                    return SendOutcome::Refused(refusal);
                 }
                 Step::Failed(failure) => {
                     guard.disarm();
-                    return Began::Failed(failure);
+                    return SendOutcome::Failed(failure);
                 }
                 // Chunks may overtake the head only in a broken stream; settling finds out.
                 Step::Chunks(_) | Step::End { .. } | Step::Broken(_) => {
                     guard.disarm();
-                    return self.settle_begin(job, sent).await;
+                    return self.settle_before_response(job, sent).await;
                 }
                 Step::Nothing => {}
             }
@@ -268,28 +274,28 @@
     }
 
     /// Finds out what became of an attempt whose stream broke before the answer began.
-    async fn settle_begin(self: &Arc<Self>, job: &Arc<Job>, sent: &Sent) -> Began {
+    async fn settle_before_response(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let settlement = self.settle(sent.address, sent.attempt, sent.incarnation).await;
         log::info!(target: DECISION, decision = "settle", attempt = sent.attempt.to_string().as_str(), agent = sent.name.as_str(), settlement:? = settlement; "settled a broken attempt");
         match settlement {
-            Settlement::NotRun => Began::NotRun,
+            Settlement::NotRun => SendOutcome::NotRun,
             Settlement::Running | Settlement::Ended if Instant::now() < job.deadline => {
-                self.begin_again(job, sent).await
+                self.read_from_start(job, sent).await
             }
-            _ => Began::Unknown,
+            _ => SendOutcome::Unknown,
         }
     }
 
     /// Reads the answer of an attempt that runs from its start.
-    async fn begin_again(self: &Arc<Self>, job: &Arc<Job>, sent: &Sent) -> Began {
+    async fn read_from_start(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let Ok(channel) = self.resume(sent, 0).await else {
-            return Began::Unknown;
+            return SendOutcome::Unknown;
         };
         Box::pin(self.wait_for_head(job, sent, channel)).await
     }
 
     /// Opens a stream that repeats the answer from chunk `from` on.
-    pub(crate) async fn resume(&self, sent: &Sent, from: u64) -> Result<Channel, StreamError> {
+    pub(crate) async fn resume(&self, sent: &SentAttempt, from: u64) -> Result<Channel, StreamError> {
         let opened = self.endpoint.open(sent.address, Role::Agent).await;
         let mut channel = opened.map_err(|_unreachable| StreamError::Ended)?;
         let attempt = sent.attempt;
@@ -300,15 +306,15 @@
 
     /// Asks the agent at `address` what became of `attempt`, which was sent to its incarnation `incarnation`.
     pub(crate) async fn settle(&self, address: SocketAddr, attempt: AttemptId, incarnation: u64) -> Settlement {
-        let asked = tokio::time::timeout(
+        let queried = tokio::time::timeout(
             SETTLE_TIMEOUT,
-            self.ask_settlement(address, Ask::Settle { attempt, incarnation }),
+            self.query_settlement(address, Ask::Settle { attempt, incarnation }),
         )
         .await;
-        asked.ok().flatten().unwrap_or(Settlement::Unknown)
+        queried.ok().flatten().unwrap_or(Settlement::Unknown)
     }
 
-    async fn ask_settlement(&self, address: SocketAddr, ask: Ask) -> Option<Settlement> {
+    async fn query_settlement(&self, address: SocketAddr, ask: Ask) -> Option<Settlement> {
         let mut channel = self.endpoint.open(address, Role::Agent).await.ok()?;
         channel.sender.send(&Frame::Ask(ask)).await.ok()?;
         match channel.receiver.receive().await.ok()? {
@@ -318,7 +324,7 @@
     }
 
     /// Tells the agent that the caller went away.
-    pub(crate) fn cancel_in_background(self: &Arc<Self>, sent: &Sent) {
+    pub(crate) fn cancel_in_background(self: &Arc<Self>, sent: &SentAttempt) {
         let dispatcher = Arc::clone(self);
         let sent = sent.clone();
         tokio::spawn(async move {
@@ -329,7 +335,7 @@
         });
     }
 
-    async fn cancel(&self, sent: &Sent) {
+    async fn cancel(&self, sent: &SentAttempt) {
         let Ok(mut channel) = self.endpoint.open(sent.address, Role::Agent).await else {
             return;
         };
@@ -339,7 +345,7 @@
         channel.sender.stopped().await;
     }
 
-    pub(crate) fn request_id(&self, job: &Job, sent: &Sent) -> String {
+    pub(crate) fn request_id(&self, job: &Job, sent: &SentAttempt) -> String {
         self.seal.issue_request_id(&RequestName {
             workspace: job.workspace.name.clone(),
             target: sent.name.clone(),
@@ -348,35 +354,36 @@
         })
     }
 
-    pub(crate) fn note_load(&self, sent: &Sent, load: &sparscale_wire::Load) {
+    pub(crate) fn record_load(&self, sent: &SentAttempt, load: &sparscale_wire::Load) {
         let now = self.board.now();
         self.board.lock().apply_load(sent.target, board_load(load), now);
     }
 
     /// Notes that a dispatch is over, however it ended.
-    pub(crate) fn note_ended(&self, sent: &Sent) {
+    pub(crate) fn record_end(&self, sent: &SentAttempt) {
         let now = self.board.now();
         self.board.lock().note_ended(sent.target, sent.attempt.counter, now);
     }
 
     /// Avoids the target of a broken answer for a while.
-    pub(crate) fn avoid(&self, live: &Live) {
+    pub(crate) fn avoid(&self, live: &ResponseStream) {
         let now = self.board.now();
-        self.board.lock().note_failure(live.target(), now);
+        self.board.lock().record_failure(live.target(), now);
     }
 
-    fn note_failure(&self, sent: &Sent, error: &dyn std::error::Error) {
+    fn record_failure(&self, sent: &SentAttempt, error: &dyn std::error::Error) {
         log::warn!(agent = sent.name.as_str(), error = error.to_string().as_str(); "an agent cannot be reached");
         let now = self.board.now();
-        self.board.lock().note_failure(sent.target, now);
+        self.board.lock().record_failure(sent.target, now);
     }
 
     /// The problem that a refusal leads to if no other target takes the request; an error if none may be asked.
-    fn refused(&self, job: &Job, sent: &Sent, refusal: &Refusal) -> Result<Problem, Problem> {
+    fn handle_refusal(&self, job: &Job, sent: &SentAttempt, refusal: &Refusal) -> Result<Problem, Problem> {
         self.metrics.count("attempt.refused");
-        let after = Duration::from_millis(refusal.retry_after_ms);
-        let busy =
-            |title, detail: &str| Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, title, detail).retry_after(after);
+        let retry_after = Duration::from_millis(refusal.retry_after_ms);
+        let busy = |title, detail: &str| {
+            Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, title, detail).retry_after(retry_after)
+        };
         match refusal.reason {
             RefusalReason::OtherIncarnation => {
                 let detail = "the agent that the key was bound to is gone; nothing can run under this key any more";
@@ -395,7 +402,7 @@
             | RefusalReason::NotReady => {
                 // Else the nearest targets are chosen again and again while they are down, and none further away.
                 let now = self.board.now();
-                self.board.lock().note_refusal(sent.target, after, now);
+                self.board.lock().record_rejection(sent.target, retry_after, now);
                 Ok(busy("No target takes the request", "it was not handed on"))
             }
         }
@@ -405,12 +412,12 @@
 /// Tells the agent of a caller that went away, unless it is disarmed first.
 struct CancelGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
-    sent: &'a Sent,
+    sent: &'a SentAttempt,
     armed: bool,
 }
 
 impl<'a> CancelGuard<'a> {
-    fn new(dispatcher: &'a Arc<Dispatcher>, sent: &'a Sent) -> Self {
+    fn new(dispatcher: &'a Arc<Dispatcher>, sent: &'a SentAttempt) -> Self {
         Self {
             dispatcher,
             sent,
--- a/crates/sparscale_entry/src/duty.rs
+++ b/crates/sparscale_entry/src/duty.rs
@@ -14,61 +14,70 @@
 use tokio::time::Instant;
 
 /// Silence after which the first candidate claims.
-const SILENCE: Duration = Duration::from_secs(3);
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Further silence for each candidate that stands before.
-const SILENCE_PER_CANDIDATE: Duration = Duration::from_secs(2);
+const EXTRA_TIMEOUT_PER_CANDIDATE: Duration = Duration::from_secs(2);
 /// Entries that watch a holder.
-const CANDIDATES: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 /// Time that the holder has to answer.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time that the append of a claim may take.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What one entry knows about one duty.
-pub(crate) struct Watch {
+pub(crate) struct DutyWatch {
     duty: Duty,
     node: String,
     incarnation: u64,
-    heard: Instant,
-    fence: u64,
+    last_seen: Instant,
+    last_fence: u64,
 }
 
-impl Watch {
+impl DutyWatch {
     pub(crate) fn new(duty: Duty, node: &str, incarnation: u64) -> Self {
         Self {
             duty,
             node: node.to_owned(),
             incarnation,
-            heard: Instant::now(),
-            fence: 0,
+            last_seen: Instant::now(),
+            last_fence: 0,
         }
     }
 
-    /// The fence under which this entry holds the duty, after claiming it if its turn has come.
-    pub(crate) async fn hold(&mut self, journal: &Arc<Journal>, endpoint: &Endpoint, boxes: &Listing) -> Option<u64> {
+    /// The fence under which this entry holds the duty, after claiming it if its candidate_index has come.
+    pub(crate) async fn hold_or_claim(
+        &mut self,
+        journal: &Arc<Journal>,
+        endpoint: &Endpoint,
+        boxes: &Listing,
+    ) -> Option<u64> {
         let holder = journal.with_state(|state| state.holder(&self.duty).cloned());
         if let Some(holder) = holder.as_ref().filter(|holder| self.is_own(holder)) {
             return Some(holder.fence);
         }
         let fence = holder.as_ref().map_or(0, |holder| holder.fence);
-        if fence != self.fence {
-            self.fence = fence;
-            self.heard = Instant::now();
+        if fence != self.last_fence {
+            self.last_fence = fence;
+            self.last_seen = Instant::now();
         }
         let live: Vec<Node> = boxes
             .live()
             .into_iter()
             .filter(|node| node.role == Role::Entry)
             .collect();
-        let turn = self.turn(&live, holder.as_ref())?;
+        let candidate_index = self.candidate_index(&live, holder.as_ref())?;
         if let Some(holder) = &holder
-            && self.answers(holder, &live, endpoint).await
+            && self.holder_responds(holder, &live, endpoint).await
         {
-            self.heard = Instant::now();
+            self.last_seen = Instant::now();
             return None;
         }
-        let patience = if holder.is_some() { SILENCE } else { Duration::ZERO };
-        if self.heard.elapsed() < patience + SILENCE_PER_CANDIDATE * turn {
+        let holder_timeout = if holder.is_some() {
+            HOLDER_TIMEOUT
+        } else {
+            Duration::ZERO
+        };
+        if self.last_seen.elapsed() < holder_timeout + EXTRA_TIMEOUT_PER_CANDIDATE * candidate_index {
             return None;
         }
         self.claim(journal, fence).await
@@ -78,20 +87,20 @@
         holder.node == self.node && holder.incarnation == self.incarnation
     }
 
-    /// Place of this entry among the candidates; none if it is not one.
-    fn turn(&self, live: &[Node], holder: Option<&Holder>) -> Option<u32> {
-        let own_earlier_run = holder.is_some_and(|holder| holder.node == self.node);
-        let others = live
+    /// InFlightGuard of this entry among the candidates; none if it is not one.
+    fn candidate_index(&self, live: &[Node], holder: Option<&Holder>) -> Option<u32> {
+        let is_own_earlier_run = holder.is_some_and(|holder| holder.node == self.node);
+        let candidates = live
             .iter()
-            .filter(|node| own_earlier_run || holder.is_none_or(|holder| holder.node != node.name));
-        let mut names: Vec<&str> = others.map(|node| node.name.as_str()).collect();
-        names.sort_by_cached_key(|name| rank(&self.duty, name));
-        let turn = names.iter().position(|name| *name == self.node)?;
-        (turn < CANDIDATES).then_some(turn as u32)
+            .filter(|node| is_own_earlier_run || holder.is_none_or(|holder| holder.node != node.name));
+        let mut names: Vec<&str> = candidates.map(|node| node.name.as_str()).collect();
+        names.sort_by_cached_key(|name| candidate_hash(&self.duty, name));
+        let candidate_index = names.iter().position(|name| *name == self.node)?;
+        (candidate_index < MAX_CANDIDATES).then_some(candidate_index as u32)
     }
 
     /// Whether the holder's own incarnation still answers.
-    async fn answers(&self, holder: &Holder, live: &[Node], endpoint: &Endpoint) -> bool {
+    async fn holder_responds(&self, holder: &Holder, live: &[Node], endpoint: &Endpoint) -> bool {
         let Some(node) = live.iter().find(|node| node.name == holder.node) else {
             return false;
         };
@@ -100,7 +109,7 @@
     }
 
     async fn claim(&mut self, journal: &Arc<Journal>, over: u64) -> Option<u64> {
-        self.heard = Instant::now();
+        self.last_seen = Instant::now();
         let claim = Claim {
             duty: self.duty.clone(),
             node: self.node.clone(),
@@ -116,7 +125,7 @@
     }
 
     /// Claims again over the own fence: orders under it may still be on their way and must not count any more.
-    pub(crate) async fn renew(&mut self, journal: &Arc<Journal>, fence: u64) -> Option<u64> {
+    pub(crate) async fn reclaim(&mut self, journal: &Arc<Journal>, fence: u64) -> Option<u64> {
         self.claim(journal, fence).await
     }
 }
@@ -130,7 +139,7 @@
     }
 }
 
-fn rank(duty: &Duty, name: &str) -> u64 {
+fn candidate_hash(duty: &Duty, name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     duty.hash(&mut hasher);
     name.hash(&mut hasher);
--- a/crates/sparscale_entry/src/job.rs
+++ b/crates/sparscale_entry/src/job.rs
@@ -35,7 +35,7 @@
     pub(crate) deadline: Instant,
     pub(crate) repeatable: bool,
     pub(crate) key: Option<BindingKey>,
-    pub(crate) keep: Duration,
+    pub(crate) retention: Duration,
     pub(crate) call: Call,
     pub(crate) pool: Pool,
     pub(crate) route: RouteRequest,
@@ -44,7 +44,7 @@
 
 /// One dispatch.
 #[derive(Debug, Clone)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub(crate) target: TargetKey,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
@@ -55,8 +55,8 @@
 
 impl Job {
     /// The dispatch as it goes over the wire.
-    pub(crate) fn attempt(&self, sent: &Sent) -> Attempt {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+    pub(crate) fn attempt(&self, sent: &SentAttempt) -> Attempt {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let incarnation = match &self.pool {
             Pool::Bound { incarnation, .. } => *incarnation,
             Pool::Model(_) | Pool::Service(_) => 0,
@@ -67,10 +67,10 @@
             workspace: self.workspace.name.clone(),
             tier: self.tier,
             weight: self.workspace.weight,
-            deadline_ms: left.as_millis() as u64,
+            deadline_ms: remaining.as_millis() as u64,
             repeatable: self.repeatable,
             key: self.key,
-            keep_seconds: self.keep.as_secs(),
+            keep_seconds: self.retention.as_secs(),
             prompt_tokens: self.route.prompt_tokens,
             answer_tokens: self.route.answer_tokens,
             call: self.call.clone(),
--- a/crates/sparscale_entry/src/lib.rs
+++ b/crates/sparscale_entry/src/lib.rs
@@ -2,16 +2,15 @@
 //!
 //! No entry is special. Each follows the log, keeps a board of targets, and may hold a placer's duty.
 
+mod api;
 pub mod assembly;
 mod binding;
 mod board_control;
-mod caller;
 mod completion;
 mod dispatch;
 mod duty;
 mod job;
 pub mod limits;
-mod live;
 mod peer;
 mod placer;
 mod placer_context;
@@ -20,6 +19,7 @@
 mod program;
 mod quarantine;
 mod respond;
+mod response_stream;
 mod route_log;
 mod settings;
 mod ticket;
--- a/crates/sparscale_entry/src/limits.rs
+++ b/crates/sparscale_entry/src/limits.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Retries that can be saved up.
-const MAX_RETRIES: f64 = 100.0;
+const MAX_SAVED_RETRIES: f64 = 100.0;
 
 /// Counts requests in progress per workspace.
 #[derive(Debug, Clone, Default)]
@@ -14,21 +14,21 @@
 
 /// One request in progress; it stops counting when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct InFlightGuard {
     counts: Arc<Mutex<HashMap<String, u32>>>,
     workspace: String,
 }
 
 impl InFlight {
     /// A place for one more request of `workspace`, if fewer than `limit` are in progress.
-    pub(crate) fn enter(&self, workspace: &str, limit: u32) -> Option<Place> {
+    pub(crate) fn try_enter(&self, workspace: &str, limit: u32) -> Option<InFlightGuard> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(workspace.to_owned()).or_default();
         if *count >= limit {
             return None;
         }
         *count += 1;
-        Some(Place {
+        Some(InFlightGuard {
             counts: Arc::clone(&self.counts),
             workspace: workspace.to_owned(),
         })
@@ -40,7 +40,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut counts = lock(&self.counts);
         if let Some(count) = counts.get_mut(&self.workspace) {
@@ -56,23 +56,23 @@
 /// one that ends over and over under an overload would bring some with each start.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    saved: Mutex<f64>,
+    balance: Mutex<f64>,
 }
 
 impl RetryBudget {
     /// Notes a first attempt, which earns `percent` of a retry.
-    pub fn earn(&self, percent: u32) {
-        let mut saved = lock(&self.saved);
-        *saved = (*saved + f64::from(percent) / 100.0).min(MAX_RETRIES);
+    pub fn record_request(&self, percent: u32) {
+        let mut balance = lock(&self.balance);
+        *balance = (*balance + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
     }
 
     /// Spends one retry, if there is one.
-    pub fn spend(&self) -> bool {
-        let mut saved = lock(&self.saved);
-        if *saved < 1.0 {
+    pub fn try_spend(&self) -> bool {
+        let mut balance = lock(&self.balance);
+        if *balance < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *balance -= 1.0;
         true
     }
 }
--- a/crates/sparscale_entry/src/placer.rs
+++ b/crates/sparscale_entry/src/placer.rs
@@ -8,14 +8,14 @@
 use sparscale_journal::Duty;
 
 use crate::board_control::SharedBoard;
-use crate::duty::Watch;
+use crate::duty::DutyWatch;
 use crate::placer_context::Context;
 use crate::placer_group::GroupPlacer;
 
 /// Pause between two looks at the groups of the bundle.
-const GROUPS_PAUSE: Duration = Duration::from_secs(1);
+const GROUP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two looks at a duty that another entry holds.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+const DUTY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Starts and ends the tasks.
 pub(crate) struct Placers {
@@ -38,10 +38,10 @@
 
     /// Watches the duty of each group of the bundle in force.
     pub(crate) async fn run(self) {
-        let running: Arc<Mutex<HashSet<String>>> = Arc::default();
+        let watched_groups: Arc<Mutex<HashSet<String>>> = Arc::default();
         loop {
             for group in self.context.groups() {
-                let is_new = running
+                let is_new = watched_groups
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .insert(group.clone());
@@ -49,13 +49,16 @@
                     continue;
                 }
                 let context = Arc::clone(&self.context);
-                let running = Arc::clone(&running);
+                let watched_groups = Arc::clone(&watched_groups);
                 tokio::spawn(async move {
                     watch_group(&context, &group).await;
-                    running.lock().unwrap_or_else(PoisonError::into_inner).remove(&group);
+                    watched_groups
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .remove(&group);
                 });
             }
-            tokio::time::sleep(GROUPS_PAUSE).await;
+            tokio::time::sleep(GROUP_CHECK_INTERVAL).await;
         }
     }
 }
@@ -73,17 +76,17 @@
 /// Watches one group's duty, and places while this entry holds it, until the bundle has no such group.
 async fn watch_group(context: &Arc<Context>, group: &str) {
     let duty = Duty::Placer(group.to_owned());
-    let mut watch = Watch::new(duty, &context.name, context.incarnation);
+    let mut watch = DutyWatch::new(duty, &context.name, context.incarnation);
     while context.groups().iter().any(|known| known == group) {
         let boxes = context.boxes.borrow().clone();
-        match watch.hold(&context.journal, &context.endpoint, &boxes).await {
+        match watch.hold_or_claim(&context.journal, &context.endpoint, &boxes).await {
             Some(fence) => {
-                let stuck = GroupPlacer::new(Arc::clone(context), group, fence).run().await;
-                if stuck {
-                    watch.renew(&context.journal, fence).await;
+                let is_stuck = GroupPlacer::new(Arc::clone(context), group, fence).run().await;
+                if is_stuck {
+                    watch.reclaim(&context.journal, fence).await;
                 }
             }
-            None => tokio::time::sleep(WATCH_PAUSE).await,
+            None => tokio::time::sleep(DUTY_CHECK_INTERVAL).await,
         }
     }
 }
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -16,25 +16,25 @@
 use crate::placer_context::Context;
 
 /// Pause between two rounds of orders while a switch goes on.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
+const SWITCH_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause between two looks while nothing goes on.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time that a rank has to answer an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which an attempt to arm all ranks is given up, so that those that are armed go on.
 const ARM_TIMEOUT: Duration = Duration::from_secs(3);
 /// Ranks that are asked for expert counts in one round. Counts are cumulative, so a rank that is asked later has lost
 /// nothing, and two of 64 ranks at a time keep a placer within its bytes.
-const COUNTED_RANKS: usize = 2;
+const RANKS_PER_COUNT_ROUND: usize = 2;
 /// Time that the append of a map may take.
-const MAP_TIMEOUT: Duration = Duration::from_secs(5);
+const MAP_APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Decisions in one half-life of the counts.
 const DECISIONS_PER_HALF_LIFE: f64 = 2.0;
 /// Share by which answers are taken to be slower while weights load.
-const SLOWED: f64 = 0.1;
+const SLOWDOWN_SHARE_WHILE_LOADING: f64 = 0.1;
 /// Hours of a day, and seconds of an hour.
-const HOURS: u64 = 24;
-const HOUR_SECONDS: u64 = 3_600;
+const HOURS_PER_DAY: u64 = 24;
+const SECONDS_PER_HOUR: u64 = 3_600;
 
 /// Placer of one group under one fence.
 pub(crate) struct GroupPlacer {
@@ -47,8 +47,8 @@
 /// Expert counts, and what each rank had counted when it was last asked.
 struct Counting {
     counts: TokenCounts,
-    last: Vec<Option<Vec<u64>>>,
-    at: Instant,
+    last_counts: Vec<Option<Vec<u64>>>,
+    updated_at: Instant,
     next_rank: usize,
 }
 
@@ -60,12 +60,12 @@
 }
 
 /// The group as the bundle in force describes it.
-struct Facts {
+struct GroupState {
     group: Group,
     placement: Placement,
     shape: Shape,
-    present: Map,
-    number: u64,
+    current_map: Map,
+    map_number: u64,
 }
 
 impl GroupPlacer {
@@ -81,14 +81,14 @@
     /// Places until the duty is lost. True if only a higher fence helps.
     pub(crate) async fn run(mut self) -> bool {
         log::info!(target: DECISION, decision = "place", group = self.group.as_str(), fence = self.fence; "placing");
-        while let Some(facts) = self.facts() {
-            let progress = self.drive(&facts).await;
+        while let Some(state) = self.group_state() {
+            let progress = self.drive_switch(&state).await;
             match progress {
-                Progress::Done => self.decide_and_append(&facts).await,
+                Progress::Done => self.decide_and_append(&state).await,
                 Progress::Stuck => return true,
                 _ => {}
             }
-            if !self.holds() || progress == Progress::Overtaken {
+            if !self.holds_duty() || progress == Progress::Overtaken {
                 break;
             }
         }
@@ -96,64 +96,70 @@
         false
     }
 
-    fn holds(&self) -> bool {
+    fn holds_duty(&self) -> bool {
         let duty = Duty::Placer(self.group.clone());
-        let holder = self.context.journal.with_state(|state| state.holder(&duty).cloned());
+        let holder = self
+            .context
+            .journal
+            .with_state(|journal_state| journal_state.holder(&duty).cloned());
         holder.is_some_and(|holder| holder.fence == self.fence)
     }
 
-    fn facts(&self) -> Option<Facts> {
+    fn group_state(&self) -> Option<GroupState> {
         let certificate = self.context.journal.in_force()?;
         let fleet = certificate.bundle.fleet();
         let group = fleet.group(&self.group)?.clone();
         let shape = shape(&group);
-        let placed = self.context.journal.with_state(|state| state.map(&self.group).cloned());
-        Some(Facts {
+        let placed = self
+            .context
+            .journal
+            .with_state(|journal_state| journal_state.map(&self.group).cloned());
+        Some(GroupState {
             placement: fleet.placement.clone(),
             shape,
-            present: placed
+            current_map: placed
                 .as_ref()
                 .map_or_else(|| Map::initial(shape), |placed| placed.map.as_ref().clone()),
-            number: placed.map_or(0, |placed| placed.number),
+            map_number: placed.map_or(0, |placed| placed.number),
             group,
         })
     }
 
     /// Drives the ranks to the latest map, and keeps watching them until it is time to decide again.
-    async fn drive(&mut self, facts: &Facts) -> Progress {
-        let mut conductor = Coordinator::new(self.fence, facts.group.ranks.len(), facts.number);
-        let decide_after = facts.placement.half_life_seconds / DECISIONS_PER_HALF_LIFE;
+    async fn drive_switch(&mut self, state: &GroupState) -> Progress {
+        let mut coordinator = Coordinator::new(self.fence, state.group.ranks.len(), state.map_number);
+        let decide_after = state.placement.half_life_seconds / DECISIONS_PER_HALF_LIFE;
         let decide_at = Instant::now() + Duration::from_secs_f64(decide_after);
         let mut probe = Probe::default();
         let mut arming_since = None;
         let mut last = Progress::Enlisting;
         loop {
-            if last != Progress::Done || !self.still_advances(&mut probe, facts).await {
-                self.round(&mut conductor, facts).await;
+            if last != Progress::Done || !self.is_advancing(&mut probe, state).await {
+                self.run_round(&mut coordinator, state).await;
             }
-            let progress = conductor.progress();
+            let progress = coordinator.progress();
             if progress != last {
-                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = facts.number, progress:? = progress; "switch");
+                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "switch");
                 last = progress;
             }
             match progress {
                 Progress::Overtaken | Progress::Stuck => return progress,
                 Progress::Done if Instant::now() >= decide_at => return progress,
-                Progress::Done => tokio::time::sleep(IDLE_PAUSE).await,
+                Progress::Done => tokio::time::sleep(IDLE_CHECK_INTERVAL).await,
                 Progress::Arming | Progress::Enlisting => {
                     let since = *arming_since.get_or_insert_with(Instant::now);
                     if since.elapsed() > ARM_TIMEOUT {
-                        conductor.abandon_attempt();
+                        coordinator.abandon_attempt();
                         arming_since = None;
                     }
-                    tokio::time::sleep(BUSY_PAUSE).await;
+                    tokio::time::sleep(SWITCH_ROUND_INTERVAL).await;
                 }
                 _ => {
                     arming_since = None;
-                    tokio::time::sleep(BUSY_PAUSE).await;
+                    tokio::time::sleep(SWITCH_ROUND_INTERVAL).await;
                 }
             }
-            if !self.holds() {
+            if !self.holds_duty() {
                 return Progress::Overtaken;
             }
         }
@@ -163,8 +169,8 @@
     ///
     /// Ranks advance together: one that was replaced, or is held, stops them all. So one answer tells of all ranks, at
     /// a 64th of the bytes of asking each.
-    async fn still_advances(&self, probe: &mut Probe, facts: &Facts) -> bool {
-        let ranks = &facts.group.ranks;
+    async fn is_advancing(&self, probe: &mut Probe, state: &GroupState) -> bool {
+        let ranks = &state.group.ranks;
         probe.rank = (probe.rank + 1) % ranks.len().max(1);
         let Some(rank) = ranks.get(probe.rank) else {
             return false;
@@ -180,22 +186,22 @@
         probe.step = report.step;
         let on_goal = report
             .plan
-            .is_some_and(|plan| plan.number == facts.number && plan.next.is_none());
+            .is_some_and(|plan| plan.number == state.map_number && plan.next.is_none());
         advanced && on_goal && report.fence == self.fence
     }
 
     /// Sends each rank its next order and takes in the answers.
-    async fn round(&self, conductor: &mut Coordinator, facts: &Facts) {
-        conductor.abandon_missed_attempt();
-        let orders = conductor.orders();
+    async fn run_round(&self, coordinator: &mut Coordinator, state: &GroupState) {
+        coordinator.abandon_missed_attempt();
+        let orders = coordinator.orders();
         let sent = orders
             .into_iter()
-            .zip(&facts.group.ranks)
+            .zip(&state.group.ranks)
             .map(|(order, rank)| self.send(rank, order));
         for (rank, report) in join_all(sent).await.into_iter().enumerate() {
             match report {
-                Some(report) => conductor.record_report(rank, report),
-                None => conductor.discard_report(rank),
+                Some(report) => coordinator.record_report(rank, report),
+                None => coordinator.discard_report(rank),
             }
         }
     }
@@ -205,20 +211,20 @@
             group: self.group.clone(),
             order,
         };
-        match self.ask(rank, ask).await? {
+        match self.query(rank, ask).await? {
             Frame::Report(report) => Some(report),
             _ => None,
         }
     }
 
-    async fn ask(&self, rank: &str, ask: Ask) -> Option<Frame> {
+    async fn query(&self, rank: &str, ask: Ask) -> Option<Frame> {
         let address = self.address(rank)?;
-        let asked = async {
+        let query = async {
             let mut channel = self.context.endpoint.open(address, Role::Agent).await.ok()?;
             channel.sender.send(&Frame::Ask(ask)).await.ok()?;
             channel.receiver.receive().await.ok()
         };
-        tokio::time::timeout(ORDER_TIMEOUT, asked).await.ok().flatten()
+        tokio::time::timeout(ORDER_TIMEOUT, query).await.ok().flatten()
     }
 
     fn address(&self, rank: &str) -> Option<SocketAddr> {
@@ -230,56 +236,56 @@
     }
 
     /// Takes in expert counts, decides, and puts a new map in the log.
-    async fn decide_and_append(&mut self, facts: &Facts) {
-        self.count(facts).await;
+    async fn decide_and_append(&mut self, state: &GroupState) {
+        self.count(state).await;
         let Some(counting) = &self.counting else { return };
-        let costs = costs(facts);
-        let began = Instant::now();
-        let decision = decide(&counting.counts, &facts.present, &costs);
-        log_decision(&self.group, facts, &decision, began.elapsed());
+        let costs = costs(state);
+        let started_at = Instant::now();
+        let decision = decide(&counting.counts, &state.current_map, &costs);
+        log_decision(&self.group, state, &decision, started_at.elapsed());
         let Some(map) = decision.next_map else { return };
         let change = MapChange {
             group: self.group.clone(),
             fence: self.fence,
-            base: facts.number,
+            base: state.map_number,
             map,
         };
-        let submitted = self.context.journal.submit(Body::Map(change), MAP_TIMEOUT).await;
+        let submitted = self.context.journal.submit(Body::Map(change), MAP_APPEND_TIMEOUT).await;
         log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = submitted; "put a map in the log");
     }
 
-    async fn count(&mut self, facts: &Facts) {
-        let fresh = || Counting {
-            counts: TokenCounts::new(facts.shape, Duration::from_secs_f64(facts.placement.half_life_seconds)),
-            last: vec![None; facts.group.ranks.len()],
-            at: Instant::now(),
+    async fn count(&mut self, state: &GroupState) {
+        let new_counting = || Counting {
+            counts: TokenCounts::new(state.shape, Duration::from_secs_f64(state.placement.half_life_seconds)),
+            last_counts: vec![None; state.group.ranks.len()],
+            updated_at: Instant::now(),
             next_rank: 0,
         };
         let mut counting = self
             .counting
             .take()
-            .filter(|old| old.counts.shape() == facts.shape)
-            .unwrap_or_else(fresh);
-        let passed = counting.at.elapsed();
-        counting.at = Instant::now();
-        let mut sum = vec![0.0; facts.shape.layers * facts.shape.experts];
-        for (rank, tokens) in self.ask_counts(facts, &mut counting.next_rank).await {
-            let before = counting.last[rank].replace(tokens.clone());
+            .filter(|old| old.counts.shape() == state.shape)
+            .unwrap_or_else(new_counting);
+        let elapsed = counting.updated_at.elapsed();
+        counting.updated_at = Instant::now();
+        let mut sum = vec![0.0; state.shape.layers * state.shape.experts];
+        for (rank, tokens) in self.query_counts(state, &mut counting.next_rank).await {
+            let before = counting.last_counts[rank].replace(tokens.clone());
             add_new_tokens(&mut sum, &tokens, before.as_deref());
         }
-        counting.counts.observe(&sum, passed);
+        counting.counts.observe(&sum, elapsed);
         self.counting = Some(counting);
     }
 
     /// Counts of the next few ranks, in turn.
-    async fn ask_counts(&self, facts: &Facts, next_rank: &mut usize) -> Vec<(usize, Vec<u64>)> {
-        let ranks = &facts.group.ranks;
-        let asked: Vec<usize> = (0..ranks.len().min(COUNTED_RANKS))
+    async fn query_counts(&self, state: &GroupState, next_rank: &mut usize) -> Vec<(usize, Vec<u64>)> {
+        let ranks = &state.group.ranks;
+        let queried_ranks: Vec<usize> = (0..ranks.len().min(RANKS_PER_COUNT_ROUND))
             .map(|step| (*next_rank + step) % ranks.len())
             .collect();
-        *next_rank = (*next_rank + COUNTED_RANKS) % ranks.len();
-        let answers = join_all(asked.iter().map(|rank| self.ask(&ranks[*rank], Ask::Experts))).await;
-        let counted = asked
+        *next_rank = (*next_rank + RANKS_PER_COUNT_ROUND) % ranks.len();
+        let answers = join_all(queried_ranks.iter().map(|rank| self.query(&ranks[*rank], Ask::Experts))).await;
+        let counted = queried_ranks
             .into_iter()
             .zip(answers)
             .filter_map(|(rank, answer)| match answer {
@@ -303,21 +309,21 @@
     }
 }
 
-fn costs(facts: &Facts) -> Costs {
-    let placement = &facts.placement;
+fn costs(state: &GroupState) -> Costs {
+    let placement = &state.placement;
     Costs {
         weight_skew: placement.weight_skew,
         weight_move: placement.weight_move,
-        seconds_per_load: facts.group.expert_bytes as f64 / placement.weight_store_bytes_per_second,
-        slowdown_share: SLOWED,
+        seconds_per_load: state.group.expert_bytes as f64 / placement.weight_store_bytes_per_second,
+        slowdown_share: SLOWDOWN_SHARE_WHILE_LOADING,
         move_budget: placement.move_budget,
-        in_quiet_hours: is_quiet(placement, SystemTime::now()),
+        in_quiet_hours: in_quiet_hours(placement, SystemTime::now()),
     }
 }
 
-fn is_quiet(placement: &Placement, now: SystemTime) -> bool {
+fn in_quiet_hours(placement: &Placement, now: SystemTime) -> bool {
     let seconds = now.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-    let hour = (seconds / HOUR_SECONDS % HOURS) as u32;
+    let hour = (seconds / SECONDS_PER_HOUR % HOURS_PER_DAY) as u32;
     placement.quiet_hours.iter().any(|span| {
         if span.from <= span.to {
             (span.from..span.to).contains(&hour)
@@ -327,13 +333,13 @@
     })
 }
 
-fn log_decision(group: &str, facts: &Facts, decision: &Decision, took: Duration) {
+fn log_decision(group: &str, state: &GroupState, decision: &Decision, took: Duration) {
     let chosen = if decision.next_map.is_some() { "move" } else { "stay" };
     log::info!(
         target: DECISION,
         decision = chosen,
         group,
-        map = facts.number,
+        map = state.map_number,
         reason:? = decision.reason,
         skew_now = decision.skew_now,
         skew_next = decision.skew_next,
--- a/crates/sparscale_entry/src/program.rs
+++ b/crates/sparscale_entry/src/program.rs
@@ -11,8 +11,8 @@
 use sparscale_control::process;
 use sparscale_telemetry::{DECISION, Signals};
 
+use crate::api::{self, Api};
 use crate::board_control::{SharedBoard, follow_boxes, follow_bundle, watch_loads};
-use crate::caller::{self, Api};
 use crate::dispatch::Dispatcher;
 use crate::limits::InFlight;
 use crate::peer;
@@ -109,7 +109,7 @@
 }
 
 fn serve(settings: &Settings, api: Arc<Api>) -> Result<HttpServer<Arc<Api>>, Error> {
-    let description = caller::description().map_err(|message| Error::Callers { message })?;
+    let description = api::description().map_err(|message| Error::Callers { message })?;
     let config = ConfigDropshot {
         bind_address: settings.callers,
         // The handlers read bodies themselves, up to the limit of the settings, and refuse longer ones.
--- a/crates/sparscale_entry/src/respond.rs
+++ b/crates/sparscale_entry/src/respond.rs
@@ -10,18 +10,18 @@
 use sync_wrapper::SyncStream;
 
 use crate::completion;
-use crate::limits::Place;
-use crate::live::Live;
+use crate::limits::InFlightGuard;
 use crate::problem::Problem;
+use crate::response_stream::ResponseStream;
 
 /// A stream of events that starts with the chunks in `first`.
-pub(crate) fn stream_answer(live: Live, first: &[Bytes], place: Place) -> Response<Body> {
+pub(crate) fn stream_response(live: ResponseStream, first: &[Bytes], guard: InFlightGuard) -> Response<Body> {
     let id = live.request_id();
-    let state = Stream {
+    let state = EventStream {
         live,
         pending: first.iter().map(|chunk| completion::event(chunk)).collect(),
-        over: false,
-        _place: place,
+        is_over: false,
+        _guard: guard,
     };
     let events = futures::stream::unfold(state, |mut state| async move {
         let event = state.next().await?;
@@ -43,42 +43,42 @@
 }
 
 /// A stream of events, with the place that its request takes.
-struct Stream {
-    live: Live,
+struct EventStream {
+    live: ResponseStream,
     pending: VecDeque<Bytes>,
-    over: bool,
-    _place: Place,
+    is_over: bool,
+    _guard: InFlightGuard,
 }
 
-impl Stream {
+impl EventStream {
     async fn next(&mut self) -> Option<Bytes> {
         if let Some(event) = self.pending.pop_front() {
             return Some(event);
         }
-        if self.over {
+        if self.is_over {
             return None;
         }
         match self.live.next().await {
-            Some(Ok(piece)) => Some(completion::event(&piece)),
+            Some(Ok(chunk)) => Some(completion::event(&chunk)),
             Some(Err(problem)) => {
-                self.over = true;
+                self.is_over = true;
                 Some(completion::error_event(&problem.to_json()))
             }
             None => {
-                self.over = true;
-                Some(completion::done())
+                self.is_over = true;
+                Some(completion::done_event())
             }
         }
     }
 }
 
-pub(crate) fn answer_text(pieces: &[Bytes]) -> Result<String, Problem> {
-    let texts: Result<Vec<String>, _> = pieces.iter().map(|piece| completion::piece_text(piece)).collect();
+pub(crate) fn response_text(chunks: &[Bytes]) -> Result<String, Problem> {
+    let texts: Result<Vec<String>, _> = chunks.iter().map(|chunk| completion::chunk_text(chunk)).collect();
     let texts = texts.map_err(|error| Problem::failed(format!("the engine's answer: {error}")))?;
     Ok(texts.concat())
 }
 
-pub(crate) fn service_response(live: &Live, body: Bytes) -> Result<Response<Body>, Problem> {
+pub(crate) fn service_response(live: &ResponseStream, body: Bytes) -> Result<Response<Body>, Problem> {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = StatusCode::from_u16(live.head.status)
         .map_err(|_range| Problem::failed("the target's status is no HTTP status"))?;
--- a/crates/sparscale_entry/src/live.rs
+++ b/crates/sparscale_entry/src/response_stream.rs
@@ -11,33 +11,33 @@
 
 use crate::assembly::{Assembly, Step};
 use crate::dispatch::Dispatcher;
-use crate::job::{Job, Sent};
+use crate::job::{Job, SentAttempt};
 use crate::problem::Problem;
 use crate::unserved::failed;
 
 /// Resumptions in a row without a new chunk, after which the answer is given up.
 const MAX_RESUMES: u32 = 3;
 /// Pause between two of them.
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
+const RESUME_DELAY: Duration = Duration::from_millis(100);
 
 /// An answer that has begun.
-pub(crate) struct Live {
+pub(crate) struct ResponseStream {
     dispatcher: Arc<Dispatcher>,
     job: Arc<Job>,
-    sent: Sent,
+    sent: SentAttempt,
     assembly: Assembly,
     channel: Channel,
-    ready: VecDeque<Bytes>,
-    resumes: u32,
-    over: bool,
+    ready_chunks: VecDeque<Bytes>,
+    resume_count: u32,
+    is_over: bool,
     pub(crate) head: Head,
 }
 
-impl Live {
+impl ResponseStream {
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         job: Arc<Job>,
-        sent: Sent,
+        sent: SentAttempt,
         assembly: Assembly,
         channel: Channel,
         head: Head,
@@ -48,9 +48,9 @@
             sent,
             assembly,
             channel,
-            ready: VecDeque::new(),
-            resumes: 0,
-            over: false,
+            ready_chunks: VecDeque::new(),
+            resume_count: 0,
+            is_over: false,
             head,
         }
     }
@@ -68,14 +68,14 @@
     /// The next chunk; none after a whole answer.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Problem>> {
         loop {
-            if let Some(chunk) = self.ready.pop_front() {
+            if let Some(chunk) = self.ready_chunks.pop_front() {
                 return Some(Ok(chunk));
             }
-            if self.over {
+            if self.is_over {
                 return None;
             }
             if let Err(problem) = self.receive().await {
-                self.over = true;
+                self.is_over = true;
                 return Some(Err(problem.request_id(self.request_id())));
             }
         }
@@ -87,7 +87,7 @@
             Ok(Ok(Frame::Answer(answer))) => self.accept(answer).await,
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => self.resume(&error.to_string()).await,
-            Err(_elapsed) => Err(self.gave_up("the deadline passed")),
+            Err(_elapsed) => Err(self.abandoned("the deadline passed")),
         }
     }
 
@@ -95,20 +95,20 @@
         match self.assembly.accept(answer) {
             Step::Nothing | Step::Head(_) => Ok(()),
             Step::Chunks(chunks) => {
-                self.resumes = 0;
-                self.ready.extend(chunks);
+                self.resume_count = 0;
+                self.ready_chunks.extend(chunks);
                 Ok(())
             }
             Step::End { chunks, load } => {
-                self.ready.extend(chunks);
-                self.over = true;
-                self.dispatcher.note_load(&self.sent, &load);
-                self.dispatcher.quarantine.note_answer(&self.job);
+                self.ready_chunks.extend(chunks);
+                self.is_over = true;
+                self.dispatcher.record_load(&self.sent, &load);
+                self.dispatcher.quarantine.record_response(&self.job);
                 Ok(())
             }
             Step::Failed(failure) => {
                 if matches!(failure, Failure::Ended { .. }) {
-                    self.dispatcher.quarantine.note_end(&self.job, &self.sent).await;
+                    self.dispatcher.quarantine.record_end(&self.job, &self.sent).await;
                 }
                 Err(failed(&self.job, &failure))
             }
@@ -119,21 +119,21 @@
 
     async fn resume(&mut self, reason: &str) -> Result<(), Problem> {
         loop {
-            if self.resumes >= MAX_RESUMES || Instant::now() >= self.job.deadline {
-                return Err(self.gave_up("the target's agent cannot be reached any more"));
+            if self.resume_count >= MAX_RESUMES || Instant::now() >= self.job.deadline {
+                return Err(self.abandoned("the target's agent cannot be reached any more"));
             }
-            self.resumes += 1;
-            let from = self.assembly.next_chunk();
+            self.resume_count += 1;
+            let from = self.assembly.next_sequence();
             log::info!(target: sparscale_telemetry::DECISION, decision = "resume", attempt = self.sent.attempt.to_string().as_str(), from, reason; "resuming a broken stream");
             if let Ok(channel) = self.dispatcher.resume(&self.sent, from).await {
                 self.channel = channel;
                 return Ok(());
             }
-            tokio::time::sleep(RESUME_PAUSE).await;
+            tokio::time::sleep(RESUME_DELAY).await;
         }
     }
 
-    fn gave_up(&self, detail: &str) -> Problem {
+    fn abandoned(&self, detail: &str) -> Problem {
         if self.job.repeatable {
             Problem::failed(detail)
         } else {
@@ -142,10 +142,10 @@
     }
 }
 
-impl Drop for Live {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
-        self.dispatcher.note_ended(&self.sent);
-        if !self.assembly.has_ended() {
+        self.dispatcher.record_end(&self.sent);
+        if !self.assembly.is_complete() {
             self.dispatcher.cancel_in_background(&self.sent);
         }
     }
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -5,7 +5,7 @@
 use sparscale_route::Decision;
 use sparscale_telemetry::DECISION;
 
-use crate::job::{Job, Sent};
+use crate::job::{Job, SentAttempt};
 
 /// A candidate as a decision line shows it; costs in milliseconds.
 #[derive(Serialize)]
@@ -24,18 +24,18 @@
     let candidates = decision.scored.iter().filter_map(|scored| {
         Some(Candidate {
             name: &board.target(scored.key)?.name,
-            cost: scored.cost,
-            wait: scored.wait,
-            prefill: scored.prefill,
-            steps: scored.steps,
-            others: scored.others,
-            distance: scored.distance,
+            cost: scored.cost_ms,
+            wait: scored.wait_ms,
+            prefill: scored.prefill_ms,
+            steps: scored.steps_ms,
+            others: scored.others_ms,
+            distance: scored.round_trip_ms,
         })
     });
     serde_json::to_string(&candidates.collect::<Vec<_>>()).unwrap_or_default()
 }
 
-pub(crate) fn log_route(job: &Job, sent: &Sent, decision: &Decision, candidates: &str, version: u64, map: u64) {
+pub(crate) fn log_route(job: &Job, sent: &SentAttempt, decision: &Decision, candidates: &str, version: u64, map: u64) {
     log::info!(
         target: DECISION,
         decision = "route",
--- a/crates/sparscale_entry/src/settings.rs
+++ b/crates/sparscale_entry/src/settings.rs
@@ -8,7 +8,7 @@
 use sparscale_settings::{Check, Problem};
 
 /// Shortest secret for tickets and request ids, in characters.
-const MIN_SECRET: usize = 32;
+const MIN_SECRET_CHARS: usize = 32;
 
 /// The settings file as written.
 #[derive(Debug, Clone, Deserialize)]
@@ -44,13 +44,13 @@
 
     fn try_from(raw: Raw) -> Result<Self, Self::Error> {
         let mut problems = Vec::new();
-        if raw.secret.len() < MIN_SECRET {
-            let mend = "use 32 random characters or more, the same on every entry";
-            problems.push(Problem::new("secret", "is too short", mend));
+        if raw.secret.len() < MIN_SECRET_CHARS {
+            let remedy = "use 32 random characters or more, the same on every entry";
+            problems.push(Problem::new("secret", "is too short", remedy));
         }
         if !(1_024..=1 << 20).contains(&raw.max_body_bytes) {
-            let mend = "use 1024 to 1048576; a frame between processes holds no more";
-            problems.push(Problem::new("max_body_bytes", "is out of range", mend));
+            let remedy = "use 1024 to 1048576; a frame between processes holds no more";
+            problems.push(Problem::new("max_body_bytes", "is out of range", remedy));
         }
         if !(1..=86_400).contains(&raw.ticket_seconds) {
             problems.push(Problem::new("ticket_seconds", "is out of range", "use 1 to 86400"));
--- a/crates/sparscale_entry/src/ticket.rs
+++ b/crates/sparscale_entry/src/ticket.rs
@@ -67,27 +67,27 @@
     }
 
     pub(crate) fn issue_ticket(&self, ticket: &Ticket) -> String {
-        self.close(TICKET_PREFIX, ticket)
+        self.seal(TICKET_PREFIX, ticket)
     }
 
     /// Opens a ticket. `now` is this process's clock; what the agent keeps outlasts the ticket by a wide margin.
     pub(crate) fn open_ticket(&self, text: &str, now: SystemTime) -> Result<Ticket, Error> {
         let ticket: Ticket = self.open(TICKET_PREFIX, text)?;
-        if seconds(now) >= ticket.expires {
+        if unix_seconds(now) >= ticket.expires {
             return Err(Error::Expired);
         }
         Ok(ticket)
     }
 
     pub(crate) fn issue_request_id(&self, name: &RequestName) -> String {
-        self.close(REQUEST_PREFIX, name)
+        self.seal(REQUEST_PREFIX, name)
     }
 
     pub(crate) fn open_request_id(&self, text: &str) -> Result<RequestName, Error> {
         self.open(REQUEST_PREFIX, text)
     }
 
-    fn close<T: Serialize>(&self, prefix: &str, value: &T) -> String {
+    fn seal<T: Serialize>(&self, prefix: &str, value: &T) -> String {
         // Serialising plain data into memory has no way to fail.
         let content = postcard::to_stdvec(value).unwrap_or_default();
         let tag = self.tag(prefix, &content);
@@ -98,7 +98,7 @@
     fn open<T: DeserializeOwned>(&self, prefix: &str, text: &str) -> Result<T, Error> {
         let encoded = text.strip_prefix(prefix).ok_or(Error::Forged)?;
         let sealed = URL_SAFE_NO_PAD.decode(encoded).map_err(|_format| Error::Forged)?;
-        let (content, tag) = sealed.split_last_chunk::<TAG_LEN>().ok_or(Error::Forged)?;
+        let (content, tag) = sealed.split_last_chunk::<TAG_BYTES>().ok_or(Error::Forged)?;
         let mut mac = self.mac.clone();
         mac.update(prefix.as_bytes());
         mac.update(content);
@@ -106,21 +106,21 @@
         postcard::from_bytes(content).map_err(|_format| Error::Forged)
     }
 
-    fn tag(&self, prefix: &str, content: &[u8]) -> [u8; TAG_LEN] {
+    fn tag(&self, prefix: &str, content: &[u8]) -> [u8; TAG_BYTES] {
         let mut mac = self.mac.clone();
         mac.update(prefix.as_bytes());
         mac.update(content);
         let full: [u8; 32] = mac.finalize().into_bytes().into();
-        let mut tag = [0; TAG_LEN];
-        tag.copy_from_slice(&full[..TAG_LEN]);
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&full[..TAG_BYTES]);
         tag
     }
 }
 
 /// Bytes of the authentication tag.
-const TAG_LEN: usize = 16;
+const TAG_BYTES: usize = 16;
 
 /// Seconds since 1970.
-pub(crate) fn seconds(time: SystemTime) -> u64 {
+pub(crate) fn unix_seconds(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs()
 }
--- a/crates/sparscale_entry/tests/answer_assembly.rs
+++ b/crates/sparscale_entry/tests/answer_assembly.rs
@@ -53,22 +53,22 @@
     })
 }
 
-fn assembles(arrivals: Arrivals) -> bool {
+fn forwards_only_own_prefix(arrivals: Arrivals) -> bool {
     let whole: Vec<Bytes> = (0..arrivals.chunks).map(|sequence| text(OWN, sequence)).collect();
     let mut assembly = Assembly::new(OWN);
-    let mut passed_on: Vec<Bytes> = Vec::new();
+    let mut forwarded: Vec<Bytes> = Vec::new();
     for (own, which) in arrivals.order {
         let attempt = if own { OWN } else { OTHER };
         // Someone else's answer has another length, too.
         let chunks = if own { arrivals.chunks } else { 9 };
         let part = part(attempt, chunks, which);
         match assembly.accept(Answer { attempt, part }) {
-            Step::Chunks(chunks) | Step::End { chunks, .. } => passed_on.extend(chunks),
+            Step::Chunks(chunks) | Step::End { chunks, .. } => forwarded.extend(chunks),
             Step::Nothing | Step::Head(_) => {}
             Step::Refused(_) | Step::Failed(_) | Step::Broken(_) => return false,
         }
-        let is_prefix = whole.starts_with(&passed_on);
-        let whole_at_end = !assembly.has_ended() || passed_on == whole;
+        let is_prefix = whole.starts_with(&forwarded);
+        let whole_at_end = !assembly.is_complete() || forwarded == whole;
         if !is_prefix || !whole_at_end {
             return false;
         }
@@ -77,15 +77,15 @@
 }
 
 #[test]
-fn own_and_whole() {
+fn own_response_complete() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 3))
         .tests(50_000)
-        .quickcheck(assembles as fn(Arrivals) -> bool);
+        .quickcheck(forwards_only_own_prefix as fn(Arrivals) -> bool);
 }
 
 #[test]
-fn short_end_breaks() {
+fn end_below_forwarded_count_is_broken() {
     let mut assembly = Assembly::new(OWN);
     for sequence in 0..2 {
         let data = text(OWN, sequence);
--- a/crates/sparscale_entry/tests/retry_limits.rs
+++ b/crates/sparscale_entry/tests/retry_limits.rs
@@ -7,12 +7,12 @@
 
 /// Twenty processes follow each other, each with five first attempts that earn a fifth of a retry.
 #[test]
-fn lives_in_series() {
+fn restarts_grant_no_retries() {
     let mut retries = 0;
     for _ in 0..20 {
         let budget = RetryBudget::default();
-        (0..5).for_each(|_| budget.earn(20));
-        retries += (0..20).filter(|_| budget.spend()).count();
+        (0..5).for_each(|_| budget.record_request(20));
+        retries += (0..20).filter(|_| budget.try_spend()).count();
     }
     assert!(retries <= 20, "{retries} retries for 100 first attempts");
 }
--- a/crates/sparscale_route/src/candidates.rs
+++ b/crates/sparscale_route/src/candidates.rs
@@ -18,17 +18,17 @@
         .iter()
         .filter_map(|key| {
             let target = board.target(*key)?;
-            Some((target.distance, spread(entry, &target.name), *key))
+            Some((target.distance, spread_hash(entry, &target.name), *key))
         })
         .collect();
-    ranked.sort_unstable_by_key(|(distance, spread, _)| (*distance, *spread));
+    ranked.sort_unstable_by_key(|(distance, hash, _)| (*distance, *hash));
     ranked.truncate(limit);
     Subset {
         targets: ranked.into_iter().map(|(_, _, key)| key).collect(),
     }
 }
 
-fn spread(entry: &str, target: &str) -> u64 {
+fn spread_hash(entry: &str, target: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     entry.hash(&mut hasher);
     target.hash(&mut hasher);
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -52,29 +52,29 @@
 
 /// A candidate with its predicted cost, in milliseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Scored {
+pub struct ScoredTarget {
     /// The candidate.
     pub key: TargetKey,
     /// Sum of the parts below.
-    pub cost: f64,
+    pub cost_ms: f64,
     /// Wait for a place.
-    pub wait: f64,
+    pub wait_ms: f64,
     /// Prefill of what waits there and of this prompt, after the expected cache hit.
-    pub prefill: f64,
+    pub prefill_ms: f64,
     /// Steps of this answer.
-    pub steps: f64,
+    pub steps_ms: f64,
     /// What the longer steps cost everyone else in the group.
-    pub others: f64,
+    pub others_ms: f64,
     /// Way there and back.
-    pub distance: f64,
+    pub round_trip_ms: f64,
     /// Counter of this entry's last request there: of equals, the one that waited longest is next.
     pub last_sent: u64,
 }
 
-impl Scored {
+impl ScoredTarget {
     fn compare(&self, other: &Self) -> Ordering {
-        self.cost
-            .total_cmp(&other.cost)
+        self.cost_ms
+            .total_cmp(&other.cost_ms)
             .then(self.last_sent.cmp(&other.last_sent))
     }
 }
@@ -87,7 +87,7 @@
     /// Why.
     pub reason: Reason,
     /// What was looked at.
-    pub scored: Vec<Scored>,
+    pub scored: Vec<ScoredTarget>,
 }
 
 /// No candidate takes work.
@@ -99,18 +99,18 @@
 
 /// Exponent of the norm that stands for the largest rank load. The plain largest would leave all ranks below it
 /// alike, so that the next burst finds them unequal.
-const NORM: i32 = 8;
+const NORM_EXPONENT: i32 = 8;
 
 /// Load of a group as one decision sees it.
 #[derive(Debug, Clone)]
 struct GroupLoad {
     key: GroupKey,
     /// Expected requests of each rank, in rank order.
-    ranks: Vec<f64>,
-    /// Sum of the ranks' requests, each to the power of [`NORM`], and its root.
-    powers: f64,
-    root: f64,
-    total: f64,
+    rank_loads: Vec<f64>,
+    /// Sum of the ranks' requests, each to the power of [`NORM_EXPONENT`], and its root.
+    power_sum: f64,
+    norm: f64,
+    total_requests: f64,
     /// Step time without load and for each sequence on the most loaded rank, in milliseconds.
     base_ms: f64,
     slope_ms: f64,
@@ -128,13 +128,13 @@
     let usable: Vec<TargetKey> = candidates
         .iter()
         .copied()
-        .filter(|key| takes_work(board, *key, now))
+        .filter(|key| accepts_work(board, *key, now))
         .collect();
     let Some(first) = usable.first() else {
         return Err(no_candidate(board, candidates, now));
     };
     if usable.len() == 1 {
-        let scored = Loads::new(board, &usable, now).score(*first, request);
+        let scored = GroupLoads::new(board, &usable, now).score(*first, request);
         return Ok(Decision {
             target: *first,
             reason: Reason::Only,
@@ -149,16 +149,19 @@
     }
 }
 
-fn takes_work(board: &Board, key: TargetKey, now: Duration) -> bool {
-    board.target(key).is_some_and(|target| target.takes_work(now))
+fn accepts_work(board: &Board, key: TargetKey, now: Duration) -> bool {
+    board.target(key).is_some_and(|target| target.accepts_work(now))
 }
 
 fn no_candidate(board: &Board, candidates: &[TargetKey], now: Duration) -> Error {
-    const DEFAULT: Duration = Duration::from_secs(1);
+    const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
     let targets = candidates.iter().filter_map(|key| board.target(*key));
-    let soonest = targets.map(Target::usable_at).filter(|until| *until > now).min();
+    let earliest = targets
+        .map(Target::usable_at)
+        .filter(|usable_at| *usable_at > now)
+        .min();
     Error {
-        retry_after: soonest.map_or(DEFAULT, |until| until.saturating_sub(now)),
+        retry_after: earliest.map_or(DEFAULT_RETRY_DELAY, |usable_at| usable_at.saturating_sub(now)),
     }
 }
 
@@ -169,8 +172,8 @@
     now: Duration,
     random: &mut impl Rng,
 ) -> Decision {
-    let loads = Loads::new(board, usable, now);
-    let scored: Vec<Scored> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
+    let loads = GroupLoads::new(board, usable, now);
+    let scored: Vec<ScoredTarget> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
     // Entries start their rounds at different places, so that equals are not met in one order by all.
     let start = random.random_range(0..scored.len().max(1));
     let (before, after) = scored.split_at(start);
@@ -198,18 +201,18 @@
 }
 
 fn hit_tokens(target: &Target, request: &Request, now: Duration) -> f64 {
-    let blocks = target.hints.expected_hit(&request.blocks, now);
+    let blocks = target.hints.expected_hit_blocks(&request.blocks, now);
     (blocks * BLOCK_BYTES / BYTES_PER_TOKEN) as f64
 }
 
-/// Loads of the groups that a decision looks at, each worked out once.
-struct Loads<'a> {
+/// GroupLoads of the groups that a decision looks at, each worked out once.
+struct GroupLoads<'a> {
     board: &'a Board,
     now: Duration,
     groups: Vec<GroupLoad>,
 }
 
-impl<'a> Loads<'a> {
+impl<'a> GroupLoads<'a> {
     fn new(board: &'a Board, usable: &[TargetKey], now: Duration) -> Self {
         Self {
             board,
@@ -218,28 +221,28 @@
         }
     }
 
-    fn score(&self, key: TargetKey, request: &Request) -> Option<Scored> {
+    fn score(&self, key: TargetKey, request: &Request) -> Option<ScoredTarget> {
         let target = self.board.target(key)?;
-        let answer = f64::from(request.answer_tokens.max(1));
-        let (requests, step, others) = match target.rank {
+        let answer_tokens = f64::from(request.answer_tokens.max(1));
+        let (requests, step_ms, others_ms_per_token) = match target.rank {
             Some((group, rank)) => self.rank_costs(group, rank)?,
             None => (target.expected_requests(), SERVICE_STEP_MS, 0.0),
         };
         let own_prefill = (f64::from(request.prompt_tokens) - hit_tokens(target, request, self.now)).max(0.0);
-        let prefill = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
-        let places = f64::from(self.board.places.max(1));
-        let wait = (requests + 1.0 - places).max(0.0) / places * answer * step;
-        let steps = answer * step;
-        let others = others * answer;
-        let distance = target.distance.round_trip_ms();
-        Some(Scored {
+        let prefill_ms = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
+        let max_in_flight = f64::from(self.board.max_in_flight_per_target.max(1));
+        let wait_ms = (requests + 1.0 - max_in_flight).max(0.0) / max_in_flight * answer_tokens * step_ms;
+        let steps_ms = answer_tokens * step_ms;
+        let others_ms = others_ms_per_token * answer_tokens;
+        let round_trip_ms = target.distance.round_trip_ms();
+        Some(ScoredTarget {
             key,
-            cost: wait + prefill + steps + others + distance,
-            wait,
-            prefill,
-            steps,
-            others,
-            distance,
+            cost_ms: wait_ms + prefill_ms + steps_ms + others_ms + round_trip_ms,
+            wait_ms,
+            prefill_ms,
+            steps_ms,
+            others_ms,
+            round_trip_ms,
             last_sent: target.last_sent,
         })
     }
@@ -247,11 +250,15 @@
     /// Requests at the rank, the step time with one more there, and what each of its steps then costs all others.
     fn rank_costs(&self, group: GroupKey, rank: usize) -> Option<(f64, f64, f64)> {
         let load = self.group_load(group)?;
-        let requests = *load.ranks.get(rank)?;
-        let powers = load.powers - requests.powi(NORM) + (requests + 1.0).powi(NORM);
-        let after = root(powers);
-        let longer = load.slope_ms * (after - load.root);
-        Some((requests, load.base_ms + load.slope_ms * after, longer * load.total))
+        let requests = *load.rank_loads.get(rank)?;
+        let power_sum = load.power_sum - requests.powi(NORM_EXPONENT) + (requests + 1.0).powi(NORM_EXPONENT);
+        let norm_after = eighth_root(power_sum);
+        let added_step_ms = load.slope_ms * (norm_after - load.norm);
+        Some((
+            requests,
+            load.base_ms + load.slope_ms * norm_after,
+            added_step_ms * load.total_requests,
+        ))
     }
 
     fn group_load(&self, key: GroupKey) -> Option<&GroupLoad> {
@@ -260,14 +267,14 @@
 }
 
 /// Requests of other entries at the ranks of one group, as far as reports still tell.
-struct Others {
+struct OtherEntriesLoad {
     key: GroupKey,
     /// Those that were reported and have probably not ended, for each rank.
-    left: Vec<f64>,
+    in_flight_by_rank: Vec<f64>,
     /// Those that were reported and have probably ended.
-    ended: f64,
+    ended_count: f64,
     /// This entry's recent requests to the group.
-    own_sent: f64,
+    own_recent_sends: f64,
 }
 
 /// Expected loads of all groups that `usable` belong to.
@@ -285,16 +292,20 @@
             keys.push(group);
         }
     }
-    let others: Vec<Others> = keys.into_iter().filter_map(|key| others_of(board, key, now)).collect();
-    let ended: f64 = others.iter().map(|group| group.ended).sum();
-    let own_sent: f64 = others.iter().map(|group| group.own_sent).sum();
-    let arrived = |group: &Others| {
-        if own_sent <= 0.0 {
-            return group.ended;
+    let others: Vec<OtherEntriesLoad> = keys
+        .into_iter()
+        .filter_map(|key| other_entries_load(board, key, now))
+        .collect();
+    let ended_count: f64 = others.iter().map(|group| group.ended_count).sum();
+    let own_recent_sends: f64 = others.iter().map(|group| group.own_recent_sends).sum();
+    let arrived = |group: &OtherEntriesLoad| {
+        if own_recent_sends <= 0.0 {
+            return group.ended_count;
         }
         // One request's weight of what was reported keeps an entry that sends little from guessing wildly.
-        let share = (group.own_sent + group.ended / ended.max(f64::MIN_POSITIVE)) / (own_sent + 1.0);
-        ended * share
+        let share = (group.own_recent_sends + group.ended_count / ended_count.max(f64::MIN_POSITIVE))
+            / (own_recent_sends + 1.0);
+        ended_count * share
     };
     others
         .iter()
@@ -302,56 +313,56 @@
         .collect()
 }
 
-fn others_of(board: &Board, key: GroupKey, now: Duration) -> Option<Others> {
+fn other_entries_load(board: &Board, key: GroupKey, now: Duration) -> Option<OtherEntriesLoad> {
     let group = board.group(key)?;
     let members = || group.ranks.iter().filter_map(|rank| board.target(*rank));
     let reported = members().filter_map(Target::reported_others);
     let (sum, count) = reported.fold((0.0, 0.0), |(sum, count), others| (sum + others, count + 1.0));
     let mean = if count > 0.0 { sum / count } else { 0.0 };
-    let residual = board.holding.residual_seconds();
-    let mut ended = 0.0;
-    let left = members().map(|rank| {
+    let residual = board.residence_times.residual_seconds();
+    let mut ended_count = 0.0;
+    let in_flight_by_rank = members().map(|rank| {
         let others = rank.reported_others().unwrap_or(mean);
-        let left = others * (-rank.report_age(now).as_secs_f64() / residual).exp();
-        ended += others - left;
-        left
+        let in_flight = others * (-rank.report_age(now).as_secs_f64() / residual).exp();
+        ended_count += others - in_flight;
+        in_flight
     });
-    let left = left.collect();
-    Some(Others {
+    let in_flight_by_rank = in_flight_by_rank.collect();
+    Some(OtherEntriesLoad {
         key,
-        left,
-        ended,
-        own_sent: group.recent_sends(now),
+        in_flight_by_rank,
+        ended_count,
+        own_recent_sends: group.recent_sends(now),
     })
 }
 
-fn group_load(board: &Board, others: &Others, arrived: f64) -> Option<GroupLoad> {
+fn group_load(board: &Board, others: &OtherEntriesLoad, arrived: f64) -> Option<GroupLoad> {
     let group = board.group(others.key)?;
-    let mut ranks = others.left.clone();
-    fill(&mut ranks, arrived);
+    let mut rank_loads = others.in_flight_by_rank.clone();
+    fill_lowest(&mut rank_loads, arrived);
     let members = group.ranks.iter().filter_map(|rank| board.target(*rank));
-    for (expected, rank) in ranks.iter_mut().zip(members) {
+    for (expected, rank) in rank_loads.iter_mut().zip(members) {
         *expected += rank.own_requests();
     }
-    let powers = ranks.iter().map(|requests| requests.powi(NORM)).sum();
+    let power_sum = rank_loads.iter().map(|requests| requests.powi(NORM_EXPONENT)).sum();
     Some(GroupLoad {
         key: others.key,
-        powers,
-        root: root(powers),
-        total: ranks.iter().sum(),
-        base_ms: group.step.step_ms(0.0),
-        slope_ms: group.step.slope_ms(),
-        ranks,
+        power_sum,
+        norm: eighth_root(power_sum),
+        total_requests: rank_loads.iter().sum(),
+        base_ms: group.step_model.step_ms(0.0),
+        slope_ms: group.step_model.slope_ms(),
+        rank_loads,
     })
 }
 
 /// Raises the lowest of `levels` to one level, by `amount` altogether.
-fn fill(levels: &mut [f64], amount: f64) {
-    const HALVINGS: usize = 12;
+fn fill_lowest(levels: &mut [f64], amount: f64) {
+    const BISECTION_STEPS: usize = 12;
     let lowest = levels.iter().copied().fold(f64::MAX, f64::min);
     let highest = levels.iter().copied().fold(0.0, f64::max);
     let (mut low, mut high) = (lowest, highest + amount);
-    for _ in 0..HALVINGS {
+    for _ in 0..BISECTION_STEPS {
         let middle = f64::midpoint(low, high);
         let needed: f64 = levels.iter().map(|level| (middle - level).max(0.0)).sum();
         if needed > amount {
@@ -365,7 +376,7 @@
     }
 }
 
-fn root(powers: f64) -> f64 {
+fn eighth_root(power_sum: f64) -> f64 {
     // The eighth root, by square roots: a third of the time of a general power.
-    powers.sqrt().sqrt().sqrt()
+    power_sum.sqrt().sqrt().sqrt()
 }
--- a/crates/sparscale_route/src/lib.rs
+++ b/crates/sparscale_route/src/lib.rs
@@ -7,4 +7,4 @@
 mod choice;
 
 pub use candidates::{Subset, subset};
-pub use choice::{Decision, Error, Reason, Request, Rule, Scored, choose};
+pub use choice::{Decision, Error, Reason, Request, Rule, ScoredTarget, choose};
--- a/crates/sparscale_route/tests/target_choice.rs
+++ b/crates/sparscale_route/tests/target_choice.rs
@@ -106,11 +106,11 @@
     }
 }
 
-/// What may be known about each rank.
+/// What may be states about each rank.
 #[derive(Clone, Debug)]
-struct Known(Vec<(u8, u8, bool, bool)>);
+struct RankStates(Vec<(u8, u8, bool, bool)>);
 
-impl Arbitrary for Known {
+impl Arbitrary for RankStates {
     fn arbitrary(g: &mut Gen) -> Self {
         let rank = |g: &mut Gen| {
             (
@@ -125,17 +125,17 @@
 }
 
 #[test]
-fn only_who_takes_work() {
-    fn holds(known: Known) -> bool {
+fn only_targets_accepting_work() {
+    fn property(states: RankStates) -> bool {
         let standing = |which: u8| match which {
             0 => Standing::Live,
-            1 => Standing::Leaving,
+            1 => Standing::Draining,
             _ => Standing::Absent,
         };
-        let standings: Vec<Standing> = known.0.iter().map(|(which, ..)| standing(*which)).collect();
+        let standings: Vec<Standing> = states.0.iter().map(|(which, ..)| standing(*which)).collect();
         let (mut board, keys) = board(&standings);
         let mut usable = Vec::new();
-        for (key, (which, running, closed, failed)) in keys.iter().zip(&known.0) {
+        for (key, (which, running, closed, failed)) in keys.iter().zip(&states.0) {
             let load = Load {
                 incarnation: 1,
                 running: u32::from(*running),
@@ -144,7 +144,7 @@
             };
             board.apply_load(*key, load, NOW);
             if *failed {
-                board.note_failure(*key, NOW);
+                board.record_failure(*key, NOW);
             }
             if *which == 0 && !closed && !failed {
                 usable.push(*key);
@@ -162,34 +162,34 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 61))
         .tests(3_000)
-        .quickcheck(holds as fn(Known) -> bool);
+        .quickcheck(property as fn(RankStates) -> bool);
 }
 
 /// An entry alone knows all loads without a lag: it always takes the least loaded rank.
 #[test]
-fn own_requests_exact() {
-    fn holds(known: Known) -> bool {
+fn own_requests_counted_without_lag() {
+    fn property(states: RankStates) -> bool {
         let (mut board, keys) = board(&[Standing::Live; RANKS]);
         let mut counter = 0;
-        for (key, (_, running, ..)) in keys.iter().zip(&known.0) {
+        for (key, (_, running, ..)) in keys.iter().zip(&states.0) {
             for _ in 0..*running {
                 counter += 1;
                 board.note_sent(*key, counter, 0, &[], NOW);
             }
         }
-        let least = known.0.iter().map(|(_, running, ..)| *running).min();
+        let least = states.0.iter().map(|(_, running, ..)| *running).min();
         let mut random = ChaCha8Rng::seed_from_u64(2);
         let decision = choose(&board, &keys, &request(), Rule::GroupCost, NOW, &mut random).expect("all are live");
         let index = keys
             .iter()
             .position(|key| *key == decision.target)
             .expect("a candidate");
-        Some(known.0[index].1) == least
+        Some(states.0[index].1) == least
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 62))
         .tests(1_000)
-        .quickcheck(holds as fn(Known) -> bool);
+        .quickcheck(property as fn(RankStates) -> bool);
 }
 
 #[test]
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn replaced_box_forgotten() {
+fn replaced_box_resets_load() {
     let (mut board, keys) = board(&[Standing::Live; RANKS]);
     let busy = Load {
         incarnation: 5,
