--- a/crates/sparscale_admit/src/ledger.rs
+++ b/crates/sparscale_admit/src/ledger.rs
@@ -1,23 +1,24 @@
-//! The attempt ledger: what this agent incarnation has done about each attempt, so that "not run" is a proof.
+//! The attempt ledger: records the state of each attempt at this agent incarnation, so that "not run" is a proof.
 //!
-//! An attempt is handed on only after it was entered, and entered only once. Settling an attempt that was not handed
-//! on leaves a tombstone, so that a late original is refused. Old entries may go only when no copy can be accepted
-//! any more: for each entry incarnation there is a floor, and attempts below it that have no entry are refused.
+//! An attempt is registered at most once, and forwarded to the target only after that. Settling an attempt that was not
+//! forwarded leaves a tombstone, so that an original that arrives late is rejected. A record is evicted only when no copy
+//! of its attempt can be accepted any more: each sender incarnation has a floor, and attempts with a counter below the
+//! floor that have no record are rejected.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// An entry in progress is looked at again after this long.
+/// Time after which an expired record is checked again if its attempt is still in progress.
 const IN_PROGRESS_RECHECK: Duration = Duration::from_secs(1);
 
-/// Names an attempt: the incarnation of the process that made it, and that incarnation's counter.
+/// Identifies an attempt by the incarnation of the process that sent it and that incarnation's counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
     /// Incarnation of the sender.
     pub sender: u64,
-    /// Counter of that incarnation, rising.
+    /// Increasing counter of that incarnation.
     pub counter: u64,
 }
 
@@ -27,39 +28,39 @@
 /// State of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It waits; nothing was handed on.
+    /// It is queued and was not forwarded.
     Queued,
-    /// It was handed on to the target.
+    /// It was forwarded to the target.
     Running,
-    /// The target's answer is whole, or its failure is known.
+    /// The target's response is complete, or its failure is known.
     Ended,
-    /// It was not handed on and never will be.
+    /// It was not forwarded and never will be.
     Tombstone,
 }
 
-/// Why an attempt cannot be entered.
+/// Why an attempt cannot be registered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Refusal {
-    /// It was entered before.
-    #[snafu(display("the attempt was entered before"))]
+    /// It was registered before.
+    #[snafu(display("the attempt was registered before"))]
     Known {
         /// Its state.
         state: State,
     },
-    /// It is older than what the ledger remembers of its sender; whether it ran cannot be told.
-    #[snafu(display("the attempt is older than the ledger remembers"))]
+    /// Its counter is below the sender's floor, so whether it ran is unknown.
+    #[snafu(display("the record of the attempt has expired"))]
     Forgotten,
-    /// There is no room, and no entry may be forgotten yet.
-    #[snafu(display("the ledger is full"))]
+    /// The ledger is at capacity, and no record may be evicted yet.
+    #[snafu(display("the ledger is at capacity"))]
     Full,
 }
 
-/// What a re-send under an idempotency key meets.
+/// Result of binding an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Keyed {
-    /// The key is new and now belongs to the attempt.
+    /// The key is new and is now bound to the attempt.
     New,
-    /// The key belongs to this earlier attempt, whose outcome is the answer.
+    /// The key is bound to this earlier attempt, whose outcome also answers the new request.
     Earlier(Attempt),
     /// The key was used for another request body.
     OtherBody,
@@ -88,7 +89,7 @@
 }
 
 impl Ledger {
-    /// A ledger of at most `capacity` entries.
+    /// Creates a ledger of at most `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -99,22 +100,22 @@
         }
     }
 
-    /// Number of entries.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Whether the ledger has no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// State of `attempt`.
+    /// State of `attempt`, if it has a record.
     pub fn state(&self, attempt: Attempt) -> Option<State> {
         self.entries.get(&attempt).map(|entry| entry.state)
     }
 
-    /// Enters `attempt`, to be remembered until `expires` at least.
+    /// Registers `attempt` and keeps its record at least until `expires`.
     pub fn enter(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Result<(), Refusal> {
         if let Some(entry) = self.entries.get(&attempt) {
             return Err(Refusal::Known { state: entry.state });
@@ -130,7 +131,7 @@
         Ok(())
     }
 
-    /// Binds `key` to `attempt`, which was just entered, unless an earlier attempt has it.
+    /// Binds `key` to `attempt`, which was just registered, unless the key is bound to an earlier attempt.
     pub fn bind(&mut self, key: Key, body: [u8; 32], attempt: Attempt) -> Keyed {
         if let Some(earlier) = self.keys.get(&key) {
             return if earlier.body == body {
@@ -151,28 +152,28 @@
         self.keys.get(key).map(|entry| entry.attempt)
     }
 
-    /// Notes that `attempt` is handed on now. False if it may not be: it does not wait.
+    /// Records that `attempt` is about to be forwarded. Returns false if it must not be, because it is not queued.
     #[must_use]
     pub fn hand_on(&mut self, attempt: Attempt) -> bool {
         self.transition(attempt, State::Queued, State::Running)
     }
 
-    /// Notes that `attempt`, which was handed on, ended.
+    /// Records the end of `attempt`, which was forwarded.
     pub fn end(&mut self, attempt: Attempt) {
         self.transition(attempt, State::Running, State::Ended);
     }
 
-    /// Notes that `attempt` was handed on, but provably never reached the target.
+    /// Records that `attempt` was to be forwarded but provably never reached the target.
     pub fn take_back(&mut self, attempt: Attempt) {
         if self.transition(attempt, State::Running, State::Tombstone) {
             self.release_key(attempt);
         }
     }
 
-    /// Leaves a tombstone for `attempt` if it was not handed on, and says what became of it.
+    /// Turns `attempt` into a tombstone if it was not forwarded, and returns its state.
     ///
-    /// `None` means that the ledger cannot tell. An attempt that never arrived gets a tombstone, too: its late
-    /// original is refused.
+    /// An attempt that never arrived also gets a tombstone, so that its original is rejected when it arrives late. `None`
+    /// means that the state is unknown: the record has expired, or the ledger is at capacity.
     pub fn settle(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Option<State> {
         if self.transition(attempt, State::Queued, State::Tombstone) {
             self.release_key(attempt);
@@ -191,13 +192,13 @@
         Some(State::Tombstone)
     }
 
-    /// Attempts that were handed on and have not ended.
+    /// Attempts that were forwarded and have not ended.
     pub fn running(&self) -> impl Iterator<Item = Attempt> {
         let running = |(attempt, entry): (&Attempt, &Entry)| (entry.state == State::Running).then_some(*attempt);
         self.entries.iter().filter_map(running)
     }
 
-    /// Forgets entries whose time has passed; their senders' floors rise above them.
+    /// Evicts records whose time has passed and raises the floors of their senders above them.
     pub fn expire(&mut self, now: Duration) {
         while let Some(&(expires, attempt)) = self.by_expiry.first() {
             if expires > now {
@@ -227,7 +228,7 @@
         *floor = (*floor).max(attempt.counter + 1);
     }
 
-    /// A request that was not run leaves its key free for another attempt.
+    /// Unbinds the key of an attempt that was not run, so that another attempt may use it.
     fn release_key(&mut self, attempt: Attempt) {
         let key = self.entries.get_mut(&attempt).and_then(|entry| entry.key.take());
         if let Some(key) = key {
--- a/crates/sparscale_admit/src/lib.rs
+++ b/crates/sparscale_admit/src/lib.rs
@@ -1,6 +1,6 @@
-//! What an agent decides about requests: which ones wait, which one runs next, and which ones never may.
+//! Admission control of an agent: which requests are queued, which one runs next, and which ones must never run.
 //!
-//! Pure state machines over a monotonic time that the caller passes in; no clock, no socket.
+//! Pure state machines without clock or sockets; the caller passes in a monotonic time.
 
 pub mod ledger;
 pub mod queue;
--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -1,46 +1,47 @@
-//! The tier queue: higher tiers first, weighted fair among the workspaces of a tier, a floor for the lowest.
+//! The queue of one target: higher tiers first, with weighted fair queueing among the workspaces of a tier.
 //!
-//! Inside a tier each workspace has a virtual finish time that grows by cost over weight with each dispatch (start-time
-//! fair queueing); the smallest goes next. One in `floor_one_in` dispatches goes to the lowest tier that waits.
+//! Each workspace of a tier has a virtual finish time that grows by cost over weight with each dispatch (start-time fair
+//! queueing), and the smallest goes next. One in `floor_one_in` dispatches goes to the lowest tier with queued requests,
+//! so that higher tiers cannot starve it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// Rounds of smoothing for the observed service time: each new observation counts one part in this many.
+/// Smoothing of the observed service time: each observation gets one part in this many of the weight.
 const SERVICE_TIME_SMOOTHING: f64 = 16.0;
 
-/// A waiting request.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job<K> {
-    /// Names the request.
+    /// Identifies the request.
     pub key: K,
-    /// Index of its tier, 0 for the highest.
+    /// Index of its tier; 0 is the highest.
     pub tier: u8,
-    /// Workspace that pays for it.
+    /// Workspace that the request is accounted to.
     pub workspace: String,
     /// Weight of the workspace inside its tier, at least 1.
     pub weight: u32,
     /// Expected work, in tokens.
     pub cost: f64,
-    /// Time at which its caller gives up.
+    /// Time at which its caller stops waiting.
     pub deadline: Duration,
 }
 
-/// Why a request is refused at once.
+/// Why a request is rejected on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Refusal {
-    /// No room, even after dropping what waits below.
+    /// The queue is full and holds nothing of a lower tier that could be displaced.
     #[snafu(display("the queue is full"))]
     Full {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The expected wait outlasts the deadline.
-    #[snafu(display("the wait would outlast the deadline"))]
+    /// The request could not start before its deadline.
+    #[snafu(display("the expected wait exceeds the deadline"))]
     TooLate {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
 }
@@ -48,18 +49,18 @@
 /// Limits of a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests that the target runs at once.
+    /// Most requests that the target runs at the same time.
     pub running: usize,
-    /// Requests that may wait.
+    /// Most requests in the queue.
     pub waiting: usize,
-    /// One in this many dispatches goes to the lowest tier that waits; 0 for none.
+    /// One in this many dispatches goes to the lowest tier with queued requests; 0 disables this.
     pub floor_one_in: u32,
 }
 
-/// Answer to an offered request.
+/// Outcome of admitting a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Admission<K> {
-    /// A request of a lower tier that lost its place to this one and must be refused now.
+    /// A queued request of a lower tier that was displaced by this one and must be rejected now.
     pub displaced: Option<K>,
 }
 
@@ -71,14 +72,14 @@
     waiting: usize,
     running: usize,
     dispatches_since_floor: u32,
-    /// Smoothed time that one place is held for one unit of cost.
+    /// Smoothed running time per unit of cost, in seconds.
     seconds_per_cost: f64,
 }
 
 #[derive(Debug)]
 struct Tier<K> {
     workspaces: BTreeMap<String, WorkspaceQueue<K>>,
-    /// Lanes that have work, by virtual finish time.
+    /// Workspaces with queued requests, by virtual finish time.
     by_finish: BTreeSet<(VirtualTime, String)>,
     virtual_now: VirtualTime,
     cost: f64,
@@ -94,7 +95,7 @@
 type VirtualTime = u64;
 
 impl<K: Clone + PartialEq> Queue<K> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -106,27 +107,27 @@
         }
     }
 
-    /// Uses other limits from now on; what waits or runs already stays.
+    /// Replaces the limits; requests that are queued or running already are kept.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether all places are taken.
+    /// Whether the target runs as many requests as it may.
     pub fn is_busy(&self) -> bool {
         self.running >= self.limits.running
     }
 
-    /// Takes `job` in, or refuses it at once.
+    /// Queues `job`, or rejects it immediately.
     pub fn offer(&mut self, job: Job<K>, now: Duration) -> Result<Admission<K>, Refusal> {
         let wait = self.expected_wait(job.tier, job.cost);
         if self.running >= self.limits.running && now + wait >= job.deadline {
@@ -142,7 +143,8 @@
         Ok(Admission { displaced })
     }
 
-    /// The request that runs next, if a place is free. Those whose deadline has passed come back in `expired`.
+    /// Removes and returns the request that runs next, if the target may run another one. Requests whose deadline has passed are
+    /// added to `expired`.
     pub fn next(&mut self, now: Duration, expired: &mut Vec<K>) -> Option<Job<K>> {
         while self.running < self.limits.running {
             let tier = self.next_tier()?;
@@ -158,7 +160,7 @@
         None
     }
 
-    /// Frees the place of a request that ran for `held` with expected work `cost`.
+    /// Records the end of a request that ran for `residence` with expected work `cost`.
     pub fn finished(&mut self, cost: f64, residence: Duration) {
         self.running = self.running.saturating_sub(1);
         let observed = residence.as_secs_f64() / cost.max(1.0);
@@ -168,12 +170,12 @@
         self.seconds_per_cost += (observed - self.seconds_per_cost) / SERVICE_TIME_SMOOTHING;
     }
 
-    /// Frees the place of a request that turned out not to run.
+    /// Records that a request returned by [`Queue::next`] did not run.
     pub fn gave_up_place(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes a waiting request out; false if it does not wait.
+    /// Removes a queued request; returns false if it is not queued.
     pub fn remove(&mut self, key: &K) -> bool {
         for tier in self.tiers.values_mut() {
             if let Some(cost) = tier.remove(key) {
@@ -185,7 +187,8 @@
         false
     }
 
-    /// Expected wait of a new request of `tier`: the work at or above that tier, over the places.
+    /// Expected wait of a new request of `tier`: the queued work at or above that tier, divided by the number of requests that
+    /// run at the same time.
     pub fn expected_wait(&self, tier: u8, cost: f64) -> Duration {
         let ahead: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.cost).sum();
         let busy = if self.running >= self.limits.running { cost } else { 0.0 };
@@ -197,7 +200,7 @@
         self.waiting < self.limits.waiting || self.running < self.limits.running
     }
 
-    /// Drops the newest request of the lowest tier below `tier`, to make room for one of `tier`.
+    /// Removes the newest request of the lowest tier below `tier`, to make headroom for one of `tier`.
     fn displace_lower_tier(&mut self, tier: u8) -> Option<K> {
         let below = self
             .tiers
@@ -258,7 +261,7 @@
             virtual_finish: 0,
         });
         if workspace.jobs.is_empty() {
-            // A workspace that was idle starts at the present: it gains no credit by waiting.
+            // A workspace that was idle starts at the current virtual time, so that it gains no credit while idle.
             workspace.virtual_finish = workspace.virtual_finish.max(self.virtual_now);
             self.by_finish.insert((workspace.virtual_finish, name));
         }
@@ -280,7 +283,7 @@
         Some(job)
     }
 
-    /// Idle workspaces whose finish time has passed hold no information; dropping them bounds the memory.
+    /// Evicts idle workspaces whose finish time has passed: they hold no information, and evicting them bounds the memory.
     fn evict_idle_workspaces(&mut self) {
         let now = self.virtual_now;
         self.workspaces
--- a/crates/sparscale_admit/tests/attempt_ledger.rs
+++ b/crates/sparscale_admit/tests/attempt_ledger.rs
@@ -1,4 +1,4 @@
-//! An attempt is handed on at most once, and "not run" holds for ever after.
+//! An attempt is forwarded at most once, and an attempt reported as not run never runs later.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -36,7 +36,8 @@
     }
 }
 
-/// Runs `events` on a ledger and on the plain facts of what was handed on and what was called not run.
+/// Applies `events` to a ledger and to a model that counts how often each attempt was forwarded and which were reported as
+/// not run.
 fn runs_at_most_once(events: Vec<Event>) -> bool {
     const CAPACITY: usize = 4;
     const RETENTION: Duration = Duration::from_secs(20);
@@ -56,7 +57,7 @@
             Event::RecordUndelivered(id) => {
                 if ledger.state(id) == Some(State::Running) {
                     ledger.take_back(id);
-                    // It provably never reached the target.
+                    // The attempt provably never reached the target.
                     forward_counts.remove(&id);
                     not_run.insert(id);
                 }
@@ -96,7 +97,7 @@
     assert_eq!(
         ledger.settle(second, minute, Duration::ZERO),
         None,
-        "no proof without room for it"
+        "no tombstone fits, so there is no proof"
     );
 }
 
@@ -130,6 +131,6 @@
     assert_eq!(
         ledger.bind([7; 16], [1; 32], second),
         Keyed::New,
-        "what did not run frees its key"
+        "an attempt that did not run releases its key"
     );
 }
--- a/crates/sparscale_admit/tests/tier_queue.rs
+++ b/crates/sparscale_admit/tests/tier_queue.rs
@@ -1,4 +1,4 @@
-//! Tiers, fairness, floor and bounds of the queue.
+//! Order of tiers, weighted fairness, share of the lowest tier and bounds of the queue.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     })
 }
 
-/// Takes the next job and ends it at once.
+/// Dequeues the next job and records its end immediately.
 fn run_next(queue: &mut Queue<u32>) -> Option<Job<u32>> {
     let job = queue.next(Duration::ZERO, &mut Vec::new())?;
     queue.finished(job.cost, Duration::from_millis(10));
@@ -40,7 +40,7 @@
     for key in 0..10 {
         queue
             .offer(job(key, u8::from(key < 5), "a", 1), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     let order: Vec<u8> = std::iter::from_fn(|| run_next(&mut queue))
         .map(|job| job.tier)
@@ -54,11 +54,11 @@
     for key in 0..200 {
         queue
             .offer(job(key, u8::from(key >= 100), "a", 1), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     let first = (0..50).filter_map(|_| run_next(&mut queue));
     let low = first.filter(|job| job.tier == 1).count();
-    assert_eq!(low, 10, "one in five goes to the lowest tier");
+    assert_eq!(low, 10, "one dispatch in five goes to the lowest tier");
 }
 
 #[test]
@@ -68,11 +68,11 @@
         let (name, weight) = if key % 2 == 0 { ("heavy", 3) } else { ("light", 1) };
         queue
             .offer(job(key, 0, name, weight), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     let mut served: HashMap<String, u32> = HashMap::new();
     for _ in 0..100 {
-        let job = run_next(&mut queue).expect("jobs wait");
+        let job = run_next(&mut queue).expect("jobs are queued");
         *served.entry(job.workspace).or_default() += 1;
     }
     assert!((74..=76).contains(&served["heavy"]), "{served:?}");
@@ -84,7 +84,7 @@
     for key in 0..100 {
         queue
             .offer(job(key, 0, "busy", 1), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     for _ in 0..50 {
         run_next(&mut queue);
@@ -92,7 +92,7 @@
     for key in 100..150 {
         queue
             .offer(job(key, 0, "late", 1), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     let next: Vec<String> = (0..20)
         .filter_map(|_| run_next(&mut queue))
@@ -101,17 +101,23 @@
     let late = next.iter().filter(|name| *name == "late").count();
     assert!(
         (9..=11).contains(&late),
-        "a workspace that was idle shares from now on: {next:?}"
+        "a workspace that was idle gets an equal share from now on: {next:?}"
     );
 }
 
 #[test]
 fn late_request_rejected_early() {
     let mut queue = queue(1, 1_000, 0);
-    queue.offer(job(0, 0, "a", 1), Duration::ZERO).expect("there is room");
-    let running = queue.next(Duration::ZERO, &mut Vec::new()).expect("a place is free");
+    queue
+        .offer(job(0, 0, "a", 1), Duration::ZERO)
+        .expect("there is headroom");
+    let running = queue
+        .next(Duration::ZERO, &mut Vec::new())
+        .expect("the target may run a request");
     queue.finished(running.cost, Duration::from_secs(1));
-    queue.offer(job(1, 0, "a", 1), Duration::ZERO).expect("there is room");
+    queue
+        .offer(job(1, 0, "a", 1), Duration::ZERO)
+        .expect("there is headroom");
     assert!(queue.next(Duration::ZERO, &mut Vec::new()).is_some());
     let hasty = Job {
         deadline: Duration::from_millis(500),
@@ -125,16 +131,16 @@
 fn lower_tier_displaced() {
     let mut queue = queue(1, 2, 0);
     let running = job(0, 0, "a", 1);
-    queue.offer(running, Duration::ZERO).expect("there is room");
+    queue.offer(running, Duration::ZERO).expect("there is headroom");
     assert!(queue.next(Duration::ZERO, &mut Vec::new()).is_some());
     for key in 1..3 {
         queue
             .offer(job(key, 1, "low", 1), Duration::ZERO)
-            .expect("there is room");
+            .expect("there is headroom");
     }
     let admission = queue
         .offer(job(3, 0, "high", 1), Duration::ZERO)
-        .expect("a lower tier yields");
+        .expect("a job of a lower tier is displaced");
     assert_eq!(admission.displaced, Some(2));
     assert!(matches!(
         queue.offer(job(4, 1, "low", 1), Duration::ZERO),
@@ -165,7 +171,7 @@
     }
 }
 
-/// Nothing is lost, nothing comes twice, bounds hold, and no job runs while a higher tier waits (without a floor).
+/// No job is lost or returned twice, the bounds hold, and without a floor no job runs while one of a higher tier is queued.
 fn accounts_for_every_job(events: Vec<Event>) -> bool {
     let mut queue = queue(3, 6, 0);
     let mut waiting: HashMap<u32, u8> = HashMap::new();
--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -1,4 +1,4 @@
-//! Targets and groups, and how controllers change them.
+//! State of targets and groups, and the updates that controllers make to it.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -11,33 +11,33 @@
 use crate::model::{ResidenceTimes, StepModel};
 
 new_key_type! {
-    /// Names a target on the board.
+    /// Key of a target on the board.
     pub struct TargetKey;
-    /// Names a group on the board.
+    /// Key of a group on the board.
     pub struct GroupKey;
 }
 
-/// Requests in progress that are remembered for one target; more change no decision.
+/// Most requests in progress that are tracked for one target; more change no decision.
 const MAX_TRACKED_REQUESTS: usize = 1_024;
-/// Time that a report is taken to have been on its way.
+/// Assumed delivery time of a load report.
 const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Standing {
-    /// The box list does not show it.
+    /// It is not in the box list.
     #[default]
     Absent,
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It takes no new work: the list or its agent says so.
+    /// It accepts no new work, as stated by the box list or its agent.
     Draining,
 }
 
-/// How far a target is.
+/// Network distance of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum HallDistance {
-    /// In the entry's hall.
+    /// In the entry's own hall.
     Same,
     /// In another hall of the entry's region.
     Region,
@@ -47,7 +47,7 @@
 }
 
 impl HallDistance {
-    /// Time that a message and its answer take on the way, in milliseconds.
+    /// Network round-trip time, in milliseconds.
     pub fn round_trip_ms(self) -> f64 {
         match self {
             Self::Same => 0.2,
@@ -57,26 +57,26 @@
     }
 }
 
-/// Load as last reported.
+/// Last reported load of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// Incarnation of the agent.
+    /// Incarnation of the agent that reported.
     pub incarnation: u64,
-    /// Highest counter of this entry that the report covers.
+    /// Highest request counter of this entry that the report covers.
     pub seen: u64,
-    /// Requests at the target.
+    /// Requests that run at the target.
     pub running: u32,
-    /// Requests that wait at the agent.
+    /// Requests that are queued at the agent.
     pub queued: u32,
-    /// Those of both that this entry has sent.
+    /// Running and queued requests that this entry has sent.
     pub own: u32,
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens waiting for prefill.
     pub prefill_tokens: u32,
     /// Time of the latest step, in milliseconds.
     pub step_ms: f64,
-    /// Number of the expert map in use.
+    /// Number of the current expert map.
     pub map: u64,
-    /// Whether the agent refuses new work: it drains, or its target does not listen.
+    /// Whether the agent rejects new work because it drains or its target does not listen.
     pub closed: bool,
 }
 
@@ -87,28 +87,28 @@
     sent_at: Duration,
 }
 
-/// A back end.
+/// A back end and its state as this entry knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Target {
     /// Unique name.
     pub name: String,
-    /// How far it is from this entry.
+    /// Network distance from this entry.
     pub distance: HallDistance,
     /// Address of its agent.
     pub address: Option<SocketAddr>,
-    /// Whether the box list lets it take work.
+    /// Whether it accepts work according to the box list.
     pub standing: Standing,
-    /// Group and rank, for a model rank.
+    /// Group and rank index, for a model rank.
     pub rank: Option<(GroupKey, usize)>,
-    /// Load as last reported.
+    /// Last reported load of a target.
     pub load: Load,
-    /// Prompt prefixes that it probably has.
+    /// Prompt prefixes that it probably has in its cache.
     pub hints: PrefixHints,
-    /// Counter of this entry's last request there.
+    /// Counter of this entry's last request to it.
     pub last_sent: u64,
-    /// Not to be used before this time: its agent could not be reached.
+    /// Not used before this time, because its agent could not be reached.
     avoid_until: Duration,
-    /// Not to be used before this time: its agent turned work away whatever the work is.
+    /// Not used before this time, because its agent rejects all work.
     rejecting_until: Duration,
     reported_at: Option<Duration>,
     /// Requests of this entry that have not ended.
@@ -125,12 +125,12 @@
     pub model: String,
     /// Its ranks, in rank order.
     pub ranks: Vec<TargetKey>,
-    /// What its step time depends on.
+    /// Step time as a function of load.
     pub step_model: StepModel,
     sends: RecentSends,
 }
 
-/// This entry's requests to a group, fading with age.
+/// Number of this entry's requests to a group, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 struct RecentSends {
     count: f64,
@@ -138,7 +138,7 @@
 }
 
 impl RecentSends {
-    /// Time in which a request's weight falls by a factor of e.
+    /// Time in which the weight of a request falls by a factor of e.
     const DECAY_TIME: Duration = Duration::from_secs(2);
 
     fn decayed(self, now: Duration) -> f64 {
@@ -148,7 +148,7 @@
 }
 
 impl Group {
-    /// This entry's requests to the group in the last few seconds, late ones counting less.
+    /// Number of this entry's requests to the group in the last few seconds; older ones count less.
     pub fn recent_sends(&self, now: Duration) -> f64 {
         self.sends.decayed(now)
     }
@@ -163,7 +163,7 @@
     pub calls: Vec<Call>,
 }
 
-/// Everything that an entry knows about back ends.
+/// All that an entry knows about back ends.
 #[derive(Debug, Default)]
 pub struct Board {
     hall: String,
@@ -171,16 +171,16 @@
     groups: SlotMap<GroupKey, Group>,
     by_name: HashMap<String, TargetKey>,
     services: BTreeMap<String, Service>,
-    /// Version of the bundle that the board shows; 0 for none.
+    /// Version of the bundle that was applied last; 0 for none.
     pub bundle_version: u64,
-    /// Requests that one target runs at once.
+    /// Most requests that one target runs at the same time.
     pub max_in_flight_per_target: u32,
-    /// How long requests last.
+    /// Residence time of requests.
     pub residence_times: ResidenceTimes,
 }
 
 impl Board {
-    /// An empty board of an entry in `hall`.
+    /// Creates an empty board for an entry in `hall`.
     pub fn new(hall: &str) -> Self {
         Self {
             hall: hall.to_owned(),
@@ -193,12 +193,12 @@
         self.targets.get(key)
     }
 
-    /// The target under `key`, to be changed.
+    /// The target under `key`, for updates.
     pub fn target_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.targets.get_mut(key)
     }
 
-    /// The target called `name`.
+    /// Key of the target called `name`.
     pub fn find(&self, name: &str) -> Option<TargetKey> {
         self.by_name.get(name).copied()
     }
@@ -229,7 +229,7 @@
         groups.flat_map(|group| group.ranks.iter().copied()).collect()
     }
 
-    /// Shows `bundle`. Targets that stay keep their key and everything that is known about them.
+    /// Applies `bundle`. Targets that stay keep their key and their state.
     pub fn apply_bundle(&mut self, bundle: &Bundle) {
         let fleet = bundle.fleet();
         self.bundle_version = bundle.version();
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Takes in what the box list says about the target called `name`; a target that it does not show is absent.
+    /// Applies the box list, given as address and standing by target name; a target that is not in it becomes absent.
     pub fn apply_listed(&mut self, listed: &HashMap<String, (SocketAddr, Standing)>) {
         for target in self.targets.values_mut() {
             let (address, standing) = match listed.get(&target.name) {
@@ -299,7 +299,7 @@
                 None => (target.address, Standing::Absent),
             };
             if target.address != address {
-                // Another box has taken the name: nothing known about the old one holds.
+                // Another box now has this name, so the state of the old one is discarded.
                 *target = Target {
                     name: std::mem::take(&mut target.name),
                     distance: target.distance,
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Takes in a load report of the target under `key`.
+    /// Records a load report of the target under `key`; a report of an earlier incarnation is ignored.
     pub fn apply_load(&mut self, key: TargetKey, load: Load, now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -330,7 +330,7 @@
         self.observe_step(key);
     }
 
-    /// Notes that request `counter` was sent to the target under `key`.
+    /// Records that request `counter` was sent to the target under `key`.
     pub fn note_sent(&mut self, key: TargetKey, counter: u64, prefill_tokens: u32, blocks: &[u64], now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -354,7 +354,7 @@
         }
     }
 
-    /// Notes that request `counter` at the target under `key` is over.
+    /// Records the end of request `counter` at the target under `key`.
     pub fn note_ended(&mut self, key: TargetKey, counter: u64, now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Notes that the target under `key` could not be reached; it is avoided for a while that doubles each time.
+    /// Records that the target under `key` could not be reached; it is avoided for a time that doubles with each failure.
     pub fn record_failure(&mut self, key: TargetKey, now: Duration) {
         const FIRST_PAUSE: Duration = Duration::from_millis(500);
         const MAX_DOUBLINGS: u32 = 5;
@@ -378,15 +378,15 @@
         }
     }
 
-    /// Notes that the agent of the target under `key` takes no work at all for `pause`. A load report does not end this: an
-    /// agent reports on and on beside a target that is gone.
+    /// Records that the agent of the target under `key` rejects all work for `pause`. A load report does not end this, because
+    /// an agent keeps reporting when its target has terminated.
     pub fn record_rejection(&mut self, key: TargetKey, pause: Duration, now: Duration) {
         if let Some(target) = self.targets.get_mut(key) {
             target.rejecting_until = now + pause;
         }
     }
 
-    /// Notes that the target under `key` answers.
+    /// Records a response of the target under `key`, which ends a rejection pause.
     pub fn record_response(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.rejecting_until = Duration::ZERO;
@@ -410,42 +410,42 @@
 }
 
 impl Target {
-    /// Requests of this entry that have not ended. This is known without a lag.
+    /// Requests of this entry that have not ended; known without delay.
     pub fn own_requests(&self) -> f64 {
         self.sent.len() as f64
     }
 
-    /// Requests of other entries, as last reported; none if nothing was reported yet.
+    /// Last reported requests of other entries; none before the first report.
     pub fn reported_others(&self) -> Option<f64> {
         self.reported_at?;
         let all = self.load.running + self.load.queued;
         Some(f64::from(all.saturating_sub(self.load.own)))
     }
 
-    /// Age of the last report, the way included.
+    /// Age of the last report, including its assumed delivery time.
     pub fn report_age(&self, now: Duration) -> Duration {
         let reported = self.reported_at.unwrap_or_default();
         now.saturating_sub(reported) + REPORT_LAG
     }
 
-    /// Requests at the target or on their way there, for a target that is not part of a group.
+    /// Requests at the target or on their way to it, for a target that is not part of a group.
     pub fn expected_requests(&self) -> f64 {
         self.own_requests() + self.reported_others().unwrap_or(0.0)
     }
 
-    /// Prompt tokens that wait for prefill there, with what this entry sent since the report.
+    /// Prompt tokens waiting for prefill, including those of requests that this entry has sent since the report.
     pub fn expected_prefill(&self) -> f64 {
         let unseen = self.sent.iter().filter(|sent| sent.counter > self.load.seen);
         let unseen: u32 = unseen.map(|sent| sent.prefill_tokens).sum();
         f64::from(self.load.prefill_tokens + unseen)
     }
 
-    /// Whether new work may go there now.
+    /// Whether new work may be sent to the target now.
     pub fn accepts_work(&self, now: Duration) -> bool {
         self.standing == Standing::Live && !self.load.closed && self.address.is_some() && now >= self.usable_at()
     }
 
-    /// When a target that failed or turned work away may be tried again.
+    /// Time from which a target that failed or rejected work may be used again.
     pub fn usable_at(&self) -> Duration {
         self.avoid_until.max(self.rejecting_until)
     }
--- a/crates/sparscale_board/src/hints.rs
+++ b/crates/sparscale_board/src/hints.rs
@@ -1,20 +1,20 @@
-//! Which prompt prefixes a target probably still has in its cache.
+//! Tracks which prompt prefixes a target probably still has in its prefix cache.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a prompt in one block.
+/// Prompt bytes per block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of a prompt that are looked at; later ones change no decision.
+/// Most blocks of a prompt that are hashed; later ones change no decision.
 const MAX_BLOCKS: usize = 64;
-/// Blocks that are remembered for one target.
+/// Most blocks that are tracked for one target.
 const MAX_TRACKED_BLOCKS: usize = 2_048;
-/// Age from which a hint counts no more: the target has probably evicted the block.
+/// Age from which a hint is ignored, because the target has probably evicted the block.
 const MAX_HINT_AGE: Duration = Duration::from_mins(5);
 
-/// Hashes of the whole blocks at the start of `prompt`, each over everything up to its end.
+/// Hashes of the full blocks at the start of `prompt`; each hash covers the prompt up to the end of its block.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut digest = Sha256::new();
     let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Blocks that one target was sent lately. PrefixHints age and may be wrong; they are never facts.
+/// Blocks that were recently sent to one target. Hints expire and may be wrong.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixHints {
     last_sent_at: HashMap<u64, Duration>,
@@ -37,7 +37,7 @@
 }
 
 impl PrefixHints {
-    /// Notes that a prompt with these blocks went to the target.
+    /// Records that a prompt with these blocks was sent to the target.
     pub fn record(&mut self, blocks: &[u64], now: Duration) {
         for block in blocks {
             if self.last_sent_at.insert(*block, now).is_none() {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Forgets everything, for example when the target was replaced.
+    /// Removes all hints, for example after the target was replaced.
     pub fn clear(&mut self) {
         self.last_sent_at.clear();
         self.insertion_order.clear();
     }
 
-    /// Number of leading blocks that the target probably has.
+    /// Number of leading blocks that the target probably has in its cache.
     pub fn expected_hit_blocks(&self, blocks: &[u64], now: Duration) -> usize {
         if self.last_sent_at.is_empty() {
             return 0;
--- a/crates/sparscale_board/src/model.rs
+++ b/crates/sparscale_board/src/model.rs
@@ -1,17 +1,17 @@
-//! What is learnt from load reports and finished requests: step times and how long requests last.
+//! Models estimated from load reports and finished requests: step time and residence time.
 
 use std::time::Duration;
 
-/// Weight that an earlier observation keeps with each new one.
+/// Factor by which earlier observations are discounted with each new one.
 const RETENTION: f64 = 0.98;
-/// Step time without load before anything was observed, in milliseconds.
+/// Step time without load before the first observation, in milliseconds.
 const INITIAL_BASE_MS: f64 = 4.5;
-/// Step time added by each sequence before anything was observed, in milliseconds.
+/// Step time added by each sequence before the first observation, in milliseconds.
 const INITIAL_SLOPE_MS: f64 = 0.1;
-/// Spread of observed loads below which no slope can be told.
+/// Variance of observed loads below which the slope cannot be estimated.
 const MIN_LOAD_VARIANCE: f64 = 0.5;
 
-/// Least squares, with forgetting, of step time over the largest rank load.
+/// Linear least-squares fit of step time over the largest rank load, with exponential forgetting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepModel {
     weight_sum: f64,
@@ -34,7 +34,7 @@
 }
 
 impl StepModel {
-    /// Takes in a step of `milliseconds` whose most loaded rank ran `load` sequences.
+    /// Records a step of `milliseconds` whose most loaded rank ran `load` sequences.
     pub fn observe(&mut self, load: f64, milliseconds: f64) {
         self.weight_sum = self.weight_sum * RETENTION + 1.0;
         self.load_sum = self.load_sum * RETENTION + load;
@@ -68,10 +68,10 @@
     }
 }
 
-/// Time that a request in progress is taken to last before any was observed, in seconds.
+/// Remaining time assumed for a request in progress before the first observation, in seconds.
 const INITIAL_RESIDUAL_SECS: f64 = 0.5;
 
-/// How long requests last, with forgetting.
+/// Residence time of requests, with exponential forgetting.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResidenceTimes {
     weight_sum: f64,
@@ -80,7 +80,7 @@
 }
 
 impl ResidenceTimes {
-    /// Takes in a request that lasted `held`.
+    /// Records a request that lasted `residence`.
     pub fn observe(&mut self, residence: Duration) {
         let seconds = residence.as_secs_f64();
         self.weight_sum = self.weight_sum * RETENTION + 1.0;
@@ -88,8 +88,8 @@
         self.seconds_squared_sum = self.seconds_squared_sum * RETENTION + seconds * seconds;
     }
 
-    /// Mean time that a request found in progress still lasts, in seconds. Long requests are found more often, so
-    /// this is the second moment over twice the first.
+    /// Mean remaining time of a request that is in progress at a random moment, in seconds. Such a request is more likely to be a
+    /// long one, so this is the second moment over twice the first.
     pub fn residual_seconds(&self) -> f64 {
         if self.weight_sum < 2.0 || self.seconds_sum <= 0.0 {
             return INITIAL_RESIDUAL_SECS;
--- a/crates/sparscale_route/src/candidates.rs
+++ b/crates/sparscale_route/src/candidates.rs
@@ -1,18 +1,22 @@
-//! The bounded set of targets that one entry considers, so that 400 entries do not all talk to 1,300 agents.
+//! Selects the subset of targets that one entry considers.
+//!
+//! The subset is bounded so that 400 entries do not each keep connections to all 1,300 agents.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
 use sparscale_board::{Board, TargetKey};
 
-/// Targets that an entry considers for one model or service.
+/// The targets that an entry considers for one model or service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Subset {
-    /// Keys, nearest first.
+    /// Keys of the targets, nearest first.
     pub targets: Vec<TargetKey>,
 }
 
-/// At most `limit` of `all`, nearest halls first; among equals a hash of entry and target decides, so that entries
-/// spread over all targets and each keeps its own few.
+/// Selects at most `limit` of `all`, nearest halls first.
+///
+/// Targets at the same distance are ordered by a hash of entry and target name (rendezvous hashing): the entries
+/// together cover all targets, and each entry keeps the same subset.
 pub fn subset(board: &Board, entry: &str, all: &[TargetKey], limit: usize) -> Subset {
     let mut ranked: Vec<_> = all
         .iter()
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -1,4 +1,7 @@
-//! Scoring and choosing.
+//! Predicts the cost of sending a request to each candidate target and chooses the cheapest.
+//!
+//! Load reports arrive late, and all entries decide on nearly the same reports. The load model therefore extrapolates
+//! what the other entries have sent since, so that entries don't all choose the same rank.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -7,34 +10,34 @@
 use serde::Serialize;
 use sparscale_board::{BLOCK_BYTES, Board, GroupKey, Target, TargetKey};
 
-/// Bytes of a prompt that make a token, on average.
+/// Average number of prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Time to prefill one prompt token, in milliseconds.
 const PREFILL_MS_PER_TOKEN: f64 = 0.01;
-/// Step time of a target that belongs to no group, in milliseconds.
+/// Step time assumed for a target that belongs to no group, in milliseconds.
 const SERVICE_STEP_MS: f64 = 2.0;
 
-/// What a request needs, as far as routing is concerned.
+/// The properties of a request that routing depends on.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Expected answer length, in tokens.
+    /// Expected response length, in tokens.
     pub answer_tokens: u32,
-    /// Hashes of the prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks, for the prefix cache.
     pub blocks: Vec<u64>,
 }
 
-/// How to choose; all but the first are baselines to measure against.
+/// Rule by which a target is chosen; all but [`Rule::GroupCost`] are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Smallest predicted cost, counting what the request adds to its group's step.
+    /// Smallest predicted cost, including what the request adds to the step time of its group.
     GroupCost,
-    /// One after the other.
+    /// Each candidate in turn; the value is the number of the turn.
     RoundRobin(usize),
-    /// Any.
+    /// A candidate drawn at random.
     Random,
-    /// The less loaded of two drawn at random.
+    /// The less loaded of two candidates drawn at random.
     LeastOfTwo,
 }
 
@@ -42,32 +45,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It was the only candidate that takes work.
+    /// It was the only candidate that accepts work.
     Only,
     /// Its predicted cost was the smallest.
     LeastCost,
-    /// A baseline chose it.
+    /// A baseline rule chose it.
     Baseline,
 }
 
-/// A candidate with its predicted cost, in milliseconds.
+/// A candidate target with its predicted cost, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct ScoredTarget {
     /// The candidate.
     pub key: TargetKey,
-    /// Sum of the parts below.
+    /// Total of the components below.
     pub cost_ms: f64,
-    /// Wait for a place.
+    /// Time in the target's queue.
     pub wait_ms: f64,
-    /// Prefill of what waits there and of this prompt, after the expected cache hit.
+    /// Prefill of the backlog and of this prompt, less the expected prefix cache hit.
     pub prefill_ms: f64,
-    /// Steps of this answer.
+    /// Decode steps of this response.
     pub steps_ms: f64,
-    /// What the longer steps cost everyone else in the group.
+    /// Delay that the longer steps add to all other requests of the group.
     pub others_ms: f64,
-    /// Way there and back.
+    /// Network round trip.
     pub round_trip_ms: f64,
-    /// Counter of this entry's last request there: of equals, the one that waited longest is next.
+    /// Counter of this entry's last request to the target; breaks ties in favour of the least recently used.
     pub last_sent: u64,
 }
 
@@ -82,36 +85,36 @@
 /// A routing decision.
 #[derive(Debug, Clone)]
 pub struct Decision {
-    /// The target.
+    /// The chosen target.
     pub target: TargetKey,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
-    /// What was looked at.
+    /// The candidates that were scored; empty for a baseline rule.
     pub scored: Vec<ScoredTarget>,
 }
 
-/// No candidate takes work.
+/// No candidate accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Error {
-    /// When the first candidate that is only avoided may be tried again.
+    /// Delay until the first candidate that is only avoided for a while may be used again.
     pub retry_after: Duration,
 }
 
-/// Exponent of the norm that stands for the largest rank load. The plain largest would leave all ranks below it
-/// alike, so that the next burst finds them unequal.
+/// Exponent of the power norm that approximates the largest rank load. With the true maximum all ranks below it would cost
+/// the same, and the next burst would meet uneven loads.
 const NORM_EXPONENT: i32 = 8;
 
-/// Load of a group as one decision sees it.
+/// Expected load of a group at the time of one decision.
 #[derive(Debug, Clone)]
 struct GroupLoad {
     key: GroupKey,
-    /// Expected requests of each rank, in rank order.
+    /// Expected requests at each rank, in rank order.
     rank_loads: Vec<f64>,
-    /// Sum of the ranks' requests, each to the power of [`NORM_EXPONENT`], and its root.
+    /// Sum of the rank loads, each to the power of [`NORM_EXPONENT`], and the root of that sum.
     power_sum: f64,
     norm: f64,
     total_requests: f64,
-    /// Step time without load and for each sequence on the most loaded rank, in milliseconds.
+    /// Step time without load, and step time added by each sequence on the most loaded rank, in milliseconds.
     base_ms: f64,
     slope_ms: f64,
 }
@@ -174,7 +177,7 @@
 ) -> Decision {
     let loads = GroupLoads::new(board, usable, now);
     let scored: Vec<ScoredTarget> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
-    // Entries start their rounds at different places, so that equals are not met in one order by all.
+    // Each entry starts at a random candidate, so that entries don't all break ties the same way.
     let start = random.random_range(0..scored.len().max(1));
     let (before, after) = scored.split_at(start);
     let best = after.iter().chain(before).min_by(|left, right| left.compare(right));
@@ -205,7 +208,7 @@
     (blocks * BLOCK_BYTES / BYTES_PER_TOKEN) as f64
 }
 
-/// GroupLoads of the groups that a decision looks at, each worked out once.
+/// Loads of the groups that one decision considers, each computed once.
 struct GroupLoads<'a> {
     board: &'a Board,
     now: Duration,
@@ -247,7 +250,8 @@
         })
     }
 
-    /// Requests at the rank, the step time with one more there, and what each of its steps then costs all others.
+    /// Returns the requests at the rank, the step time in milliseconds with one more request there, and the delay in
+    /// milliseconds that this request adds to all others with each step.
     fn rank_costs(&self, group: GroupKey, rank: usize) -> Option<(f64, f64, f64)> {
         let load = self.group_load(group)?;
         let requests = *load.rank_loads.get(rank)?;
@@ -266,23 +270,24 @@
     }
 }
 
-/// Requests of other entries at the ranks of one group, as far as reports still tell.
+/// Estimated requests of the other entries at the ranks of one group, from the last load reports.
 struct OtherEntriesLoad {
     key: GroupKey,
-    /// Those that were reported and have probably not ended, for each rank.
+    /// Reported requests that have probably not ended, for each rank.
     in_flight_by_rank: Vec<f64>,
-    /// Those that were reported and have probably ended.
+    /// Number of reported requests that have probably ended.
     ended_count: f64,
-    /// This entry's recent requests to the group.
+    /// This entry's recent requests to the group, decayed by age.
     own_recent_sends: f64,
 }
 
-/// Expected loads of all groups that `usable` belong to.
+/// Expected loads of all groups that the targets in `usable` belong to.
 ///
-/// This entry knows its own requests. Of the others' it is told late: some of what a report counted has ended since,
-/// and others have sent as many new ones. Where to? They decide like this entry, on much the same reports; so they
-/// are taken to have shared them out among the groups as this entry did, and inside a group to have filled up the
-/// ranks that looked least loaded. Without that, entries that are told the same all rush to the same rank or group.
+/// The entry knows its own requests exactly, but reports on those of other entries are late: some of the reported requests
+/// have ended, and as many new ones are assumed to have arrived. Other entries decide by the same rule on nearly the same
+/// reports, so the new requests are distributed over the groups as this entry distributed its own, and inside a group they
+/// fill up the least loaded ranks. Without this estimate, entries with the same reports would all choose the same rank or
+/// group.
 fn group_loads(board: &Board, usable: &[TargetKey], now: Duration) -> Vec<GroupLoad> {
     let mut keys: Vec<GroupKey> = Vec::new();
     for key in usable {
@@ -302,7 +307,8 @@
         if own_recent_sends <= 0.0 {
             return group.ended_count;
         }
-        // One request's weight of what was reported keeps an entry that sends little from guessing wildly.
+        // The reported requests count as one additional request of this entry, which steadies the estimate of an entry that
+        // sends little.
         let share = (group.own_recent_sends + group.ended_count / ended_count.max(f64::MIN_POSITIVE))
             / (own_recent_sends + 1.0);
         ended_count * share
@@ -356,7 +362,7 @@
     })
 }
 
-/// Raises the lowest of `levels` to one level, by `amount` altogether.
+/// Raises the lowest of `levels` to a common level, by `amount` in total (water filling, by bisection).
 fn fill_lowest(levels: &mut [f64], amount: f64) {
     const BISECTION_STEPS: usize = 12;
     let lowest = levels.iter().copied().fold(f64::MAX, f64::min);
@@ -377,6 +383,6 @@
 }
 
 fn eighth_root(power_sum: f64) -> f64 {
-    // The eighth root, by square roots: a third of the time of a general power.
+    // Three square roots take a third of the time of a general power.
     power_sum.sqrt().sqrt().sqrt()
 }
--- a/crates/sparscale_route/src/lib.rs
+++ b/crates/sparscale_route/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which target takes a request: a pure function of the board.
+//! Chooses the target for a request, as a pure function of the board.
 //!
-//! Ranks of a group advance together, so a request costs what it adds to the *group's* step. Every candidate gets a
-//! predicted cost in milliseconds; the smallest wins.
+//! The ranks of a group advance in lockstep, so the cost of a request includes what it adds to the step time of the whole
+//! group. Each candidate gets a predicted cost in milliseconds, and the smallest wins.
 
 mod candidates;
 mod choice;
--- a/crates/sparscale_route/tests/target_choice.rs
+++ b/crates/sparscale_route/tests/target_choice.rs
@@ -1,4 +1,4 @@
-//! A request goes only to a target that takes work, and to the one that costs its group least.
+//! Requests are routed only to targets that accept work, and to the one with the smallest cost for its group.
 
 #![expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// What may be states about each rank.
+/// State of each rank: standing, running requests, whether its agent is closed, and whether the last connection failed.
 #[derive(Clone, Debug)]
 struct RankStates(Vec<(u8, u8, bool, bool)>);
 
@@ -165,7 +165,7 @@
         .quickcheck(property as fn(RankStates) -> bool);
 }
 
-/// An entry alone knows all loads without a lag: it always takes the least loaded rank.
+/// A single entry knows all loads without delay, so it always chooses the least loaded rank.
 #[test]
 fn own_requests_counted_without_lag() {
     fn property(states: RankStates) -> bool {
