--- a/crates/sparscale_admit/src/ledger.rs
+++ b/crates/sparscale_admit/src/ledger.rs
@@ -1,9 +1,9 @@
 //! The attempt ledger: records the state of each attempt at this agent incarnation, so that "not run" is a proof.
 //!
 //! An attempt is registered at most once, and forwarded to the target only after that. Settling an attempt that was not
-//! forwarded leaves a tombstone, so that an original that arrives late is rejected. A record is evicted only when no copy
-//! of its attempt can be accepted any more: each sender incarnation has a floor, and attempts with a counter below the
-//! floor that have no record are rejected.
+//! forwarded leaves a tombstone, so that an original that arrives late is rejected. A record is evicted only when no
+//! copy of its attempt can be accepted any more: each sender incarnation has a floor, and attempts with a counter below
+//! the floor that have no record are rejected.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -172,8 +172,8 @@
 
     /// Turns `attempt` into a tombstone if it was not forwarded, and returns its state.
     ///
-    /// An attempt that never arrived also gets a tombstone, so that its original is rejected when it arrives late. `None`
-    /// means that the state is unknown: the record has expired, or the ledger is at capacity.
+    /// An attempt that never arrived also gets a tombstone, so that its original is rejected when it arrives late.
+    /// `None` means that the state is unknown: the record has expired, or the ledger is at capacity.
     pub fn settle(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Option<State> {
         if self.transition(attempt, State::Queued, State::Tombstone) {
             self.release_key(attempt);
--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -1,8 +1,8 @@
 //! The queue of one target: higher tiers first, with weighted fair queueing among the workspaces of a tier.
 //!
-//! Each workspace of a tier has a virtual finish time that grows by cost over weight with each dispatch (start-time fair
-//! queueing), and the smallest goes next. One in `floor_one_in` dispatches goes to the lowest tier with queued requests,
-//! so that higher tiers cannot starve it.
+//! Each workspace of a tier has a virtual finish time that grows by cost over weight with each dispatch (start-time
+//! fair queueing), and the smallest goes next. One in `floor_one_in` dispatches goes to the lowest tier with queued
+//! requests, so that higher tiers cannot starve it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -143,8 +143,8 @@
         Ok(Admission { displaced })
     }
 
-    /// Removes and returns the request that runs next, if the target may run another one. Requests whose deadline has passed are
-    /// added to `expired`.
+    /// Removes and returns the request that runs next, if the target may run another one. Requests whose deadline has
+    /// passed are added to `expired`.
     pub fn next(&mut self, now: Duration, expired: &mut Vec<K>) -> Option<Job<K>> {
         while self.running < self.limits.running {
             let tier = self.next_tier()?;
@@ -187,8 +187,8 @@
         false
     }
 
-    /// Expected wait of a new request of `tier`: the queued work at or above that tier, divided by the number of requests that
-    /// run at the same time.
+    /// Expected wait of a new request of `tier`: the queued work at or above that tier, divided by the number of
+    /// requests that run at the same time.
     pub fn expected_wait(&self, tier: u8, cost: f64) -> Duration {
         let ahead: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.cost).sum();
         let busy = if self.running >= self.limits.running { cost } else { 0.0 };
@@ -283,7 +283,8 @@
         Some(job)
     }
 
-    /// Evicts idle workspaces whose finish time has passed: they hold no information, and evicting them bounds the memory.
+    /// Evicts idle workspaces whose finish time has passed: they hold no information, and evicting them bounds the
+    /// memory.
     fn evict_idle_workspaces(&mut self) {
         let now = self.virtual_now;
         self.workspaces
--- a/crates/sparscale_admit/tests/attempt_ledger.rs
+++ b/crates/sparscale_admit/tests/attempt_ledger.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Applies `events` to a ledger and to a model that counts how often each attempt was forwarded and which were reported as
-/// not run.
+/// Applies `events` to a ledger and to a model that counts how often each attempt was forwarded and which were reported
+/// as not run.
 fn runs_at_most_once(events: Vec<Event>) -> bool {
     const CAPACITY: usize = 4;
     const RETENTION: Duration = Duration::from_secs(20);
--- a/crates/sparscale_admit/tests/tier_queue.rs
+++ b/crates/sparscale_admit/tests/tier_queue.rs
@@ -171,7 +171,8 @@
     }
 }
 
-/// No job is lost or returned twice, the bounds hold, and without a floor no job runs while one of a higher tier is queued.
+/// No job is lost or returned twice, the bounds hold, and without a floor no job runs while one of a higher tier is
+/// queued.
 fn accounts_for_every_job(events: Vec<Event>) -> bool {
     let mut queue = queue(3, 6, 0);
     let mut waiting: HashMap<u32, u8> = HashMap::new();
--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -367,7 +367,8 @@
         }
     }
 
-    /// Records that the target under `key` could not be reached; it is avoided for a time that doubles with each failure.
+    /// Records that the target under `key` could not be reached; it is avoided for a time that doubles with each
+    /// failure.
     pub fn record_failure(&mut self, key: TargetKey, now: Duration) {
         const FIRST_PAUSE: Duration = Duration::from_millis(500);
         const MAX_DOUBLINGS: u32 = 5;
@@ -378,8 +379,8 @@
         }
     }
 
-    /// Records that the agent of the target under `key` rejects all work for `pause`. A load report does not end this, because
-    /// an agent keeps reporting when its target has terminated.
+    /// Records that the agent of the target under `key` rejects all work for `pause`. A load report does not end this,
+    /// because an agent keeps reporting when its target has terminated.
     pub fn record_rejection(&mut self, key: TargetKey, pause: Duration, now: Duration) {
         if let Some(target) = self.targets.get_mut(key) {
             target.rejecting_until = now + pause;
--- a/crates/sparscale_board/src/lib.rs
+++ b/crates/sparscale_board/src/lib.rs
@@ -1,7 +1,7 @@
 //! The blackboard of an entry: the state of targets and groups, as plain data under small keys.
 //!
-//! Controllers write the board from the bundle, the box list, load reports and the entry's own dispatches. Routing decisions
-//! read it.
+//! Controllers write the board from the bundle, the box list, load reports and the entry's own dispatches. Routing
+//! decisions read it.
 
 mod board;
 mod hints;
--- a/crates/sparscale_board/src/model.rs
+++ b/crates/sparscale_board/src/model.rs
@@ -88,8 +88,8 @@
         self.seconds_squared_sum = self.seconds_squared_sum * RETENTION + seconds * seconds;
     }
 
-    /// Mean remaining time of a request that is in progress at a random moment, in seconds. Such a request is more likely to be a
-    /// long one, so this is the second moment over twice the first.
+    /// Mean remaining time of a request that is in progress at a random moment, in seconds. Such a request is more
+    /// likely to be a long one, so this is the second moment over twice the first.
     pub fn residual_seconds(&self) -> f64 {
         if self.weight_sum < 2.0 || self.seconds_sum <= 0.0 {
             return INITIAL_RESIDUAL_SECS;
--- a/crates/sparscale_entry/src/api.rs
+++ b/crates/sparscale_entry/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP face towards callers.
+//! HTTP API for callers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,18 +26,18 @@
 use crate::response_stream::ResponseStream;
 use crate::ticket::{self, Ticket};
 
-/// Header in which a caller names its deadline, in milliseconds from now.
+/// Header with the deadline of a request, in milliseconds from its arrival.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with which a caller marks re-sends of one request.
+/// Header with the key that all attempts of one request share.
 const KEY_HEADER: &str = "idempotency-key";
-/// Longest idempotency key, in characters.
+/// Maximum length of an idempotency key, in characters.
 const MAX_KEY_CHARS: usize = 255;
-/// When to come back to an entry that has no bundle, and with a workspace that has too much in progress.
+/// Retry delay that callers get while the entry has no bundle or their workspace has too many requests in flight.
 const SHORT_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Expected work of a plain service's call, in tokens.
+/// Expected work of a call to a plain service, in tokens.
 const SERVICE_TOKENS: u32 = 1;
 
-/// What handlers need.
+/// Shared state of the request handlers.
 pub(crate) struct Api {
     pub(crate) dispatcher: Arc<Dispatcher>,
     pub(crate) journal: Arc<Journal>,
@@ -47,16 +47,16 @@
     pub(crate) stopping: AtomicBool,
 }
 
-/// How much of an answer is read before the caller sees any of it.
+/// How much of a response is read before the caller receives any of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadExtent {
-    /// Its first chunk.
+    /// Only the first chunk.
     FirstChunk,
-    /// All of it.
+    /// The complete response.
     Whole,
 }
 
-/// A request whose caller is known.
+/// An authenticated caller whose request was admitted.
 struct Caller {
     bundle: Arc<Bundle>,
     workspace: Arc<Workspace>,
@@ -95,14 +95,14 @@
     outcome: &'static str,
 }
 
-/// A model answer, streamed if the caller asks for it.
+/// Serves a chat completion, streamed if the caller requests it.
 #[endpoint { method = POST, path = "/v1/chat/completions" }]
 async fn complete(context: Context, body: StreamingBody) -> HandlerResult {
     let api = context.context();
     into_handler_result(api.complete(context.request.headers(), body).await)
 }
 
-/// A call of a plain service.
+/// Calls a plain service.
 #[endpoint { method = POST, path = "/v1/services/{service}/{call}" }]
 async fn call_service(context: Context, path: Path<ServicePath>, body: StreamingBody) -> HandlerResult {
     let api = context.context();
@@ -112,27 +112,27 @@
     )
 }
 
-/// A ticket for one call that may not be repeated.
+/// Issues a ticket for one call that may not be repeated.
 #[endpoint { method = POST, path = "/v1/tickets/{service}" }]
 async fn issue_ticket(context: Context, path: Path<TicketPath>) -> HandlerResult {
     let api = context.context();
     into_handler_result(api.issue_ticket(context.request.headers(), path.into_inner().service))
 }
 
-/// What became of a request.
+/// Returns the outcome of a request.
 #[endpoint { method = GET, path = "/v1/requests/{id}" }]
 async fn ask_about(context: Context, path: Path<RequestPath>) -> HandlerResult {
     let api = context.context();
     into_handler_result(api.ask_about(context.request.headers(), &path.into_inner().id).await)
 }
 
-/// Whether the process lives.
+/// Liveness check.
 #[endpoint { method = GET, path = "/healthz" }]
 async fn health(_context: Context) -> HandlerResult {
     Ok(Response::new(Body::from("alive\n")))
 }
 
-/// Whether the balancer may send callers here.
+/// Readiness check for the balancer.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readiness(context: Context) -> HandlerResult {
     let api = context.context();
@@ -144,7 +144,7 @@
     Ok(response)
 }
 
-/// All endpoints.
+/// Description of all endpoints.
 pub(crate) fn description() -> Result<ApiDescription<Arc<Api>>, String> {
     let mut api = ApiDescription::new();
     let registered = api
@@ -195,7 +195,8 @@
             limits: caller.bundle.fleet().limits.clone(),
         });
         if request.stream {
-            // Headers wait for the first token: until then a broken answer can start again elsewhere.
+            // The headers are sent with the first token; until then a broken response can be restarted on another
+            // target.
             let (stream, first) = self.read_response(&job, ReadExtent::FirstChunk).await?;
             return Ok(stream_response(stream, &first, caller.guard));
         }
@@ -208,8 +209,8 @@
         )))
     }
 
-    /// Reads an answer up to its first chunk, or whole. While the caller has seen no byte, a broken one that may be
-    /// repeated starts again.
+    /// Reads a response up to its first chunk, or completely. A broken response is restarted if the request is
+    /// repeatable, because the caller has not received any of it.
     async fn read_response(&self, job: &Arc<Job>, extent: ReadExtent) -> Result<(ResponseStream, Vec<Bytes>), Problem> {
         const MAX_STARTS: usize = 3;
         let mut last_problem = None;
@@ -301,7 +302,7 @@
             ticket: self.dispatcher.seal.issue_ticket(&ticket),
             expires_in_seconds: lifetime,
         };
-        // Serialising plain data into memory has no way to fail.
+        // Serializing plain data into memory cannot fail.
         Ok(json_response(serde_json::to_string(&answer).unwrap_or_default()))
     }
 
@@ -335,7 +336,7 @@
         ))
     }
 
-    /// Authenticates the caller and takes a place for its request.
+    /// Authenticates the caller and counts its request as in flight.
     fn admit_caller(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
         let Some(certificate) = self.journal.in_force() else {
             let detail = "this entry has no configuration yet";
--- a/crates/sparscale_entry/src/assembly.rs
+++ b/crates/sparscale_entry/src/assembly.rs
@@ -1,41 +1,41 @@
-//! Puts an answer together from frames that may be late, doubled, out of order or someone else's.
+//! Assembles a response from frames that may be late, duplicated, out of order or part of another response.
 //!
-//! Pure: a frame goes in, what to do comes out. Only chunks of the right attempt in the right order are passed on,
-//! and the answer counts as whole only at an end that names as many chunks as were passed on.
+//! A pure state machine: each frame yields the next step. Only chunks of the expected attempt are forwarded, in order,
+//! and the response is complete only when the end frame names as many chunks as were forwarded.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use sparscale_wire::{Answer, AttemptId, Failure, Head, Load, Part, Refusal};
 
-/// Chunks that may wait for an earlier one; more means that the stream is broken.
+/// Most chunks that are buffered while an earlier one is missing; with more the stream counts as broken.
 const MAX_OUT_OF_ORDER_CHUNKS: usize = 1_024;
 
-/// What a frame leads to.
+/// What the caller of [`Assembly::accept`] has to do after a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Nothing: the frame is not ours, or was seen before, or comes too early.
+    /// Nothing: the frame belongs to another attempt, is a duplicate, or waits for an earlier chunk.
     Nothing,
-    /// The answer begins.
+    /// The response begins.
     Head(Head),
-    /// These chunks come next.
+    /// Forward these chunks next.
     Chunks(Vec<Bytes>),
-    /// The answer is whole; these chunks were the last.
+    /// The response is complete.
     End {
-        /// Chunks that had waited for this moment.
+        /// The last chunks to forward.
         chunks: Vec<Bytes>,
-        /// Load of the agent.
+        /// Load that the agent reported with the end frame.
         load: Load,
     },
-    /// The request was not handed on.
+    /// The agent rejected the request without forwarding it.
     Refused(Refusal),
-    /// The request did not end well.
+    /// The request failed.
     Failed(Failure),
-    /// The frames contradict each other: the stream has to be resumed.
+    /// The frames contradict each other, so the stream must be resumed.
     Broken(&'static str),
 }
 
-/// The answer to one attempt, as far as it has come.
+/// The response to one attempt, as far as it has been received.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     attempt: AttemptId,
@@ -47,7 +47,7 @@
 }
 
 impl Assembly {
-    /// An empty answer to `attempt`.
+    /// Creates an empty response to `attempt`.
     pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Number of the first chunk that is missing.
+    /// Sequence number of the first missing chunk.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Whether the whole answer was passed on.
+    /// Whether the complete response was returned.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Takes in one frame.
+    /// Processes one frame.
     pub fn accept(&mut self, answer: Answer) -> Step {
         if answer.attempt != self.attempt || self.is_complete {
             return Step::Nothing;
--- a/crates/sparscale_entry/src/binding.rs
+++ b/crates/sparscale_entry/src/binding.rs
@@ -1,4 +1,6 @@
-//! Binds requests that may not be repeated to one agent incarnation: by ticket, or by a record in the log.
+//! Binds non-repeatable requests to one agent incarnation, by ticket or by a record in the log.
+//!
+//! Retries with the same key then reach the only ledger that can tell whether an earlier attempt ran.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,17 +14,17 @@
 use crate::ticket::{self, TICKET_PREFIX};
 use crate::unserved::key_reused;
 
-/// Time for which the outcome under a plain key is kept by its agent.
+/// Time for which an agent keeps the outcome under a plain idempotency key.
 const PLAIN_KEY_RETENTION: Duration = Duration::from_mins(50);
-/// Time by which an agent keeps an outcome beyond the ticket's end, for clocks that differ.
+/// Time for which an agent keeps an outcome after the ticket has expired, to allow for clock differences.
 const RETENTION_AFTER_TICKET: Duration = Duration::from_mins(5);
-/// Time that binding a key through the log may take.
+/// Timeout of appending a key binding to the log.
 const BIND_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to come back while the log is down or has no room.
+/// Retry delay that callers get while the log is unavailable or has no headroom.
 const LOG_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Api {
-    /// Binds a request to one agent incarnation, through the ticket that it carries or through the log.
+    /// Binds a request to one agent incarnation, by its ticket if the key is one, else through the log.
     pub(crate) async fn bind(&self, job: &mut Job, service: &str, key: &str) -> Result<(), Problem> {
         job.key = Some(BindingKey::new(&job.workspace.name, key));
         if key.starts_with(TICKET_PREFIX) {
@@ -72,7 +74,7 @@
         Ok(())
     }
 
-    /// Appends a binding and reads back which one won.
+    /// Appends a binding to the log; if another entry has bound the key first, returns that binding.
     async fn append_binding(&self, job: &Job, key: BindingKey) -> Result<Binding, Problem> {
         let (target, incarnation) = self.dispatcher.choose_binding_target(job)?;
         let binding = Binding {
@@ -96,7 +98,8 @@
     }
 }
 
-/// This sending was not run, but an earlier one under the same key may have been: only the log could tell.
+/// The problem of a request whose key could not be bound: it was not run, but an earlier one with the same key may have
+/// run, which only the log knows.
 fn binding_unknown(error: &SubmitError) -> Problem {
     let retry = match error {
         SubmitError::Budget { retry_after } => *retry_after,
--- a/crates/sparscale_entry/src/board_control.rs
+++ b/crates/sparscale_entry/src/board_control.rs
@@ -1,4 +1,4 @@
-//! Controllers that write the board: bundle, box list, load reports.
+//! Controllers that write the board: they follow the bundle, the box list and the load reports of targets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Pause between two looks at which targets to watch.
+/// Interval at which the set of watched targets is updated.
 const WATCH_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Targets that one entry watches at most.
+/// Most targets that one entry watches.
 const MAX_WATCHED_TARGETS: usize = 16;
-/// Time between two reports of one target, for each target that is watched, and the shortest.
+/// Interval between two reports of a target, for each target that is watched, and its minimum.
 const REPORT_INTERVAL_PER_TARGET: Duration = Duration::from_millis(60);
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The board of this entry, with the time that it is measured in.
+/// The board of this entry, with the clock that its times refer to.
 pub(crate) struct SharedBoard {
     board: Mutex<Board>,
     subsets: Mutex<HashMap<String, Subset>>,
@@ -46,7 +46,7 @@
         self.started_at.elapsed()
     }
 
-    /// Targets that this entry considers for `pool`, whose members are `all`.
+    /// Subset of `all` that this entry considers for `pool`; it is computed once for each bundle.
     pub(crate) fn subset(&self, board: &Board, pool: &str, all: &[TargetKey], limit: usize) -> Subset {
         let mut subsets = self.subsets.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = self.entry.as_str();
@@ -59,7 +59,7 @@
     }
 }
 
-/// Shows each bundle in force on the board.
+/// Applies each new active bundle to the board.
 pub(crate) async fn follow_bundle(
     board: Arc<SharedBoard>,
     journal: Arc<Journal>,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Shows each change of the box list on the board.
+/// Applies each change of the box list to the board.
 pub(crate) async fn follow_boxes(board: Arc<SharedBoard>, mut boxes: watch::Receiver<Arc<Listing>>) {
     while boxes.changed().await.is_ok() {
         let listing = boxes.borrow_and_update().clone();
@@ -102,10 +102,11 @@
     board.lock().apply_listed(&listed);
 }
 
-/// Targets that this entry watches now, with their addresses.
+/// Targets that this entry watches, with their addresses.
 type Watched = Arc<Mutex<HashMap<TargetKey, SocketAddr>>>;
 
-/// Watches the load of the targets that this entry used last. Of others it hears with each answer.
+/// Subscribes to load reports of the targets that this entry used last. The load of other targets arrives with their
+/// responses.
 pub(crate) async fn watch_loads(board: Arc<SharedBoard>, endpoint: Arc<Endpoint>, incarnation: u64) {
     let watched: Watched = Arc::default();
     loop {
@@ -127,12 +128,13 @@
     }
 }
 
-/// The more targets are watched, the less often each reports, so that the bytes stay within a node's budget.
+/// Report interval for `count` watched targets: it grows with their number, so that the reports stay within the traffic
+/// budget of a node.
 fn watch_interval(count: usize) -> Duration {
     (REPORT_INTERVAL_PER_TARGET * count as u32).max(MIN_REPORT_INTERVAL)
 }
 
-/// Shows what is watched from now on; returns what was not before.
+/// Replaces the watched targets by `wanted` and returns those that are new.
 fn update_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
     let mut watched = watched.lock().unwrap_or_else(PoisonError::into_inner);
     watched.retain(|key, address| wanted.get(key) == Some(address));
@@ -142,7 +144,7 @@
     new
 }
 
-/// The targets that were used last, and the nearest of those that never were.
+/// Selects the targets to watch: those used last, then the nearest of those never used.
 fn targets_to_watch(board: &SharedBoard) -> HashMap<TargetKey, SocketAddr> {
     let locked = board.lock();
     let live = locked.targets().filter(|(_, target)| target.standing == Standing::Live);
@@ -164,7 +166,7 @@
         .collect()
 }
 
-/// One target that is watched.
+/// Subscription to the load reports of one target.
 struct LoadWatch {
     board: Arc<SharedBoard>,
     watched: Watched,
@@ -174,9 +176,9 @@
 }
 
 impl LoadWatch {
-    /// Takes in reports until the target is wanted no more or cannot be reached.
+    /// Applies load reports until the target is no longer watched or its stream ends.
     async fn run(self, endpoint: &Endpoint, incarnation: u64) {
-        // Whatever ends the stream, the next look at the wanted targets starts it again.
+        // The next update of the watched targets restarts the stream if it ended early.
         let _ended = self.follow(endpoint, incarnation).await;
         self.watched
             .lock()
@@ -208,12 +210,12 @@
     }
 }
 
-/// Name of the subset of targets that serve `model`.
+/// Name of the pool of targets that serve `model`.
 pub(crate) fn model_pool(model: &str) -> String {
     format!("model {model}")
 }
 
-/// A load report in the board's units.
+/// Converts a load report to the units of the board.
 pub(crate) fn board_load(load: &sparscale_wire::Load) -> Load {
     Load {
         incarnation: load.incarnation,
--- a/crates/sparscale_entry/src/completion.rs
+++ b/crates/sparscale_entry/src/completion.rs
@@ -1,14 +1,14 @@
-//! Chat completions: what callers send and get, in the usual JSON shape.
+//! Chat completions: JSON requests of callers and responses to them, in the customary format.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a prompt that make a token, on average.
+/// Average number of prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Answer length that is expected when the caller names none, in tokens.
+/// Response length expected when the caller sets no maximum, in tokens.
 const DEFAULT_ANSWER_TOKENS: u32 = 256;
 
-/// A request; members that the entry does not need are passed on untouched.
+/// The members of a request that the entry needs; the body is forwarded unchanged.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Request {
     pub(crate) model: String,
@@ -24,7 +24,7 @@
     pub(crate) content: String,
 }
 
-/// One chunk of an answer as the engine sends it.
+/// One chunk of a streamed response of the engine.
 #[derive(Debug, Deserialize)]
 struct StreamChunk {
     choices: Vec<ChunkChoice>,
@@ -84,13 +84,13 @@
     (prompt.len() / BYTES_PER_TOKEN) as u32
 }
 
-/// The text that a chunk adds to the answer.
+/// Text that a chunk adds to the response.
 pub(crate) fn chunk_text(chunk: &[u8]) -> Result<String, serde_json::Error> {
     let chunk: StreamChunk = serde_json::from_slice(chunk)?;
     Ok(chunk.choices.into_iter().map(|choice| choice.delta.content).collect())
 }
 
-/// The whole answer for a caller that did not ask for a stream.
+/// The complete response, for a caller that did not request a stream.
 pub(crate) fn full_completion(id: &str, model: &str, content: &str) -> String {
     let completion = Completion {
         id,
@@ -105,21 +105,21 @@
             finish_reason: "stop",
         }],
     };
-    // Serialising plain data into memory has no way to fail.
+    // Serializing plain data into memory cannot fail.
     serde_json::to_string(&completion).unwrap_or_default()
 }
 
-/// A server-sent event with `data`.
+/// A server-sent event that carries `data`.
 pub(crate) fn event(data: &[u8]) -> Bytes {
     [b"data: ", data, b"\n\n"].concat().into()
 }
 
-/// The event that ends a whole stream.
+/// The event that ends a complete stream.
 pub(crate) fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
-/// The event that ends a stream that is not whole.
+/// The event that ends an incomplete stream.
 pub(crate) fn error_event(problem: &str) -> Bytes {
     Bytes::from(format!("event: error\ndata: {problem}\n\n"))
 }
--- a/crates/sparscale_entry/src/dispatch.rs
+++ b/crates/sparscale_entry/src/dispatch.rs
@@ -1,4 +1,7 @@
-//! Dispatches requests: routes, sends, settles what broke, and tries again only where that is safe.
+//! Dispatches requests to targets.
+//!
+//! The outcome of an attempt whose stream broke is settled with the agent first, and the request is retried only where
+//! that is safe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,25 +28,25 @@
 use crate::ticket::{RequestName, Seal};
 use crate::unserved::{failed, key_reused, no_target, unreachable_target};
 
-/// Dispatches of one request at most.
+/// Most attempts of one request.
 const MAX_ATTEMPTS: usize = 4;
-/// Time that settling one attempt may take.
+/// Timeout of settling one attempt.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time that a message about a caller that went away may take.
+/// Timeout of cancelling an attempt whose caller has disconnected.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How one dispatch began.
+/// Result of one attempt, up to the beginning of its response.
 enum SendOutcome {
     Responding(Box<ResponseStream>),
     Refused(Refusal),
-    /// Proof that it was not handed on, without a refusal.
+    /// The attempt was provably not forwarded to the target, and not rejected either.
     NotRun,
     Failed(Failure),
-    /// Nobody can tell.
+    /// Whether the attempt ran is unknown.
     Unknown,
 }
 
-/// Sends requests to agents.
+/// Routes requests to targets and sends them to the agents.
 pub(crate) struct Dispatcher {
     pub(crate) board: Arc<SharedBoard>,
     pub(crate) endpoint: Arc<Endpoint>,
@@ -76,13 +79,14 @@
         }
     }
 
-    /// Dispatches `job` until an answer begins or nothing more may be attempted.
+    /// Dispatches `job` until a response begins or no further attempt is allowed.
     pub(crate) async fn dispatch(self: &Arc<Self>, job: &Arc<Job>) -> Result<ResponseStream, Problem> {
         self.retry_budget.record_request(job.limits.retry_percent);
         let mut attempted = Vec::new();
         let mut last_problem = None;
         for index in 0..MAX_ATTEMPTS {
-            // Before each send: a target may have ended under it here or at another entry.
+            // Checked before each attempt, because a target may have ended while it ran this call, here or through
+            // another entry.
             if let Some(rejection) = self.quarantine.rejection_of(job) {
                 return Err(last_problem.unwrap_or(rejection));
             }
@@ -106,7 +110,8 @@
                 SendOutcome::Responding(live) => return Ok(*live),
                 SendOutcome::Refused(refusal) => self.handle_refusal(job, &sent, &refusal)?,
                 SendOutcome::NotRun => unreachable_target(),
-                // A repeatable request whose answer has not begun may start again, on the same target if need be.
+                // A repeatable request whose response has not begun may be retried, on the same target if no other is
+                // left.
                 SendOutcome::Failed(failure) if job.repeatable => {
                     if self.has_attempted_all(job, &attempted) {
                         attempted.clear();
@@ -131,7 +136,7 @@
         Err(last_problem.unwrap_or_else(unreachable_target))
     }
 
-    /// Chooses a target that was not attempted yet and logs the decision.
+    /// Chooses a target that was not attempted yet, and logs the decision.
     fn route(&self, job: &Job, attempted: &[TargetKey]) -> Result<SentAttempt, Problem> {
         let now = self.board.now();
         let attempt = AttemptId {
@@ -194,12 +199,12 @@
         Ok(self.board.subset(board, &pool, &all, limit).targets)
     }
 
-    /// Chooses the target that a new idempotency key is bound to.
+    /// Chooses the target to which a new idempotency key is bound.
     pub(crate) fn choose_binding_target(&self, job: &Job) -> Result<(String, u64), Problem> {
         let now = self.board.now();
         let board = self.board.lock();
         let candidates = self.candidates(&board, job)?;
-        // Only a target that has reported its incarnation can be bound to.
+        // A key can only be bound to a target whose incarnation has been reported.
         let reported = |key: &TargetKey| board.target(*key).is_some_and(|target| target.load.incarnation != 0);
         let reported: Vec<TargetKey> = candidates.into_iter().filter(reported).collect();
         let decision = choose(&board, &reported, &job.route, Rule::GroupCost, now, &mut rand::rng());
@@ -212,7 +217,7 @@
         let mut channel = match self.endpoint.open(sent.address, Role::Agent).await {
             Ok(channel) => channel,
             Err(error) => {
-                // Nothing was sent.
+                // The request was not sent.
                 self.record_failure(sent, &error);
                 return SendOutcome::NotRun;
             }
@@ -228,7 +233,7 @@
 
     async fn wait_for_head(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt, mut channel: Channel) -> SendOutcome {
         let mut assembly = Assembly::new(sent.attempt);
-        // Until the answer begins, dropping this future means that the caller went away.
+        // Until the response begins, this future is dropped only if the caller disconnects.
         let guard = CancelGuard::new(self, sent);
         loop {
             let received = tokio::time::timeout_at(job.deadline, channel.receiver.receive()).await;
@@ -263,7 +268,7 @@
                     guard.disarm();
                     return SendOutcome::Failed(failure);
                 }
-                // Chunks may overtake the head only in a broken stream; settling finds out.
+                // Chunks arrive before the head only if the stream is broken; settling determines the outcome.
                 Step::Chunks(_) | Step::End { .. } | Step::Broken(_) => {
                     guard.disarm();
                     return self.settle_before_response(job, sent).await;
@@ -273,10 +278,10 @@
         }
     }
 
-    /// Finds out what became of an attempt whose stream broke before the answer began.
+    /// Settles an attempt whose stream broke before the response began.
     async fn settle_before_response(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let settlement = self.settle(sent.address, sent.attempt, sent.incarnation).await;
-        log::info!(target: DECISION, decision = "settle", attempt = sent.attempt.to_string().as_str(), agent = sent.name.as_str(), settlement:? = settlement; "settled a broken attempt");
+        log::info!(target: DECISION, decision = "settle", attempt = sent.attempt.to_string().as_str(), agent = sent.name.as_str(), settlement:? = settlement; "settled an attempt whose stream broke");
         match settlement {
             Settlement::NotRun => SendOutcome::NotRun,
             Settlement::Running | Settlement::Ended if Instant::now() < job.deadline => {
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Reads the answer of an attempt that runs from its start.
+    /// Reads the response of an attempt that ran, from its first chunk.
     async fn read_from_start(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let Ok(channel) = self.resume(sent, 0).await else {
             return SendOutcome::Unknown;
@@ -294,7 +299,7 @@
         Box::pin(self.wait_for_head(job, sent, channel)).await
     }
 
-    /// Opens a stream that repeats the answer from chunk `from` on.
+    /// Opens a stream that repeats the response from chunk `from` on.
     pub(crate) async fn resume(&self, sent: &SentAttempt, from: u64) -> Result<Channel, StreamError> {
         let opened = self.endpoint.open(sent.address, Role::Agent).await;
         let mut channel = opened.map_err(|_unreachable| StreamError::Ended)?;
@@ -304,7 +309,7 @@
         Ok(channel)
     }
 
-    /// Asks the agent at `address` what became of `attempt`, which was sent to its incarnation `incarnation`.
+    /// Queries the agent at `address` for the outcome of `attempt`, which was sent to its incarnation `incarnation`.
     pub(crate) async fn settle(&self, address: SocketAddr, attempt: AttemptId, incarnation: u64) -> Settlement {
         let queried = tokio::time::timeout(
             SETTLE_TIMEOUT,
@@ -323,14 +328,14 @@
         }
     }
 
-    /// Tells the agent that the caller went away.
+    /// Cancels an attempt at its agent because the caller disconnected.
     pub(crate) fn cancel_in_background(self: &Arc<Self>, sent: &SentAttempt) {
         let dispatcher = Arc::clone(self);
         let sent = sent.clone();
         tokio::spawn(async move {
             let cancelled = tokio::time::timeout(CANCEL_TIMEOUT, dispatcher.cancel(&sent)).await;
             if cancelled.is_err() {
-                log::info!(attempt = sent.attempt.to_string().as_str(); "the agent could not be told of a caller that went away");
+                log::info!(attempt = sent.attempt.to_string().as_str(); "cancelling the attempt of a disconnected caller timed out");
             }
         });
     }
@@ -339,7 +344,7 @@
         let Ok(mut channel) = self.endpoint.open(sent.address, Role::Agent).await else {
             return;
         };
-        // An agent that cannot be told finds out by itself that nobody reads.
+        // If this fails, the agent notices by itself that the response is not read.
         let _sent = channel.sender.send(&Frame::Ask(Ask::Cancel(sent.attempt))).await;
         channel.sender.finish();
         channel.sender.stopped().await;
@@ -359,25 +364,26 @@
         self.board.lock().apply_load(sent.target, board_load(load), now);
     }
 
-    /// Notes that a dispatch is over, however it ended.
+    /// Records the end of a dispatch, whatever its outcome.
     pub(crate) fn record_end(&self, sent: &SentAttempt) {
         let now = self.board.now();
         self.board.lock().note_ended(sent.target, sent.attempt.counter, now);
     }
 
-    /// Avoids the target of a broken answer for a while.
+    /// Avoids the target of a broken response for a while.
     pub(crate) fn avoid(&self, live: &ResponseStream) {
         let now = self.board.now();
         self.board.lock().record_failure(live.target(), now);
     }
 
     fn record_failure(&self, sent: &SentAttempt, error: &dyn std::error::Error) {
-        log::warn!(agent = sent.name.as_str(), error = error.to_string().as_str(); "an agent cannot be reached");
+        log::warn!(agent = sent.name.as_str(), error = error.to_string().as_str(); "an agent could not be reached");
         let now = self.board.now();
         self.board.lock().record_failure(sent.target, now);
     }
 
-    /// The problem that a refusal leads to if no other target takes the request; an error if none may be asked.
+    /// Handles a rejection by an agent. Returns the problem for the caller, as an error if no other target may be
+    /// attempted.
     fn handle_refusal(&self, job: &Job, sent: &SentAttempt, refusal: &Refusal) -> Result<Problem, Problem> {
         self.metrics.count("attempt.refused");
         let retry_after = Duration::from_millis(refusal.retry_after_ms);
@@ -400,7 +406,7 @@
             | RefusalReason::TargetDown
             | RefusalReason::Closed
             | RefusalReason::NotReady => {
-                // Else the nearest targets are chosen again and again while they are down, and none further away.
+                // Without this, the nearest targets would be chosen again and again while they are unavailable.
                 let now = self.board.now();
                 self.board.lock().record_rejection(sent.target, retry_after, now);
                 Ok(busy("No target takes the request", "it was not handed on"))
@@ -409,7 +415,7 @@
     }
 }
 
-/// Tells the agent of a caller that went away, unless it is disarmed first.
+/// Cancels the attempt at its agent when dropped, unless it was disarmed.
 struct CancelGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     sent: &'a SentAttempt,
--- a/crates/sparscale_entry/src/duty.rs
+++ b/crates/sparscale_entry/src/duty.rs
@@ -1,7 +1,7 @@
-//! When an entry claims a group's placer duty: only when its holder has been silent.
+//! Decides when an entry claims the placer duty of a group: only when the holder is unresponsive.
 //!
-//! Safety never rests on this: a holder that was only slow finds its fence overtaken. It only decides how soon a
-//! silent holder is replaced, and that not everyone claims at once.
+//! Safety does not depend on this, because the fence of a replaced holder is outdated. The timeouts only determine how
+//! soon an unresponsive holder is replaced, and keep entries from claiming simultaneously.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use sparscale_wire::{Ask, Endpoint, Frame, Role};
 use tokio::time::Instant;
 
-/// Silence after which the first candidate claims.
+/// Time without a response after which the first candidate claims.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Further silence for each candidate that stands before.
+/// Additional time without a response for each candidate that comes earlier in the order.
 const EXTRA_TIMEOUT_PER_CANDIDATE: Duration = Duration::from_secs(2);
-/// Entries that watch a holder.
+/// Most entries that are candidates for a duty.
 const MAX_CANDIDATES: usize = 3;
-/// Time that the holder has to answer.
+/// Timeout of a ping to the holder.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that the append of a claim may take.
+/// Timeout of appending a claim to the log.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one entry knows about one duty.
+/// Tracks one duty, its holder and the time of the holder's last response.
 pub(crate) struct DutyWatch {
     duty: Duty,
     node: String,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The fence under which this entry holds the duty, after claiming it if its candidate_index has come.
+    /// Returns the fence under which this entry holds the duty; claims the duty first if the holder has been
+    /// unresponsive for long enough.
     pub(crate) async fn hold_or_claim(
         &mut self,
         journal: &Arc<Journal>,
@@ -87,7 +88,7 @@
         holder.node == self.node && holder.incarnation == self.incarnation
     }
 
-    /// InFlightGuard of this entry among the candidates; none if it is not one.
+    /// Index of this entry among the candidates; none if it is not a candidate.
     fn candidate_index(&self, live: &[Node], holder: Option<&Holder>) -> Option<u32> {
         let is_own_earlier_run = holder.is_some_and(|holder| holder.node == self.node);
         let candidates = live
@@ -99,7 +100,7 @@
         (candidate_index < MAX_CANDIDATES).then_some(candidate_index as u32)
     }
 
-    /// Whether the holder's own incarnation still answers.
+    /// Whether the holder responds and is still the incarnation that claimed.
     async fn holder_responds(&self, holder: &Holder, live: &[Node], endpoint: &Endpoint) -> bool {
         let Some(node) = live.iter().find(|node| node.name == holder.node) else {
             return false;
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Claims again over the own fence: orders under it may still be on their way and must not count any more.
+    /// Claims the duty again with a higher fence, which invalidates orders under the old fence that are still in
+    /// flight.
     pub(crate) async fn reclaim(&mut self, journal: &Arc<Journal>, fence: u64) -> Option<u64> {
         self.claim(journal, fence).await
     }
--- a/crates/sparscale_entry/src/job.rs
+++ b/crates/sparscale_entry/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a target.
+//! A request of a caller and its dispatches to targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use sparscale_wire::{Attempt, AttemptId, Call};
 use tokio::time::Instant;
 
-/// Where a request may go.
+/// Targets that a request may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Pool {
     /// Any rank that serves this model.
     Model(String),
     /// Any target of this service.
     Service(String),
-    /// One incarnation of one target's agent: the one that an idempotency key is bound to.
+    /// The agent incarnation that an idempotency key is bound to.
     Bound {
         /// Name of the target.
         target: String,
@@ -27,7 +27,7 @@
     },
 }
 
-/// A request on its way.
+/// A request with all that its dispatches need.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) workspace: Arc<Workspace>,
@@ -42,19 +42,19 @@
     pub(crate) limits: Limits,
 }
 
-/// One dispatch.
+/// One dispatch of a request to a target.
 #[derive(Debug, Clone)]
 pub(crate) struct SentAttempt {
     pub(crate) target: TargetKey,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     pub(crate) attempt: AttemptId,
-    /// Incarnation of the agent as last reported before the dispatch; 0 if none was.
+    /// Last incarnation that the agent reported before the dispatch; 0 if unknown.
     pub(crate) incarnation: u64,
 }
 
 impl Job {
-    /// The dispatch as it goes over the wire.
+    /// The dispatch in its wire format.
     pub(crate) fn attempt(&self, sent: &SentAttempt) -> Attempt {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let incarnation = match &self.pool {
--- a/crates/sparscale_entry/src/lib.rs
+++ b/crates/sparscale_entry/src/lib.rs
@@ -1,6 +1,6 @@
-//! The entry: takes requests from callers, routes them to agents, streams answers back.
+//! The entry: takes requests from callers, routes them to agents and streams the responses back.
 //!
-//! No entry is special. Each follows the log, keeps a board of targets, and may hold a placer's duty.
+//! All entries are equal. Each follows the log, keeps a board of targets, and may hold the placer duty of a group.
 
 mod api;
 pub mod assembly;
--- a/crates/sparscale_entry/src/limits.rs
+++ b/crates/sparscale_entry/src/limits.rs
@@ -1,18 +1,18 @@
-//! What one entry allows: requests in progress per workspace, and retries.
+//! Limits of one entry: requests in flight per workspace, and retries.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Retries that can be saved up.
+/// Most retries that the budget can accumulate.
 const MAX_SAVED_RETRIES: f64 = 100.0;
 
-/// Counts requests in progress per workspace.
+/// Counts requests in flight per workspace.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InFlight {
     counts: Arc<Mutex<HashMap<String, u32>>>,
 }
 
-/// One request in progress; it stops counting when this is dropped.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     counts: Arc<Mutex<HashMap<String, u32>>>,
@@ -20,7 +20,7 @@
 }
 
 impl InFlight {
-    /// A place for one more request of `workspace`, if fewer than `limit` are in progress.
+    /// Admits one more request of `workspace` if fewer than `limit` are in flight.
     pub(crate) fn try_enter(&self, workspace: &str, limit: u32) -> Option<InFlightGuard> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(workspace.to_owned()).or_default();
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Requests in progress of all workspaces.
+    /// Requests in flight of all workspaces.
     pub(crate) fn total(&self) -> u32 {
         lock(&self.counts).values().sum()
     }
@@ -52,21 +52,23 @@
     }
 }
 
-/// Retries come out of a budget that first attempts fill, so that retries never multiply an overload. A new process has none:
-/// one that ends over and over under an overload would bring some with each start.
+/// Budget of retries that is filled by first attempts, so that retries cannot multiply an overload.
+///
+/// A new process starts with an empty budget: a process that an overload terminates again and again would otherwise add
+/// retries with each restart.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     balance: Mutex<f64>,
 }
 
 impl RetryBudget {
-    /// Notes a first attempt, which earns `percent` of a retry.
+    /// Records a first attempt, which adds `percent` of a retry to the budget.
     pub fn record_request(&self, percent: u32) {
         let mut balance = lock(&self.balance);
         *balance = (*balance + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
     }
 
-    /// Spends one retry, if there is one.
+    /// Takes one retry from the budget; returns false if there is none.
     pub fn try_spend(&self) -> bool {
         let mut balance = lock(&self.balance);
         if *balance < 1.0 {
--- a/crates/sparscale_entry/src/main.rs
+++ b/crates/sparscale_entry/src/main.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-// One worker: with more, each token wakes threads on other cores, which costs more than the work on it.
+// One worker thread: with more, each token wakes threads on other cores, which costs more than handling the token.
 #[tokio::main(flavor = "multi_thread", worker_threads = 1)]
 async fn main() -> ExitCode {
     let matches = sparscale_entry::command().get_matches();
--- a/crates/sparscale_entry/src/peer.rs
+++ b/crates/sparscale_entry/src/peer.rs
@@ -1,11 +1,11 @@
-//! Streams that other processes open to an entry: they follow the log, or ask whether it lives.
+//! Serves streams that other processes open to an entry: followers of the log, and pings.
 
 use std::sync::Arc;
 
 use sparscale_control::{Journal, serve_follower};
 use sparscale_wire::{Ask, Channel, Endpoint, Frame, Peer, StreamError};
 
-/// Accepts connections until the endpoint closes.
+/// Accepts connections from other processes until the endpoint closes.
 pub(crate) async fn accept(journal: Arc<Journal>, endpoint: Arc<Endpoint>, incarnation: u64) {
     while let Ok(incoming) = endpoint.accept().await {
         let journal = Arc::clone(&journal);
@@ -13,7 +13,7 @@
             match incoming.establish().await {
                 Ok(peer) => serve_peer(journal, peer, incarnation).await,
                 Err(error) => {
-                    log::warn!(target: sparscale_telemetry::ALARM, alarm = "connection_refused", error = error.to_string().as_str(); "a connection was refused");
+                    log::warn!(target: sparscale_telemetry::ALARM, alarm = "connection_refused", error = error.to_string().as_str(); "rejected a connection");
                 }
             }
         });
@@ -25,7 +25,7 @@
         let journal = Arc::clone(&journal);
         tokio::spawn(async move {
             if let Err(error) = serve_stream(journal, channel, incarnation).await {
-                log::debug!(error = error.to_string().as_str(); "a peer went away");
+                log::debug!(error = error.to_string().as_str(); "the stream to a peer failed");
             }
         });
     }
--- a/crates/sparscale_entry/src/placer.rs
+++ b/crates/sparscale_entry/src/placer.rs
@@ -1,4 +1,4 @@
-//! Runs the placer duties of this entry, one task for each group.
+//! Runs the placer duties of this entry, with one task for each group.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,12 +12,12 @@
 use crate::placer_context::Context;
 use crate::placer_group::GroupPlacer;
 
-/// Pause between two looks at the groups of the bundle.
+/// Interval at which the groups of the bundle are checked.
 const GROUP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two looks at a duty that another entry holds.
+/// Interval at which a duty held by another entry is checked.
 const DUTY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts and ends the tasks.
+/// Starts one placer task for each group.
 pub(crate) struct Placers {
     context: Arc<Context>,
 }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Watches the duty of each group of the bundle in force.
+    /// Watches the duty of each group of the active bundle.
     pub(crate) async fn run(self) {
         let watched_groups: Arc<Mutex<HashSet<String>>> = Arc::default();
         loop {
@@ -73,7 +73,8 @@
     }
 }
 
-/// Watches one group's duty, and places while this entry holds it, until the bundle has no such group.
+/// Watches the duty of one group and places its experts while this entry holds the duty, until the bundle has no such
+/// group.
 async fn watch_group(context: &Arc<Context>, group: &str) {
     let duty = Duty::Placer(group.to_owned());
     let mut watch = DutyWatch::new(duty, &context.name, context.incarnation);
--- a/crates/sparscale_entry/src/placer_context.rs
+++ b/crates/sparscale_entry/src/placer_context.rs
@@ -1,4 +1,4 @@
-//! What the placer's tasks need.
+//! Dependencies of the placer tasks.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::board_control::SharedBoard;
 
-/// What every task of the placer needs.
+/// Handles that every placer task needs.
 pub(crate) struct Context {
     pub(crate) name: String,
     pub(crate) incarnation: u64,
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -1,4 +1,5 @@
-//! Places the experts of one group: counts, decides, puts the map in the log, drives the ranks to it.
+//! Places the experts of one group: collects selection counts, decides on a map, appends it to the log, and orders the
+//! ranks to switch to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,24 +16,23 @@
 
 use crate::placer_context::Context;
 
-/// Pause between two rounds of orders while a switch goes on.
+/// Interval between two rounds of orders during a map switch.
 const SWITCH_ROUND_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause between two looks while nothing goes on.
+/// Interval between two checks while no map switch is in progress.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time that a rank has to answer an order.
+/// Timeout of a query or an order to a rank.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which an attempt to arm all ranks is given up, so that those that are armed go on.
+/// Time after which an attempt to arm all ranks is abandoned, so that the ranks already armed can continue.
 const ARM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Ranks that are asked for expert counts in one round. Counts are cumulative, so a rank that is asked later has lost
-/// nothing, and two of 64 ranks at a time keep a placer within its bytes.
+/// Ranks queried for expert counts in one round. Counts are cumulative, so a later query loses nothing, and two of 64
+/// ranks at a time keep a placer within its traffic budget.
 const RANKS_PER_COUNT_ROUND: usize = 2;
-/// Time that the append of a map may take.
+/// Timeout of appending a map to the log.
 const MAP_APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Decisions in one half-life of the counts.
+/// Placement decisions per half-life of the counts.
 const DECISIONS_PER_HALF_LIFE: f64 = 2.0;
-/// Share by which answers are taken to be slower while weights load.
+/// Assumed slowdown of responses while weights load, as a fraction.
 const SLOWDOWN_SHARE_WHILE_LOADING: f64 = 0.1;
-/// Hours of a day, and seconds of an hour.
 const HOURS_PER_DAY: u64 = 24;
 const SECONDS_PER_HOUR: u64 = 3_600;
 
@@ -44,7 +44,7 @@
     counting: Option<Counting>,
 }
 
-/// Expert counts, and what each rank had counted when it was last asked.
+/// Token counts of the experts, and the counts that each rank last reported.
 struct Counting {
     counts: TokenCounts,
     last_counts: Vec<Option<Vec<u64>>>,
@@ -52,14 +52,14 @@
     next_rank: usize,
 }
 
-/// Which rank was asked last whether the group goes on, and the step that it told.
+/// The rank that was last probed for progress, and the step that it reported.
 #[derive(Default)]
 struct Probe {
     rank: usize,
     step: u64,
 }
 
-/// The group as the bundle in force describes it.
+/// A group of the active bundle, with its current map.
 struct GroupState {
     group: Group,
     placement: Placement,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Places until the duty is lost. True if only a higher fence helps.
+    /// Places experts until the duty is lost. Returns true if the switch is stuck and only a higher fence can continue
+    /// it.
     pub(crate) async fn run(mut self) -> bool {
         log::info!(target: DECISION, decision = "place", group = self.group.as_str(), fence = self.fence; "placing");
         while let Some(state) = self.group_state() {
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Drives the ranks to the latest map, and keeps watching them until it is time to decide again.
+    /// Switches the ranks to the latest map, then monitors them until the next decision is due.
     async fn drive_switch(&mut self, state: &GroupState) -> Progress {
         let mut coordinator = Coordinator::new(self.fence, state.group.ranks.len(), state.map_number);
         let decide_after = state.placement.half_life_seconds / DECISIONS_PER_HALF_LIFE;
@@ -139,7 +140,7 @@
             }
             let progress = coordinator.progress();
             if progress != last {
-                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "switch");
+                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "progress of the map switch");
                 last = progress;
             }
             match progress {
@@ -165,10 +166,10 @@
         }
     }
 
-    /// Asks one rank, another each time, whether its group goes on.
+    /// Queries one rank, in rotation, to see whether its group advances.
     ///
-    /// Ranks advance together: one that was replaced, or is held, stops them all. So one answer tells of all ranks, at
-    /// a 64th of the bytes of asking each.
+    /// Ranks advance in lockstep, so one that was replaced or is held stops them all. The report of one rank therefore
+    /// covers all of them, with a 64th of the traffic of querying each.
     async fn is_advancing(&self, probe: &mut Probe, state: &GroupState) -> bool {
         let ranks = &state.group.ranks;
         probe.rank = (probe.rank + 1) % ranks.len().max(1);
@@ -190,7 +191,7 @@
         advanced && on_goal && report.fence == self.fence
     }
 
-    /// Sends each rank its next order and takes in the answers.
+    /// Sends each rank its next order and records the reports.
     async fn run_round(&self, coordinator: &mut Coordinator, state: &GroupState) {
         coordinator.abandon_missed_attempt();
         let orders = coordinator.orders();
@@ -235,7 +236,7 @@
             .and_then(|target| target.address)
     }
 
-    /// Takes in expert counts, decides, and puts a new map in the log.
+    /// Updates the expert counts, decides on a map, and appends it to the log if it is new.
     async fn decide_and_append(&mut self, state: &GroupState) {
         self.count(state).await;
         let Some(counting) = &self.counting else { return };
@@ -251,7 +252,7 @@
             map,
         };
         let submitted = self.context.journal.submit(Body::Map(change), MAP_APPEND_TIMEOUT).await;
-        log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = submitted; "put a map in the log");
+        log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = submitted; "appended a map to the log");
     }
 
     async fn count(&mut self, state: &GroupState) {
@@ -277,7 +278,7 @@
         self.counting = Some(counting);
     }
 
-    /// Counts of the next few ranks, in turn.
+    /// Queries the counts of the next few ranks, in rotation.
     async fn query_counts(&self, state: &GroupState, next_rank: &mut usize) -> Vec<(usize, Vec<u64>)> {
         let ranks = &state.group.ranks;
         let queried_ranks: Vec<usize> = (0..ranks.len().min(RANKS_PER_COUNT_ROUND))
@@ -296,7 +297,7 @@
     }
 }
 
-/// Adds what a rank has counted since `before`; a rank that was replaced starts from nothing.
+/// Adds the tokens that a rank has counted since `before`; the first report of a rank is only a baseline.
 fn add_new_tokens(sum: &mut [f64], tokens: &[u64], before: Option<&[u64]>) {
     let Some(before) = before.filter(|before| before.len() == tokens.len()) else {
         return;
@@ -347,6 +348,6 @@
         cost_stay = decision.cost_stay,
         cost_move = decision.cost_move,
         took_ms = took.as_secs_f64() * 1_000.0;
-        "placement"
+        "placement decision"
     );
 }
--- a/crates/sparscale_entry/src/problem.rs
+++ b/crates/sparscale_entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as callers see them: problem details (RFC 9457) with an outcome.
+//! Rejections and failures in the form that callers receive: problem details (RFC 9457) with an outcome.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use http::{Response, StatusCode, header};
 use serde::Serialize;
 
-/// What became of a request that has no answer.
+/// Outcome of a request that has no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Outcome {
-    /// It did not run, and never will.
+    /// It did not run and never will.
     NotRun,
-    /// It may or may not have run; it will not be run again.
+    /// It may have run; it will not be run again.
     Unknown,
-    /// It ran, at least in part, and has no whole answer.
+    /// It ran, at least in part, but its response is incomplete.
     Failed,
 }
 
-/// A refusal or failure.
+/// A rejection or failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Problem {
     pub(crate) status: StatusCode,
     pub(crate) outcome: Outcome,
     pub(crate) title: &'static str,
     pub(crate) detail: String,
-    /// When to come back; none where coming back does not help.
+    /// Delay before a retry; none if a retry cannot succeed.
     pub(crate) retry_after: Option<Duration>,
-    /// Id to ask about the request.
+    /// Id for querying the outcome of the request.
     pub(crate) request_id: Option<String>,
 }
 
-/// The members of RFC 9457, and this system's own.
+/// The members of RFC 9457, with extension members.
 #[derive(Serialize)]
 struct Details<'a> {
     r#type: &'static str,
@@ -83,7 +83,7 @@
         self
     }
 
-    /// The JSON form, also used inside a stream that has begun.
+    /// The JSON form, which is also sent as an event inside a stream that has begun.
     pub(crate) fn to_json(&self) -> String {
         let details = Details {
             r#type: "about:blank",
@@ -94,7 +94,7 @@
             request_id: self.request_id.as_deref(),
             retry_after_seconds: self.retry_after.map(|after| after.as_secs_f64()),
         };
-        // Serialising plain data into memory has no way to fail.
+        // Serializing plain data into memory cannot fail.
         serde_json::to_string(&details).unwrap_or_default()
     }
 
@@ -107,7 +107,7 @@
             header::HeaderValue::from_static("application/problem+json"),
         );
         if let Some(after) = self.retry_after {
-            // The header knows whole seconds; a caller that comes back a little late is no harm.
+            // The header holds whole seconds; rounding up makes the retry slightly later than necessary.
             let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
             headers.insert(header::RETRY_AFTER, header::HeaderValue::from(seconds));
         }
--- a/crates/sparscale_entry/src/program.rs
+++ b/crates/sparscale_entry/src/program.rs
@@ -1,4 +1,4 @@
-//! Puts an entry together and runs it until it is told to stop.
+//! Assembles an entry and runs it until it receives a stop signal.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::settings::{Raw, Settings};
 use crate::ticket::Seal;
 
-/// Time that the last frames get before the socket closes.
+/// Time to deliver the last frames before the socket closes.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an entry cannot run.
@@ -30,19 +30,19 @@
     /// The settings file cannot be used.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// What is wrong with it.
+        /// The errors in the file.
         source: sparscale_settings::Error,
     },
     /// The process cannot start.
     #[snafu(display("{source}"), context(false))]
     Process {
-        /// What is wrong.
+        /// Why it cannot start.
         source: process::Error,
     },
     /// Callers cannot be served.
-    #[snafu(display("callers: {message}; choose a free address of this box"))]
+    #[snafu(display("callers: {message}; set a free address of this box"))]
     Callers {
-        /// What the server said.
+        /// Error of the server.
         message: String,
     },
 }
@@ -112,7 +112,7 @@
     let description = api::description().map_err(|message| Error::Callers { message })?;
     let config = ConfigDropshot {
         bind_address: settings.callers,
-        // The handlers read bodies themselves, up to the limit of the settings, and refuse longer ones.
+        // The handlers read bodies themselves and reject those above the limit of the settings.
         default_request_body_max_bytes: usize::MAX,
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..ConfigDropshot::default()
@@ -125,12 +125,13 @@
         })
 }
 
-/// Says no to the balancer, accepts what it still sends for its lag, and finishes all answers.
+/// Reports "not ready" to the balancer, keeps accepting requests until the balancer has noticed, and finishes all
+/// responses.
 async fn stop(settings: &Settings, api: &Api, server: HttpServer<Arc<Api>>) {
     api.stopping.store(true, Ordering::Relaxed);
     log::info!(target: DECISION, decision = "drain", reason = "told to stop", in_progress = api.in_flight.total(); "draining");
     tokio::time::sleep(settings.stop_lag).await;
     if let Err(error) = server.close().await {
-        log::warn!(error = error.as_str(); "the server for callers did not close well");
+        log::warn!(error = error.as_str(); "closing the server for callers failed");
     }
 }
--- a/crates/sparscale_entry/src/quarantine.rs
+++ b/crates/sparscale_entry/src/quarantine.rs
@@ -1,4 +1,6 @@
-//! Calls that end the targets which run them: known again by every entry, through the log.
+//! Quarantine of calls that crash the targets which run them.
+//!
+//! Each such end is recorded as a strike in the log, so that all entries recognize the call and hold it back.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,17 +18,20 @@
 use crate::job::{Job, SentAttempt};
 use crate::problem::Problem;
 
-/// Time that one append may take.
+/// Timeout of one append to the log.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before a strike that the log did not take is appended again.
+/// Delay before the append of a strike is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Time for which a call waits until the log has its strike. With it come the strikes of all other entries, so a call that
-/// comes through several ends one target more than it may at most; a log that is away holds no call up for longer.
+/// Longest time that a call waits until its strike is in the log.
+///
+/// By then the entry has also read the strikes of all other entries, so a call that arrives through several entries
+/// ends at most one target more than the limit. An unavailable log delays a call no longer than this.
 const STRIKE_WAIT: Duration = Duration::from_secs(1);
-/// Tries to append a strike: ten minutes of a log that is away. What an entry saw it holds by itself as long as it lives.
+/// Attempts to append a strike, enough for ten minutes of an unavailable log. The entry itself keeps each strike that
+/// it observed until it terminates.
 const MAX_APPEND_ATTEMPTS: u32 = 100;
 
-/// What this entry knows: what it saw itself, and what the log holds.
+/// Strikes known to this entry: those that it observed and those in the log.
 pub(crate) struct Quarantine {
     journal: Arc<Journal>,
     register: Mutex<Register>,
@@ -40,7 +45,7 @@
         }
     }
 
-    /// The refusal of a call that is held back.
+    /// The problem with which a quarantined call is rejected; none if the call may run.
     pub(crate) fn rejection_of(&self, job: &Job) -> Option<Problem> {
         let request = fingerprint(job);
         let logged: Vec<Strike> = self.journal.with_state(|state| state.strikes_of(request).collect());
@@ -52,19 +57,20 @@
             }
             register.held(&request, now_ms)
         }?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "targets ended under the call");
+        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "the call is quarantined because targets ended while they ran it");
         let detail = "targets ended while they ran this call; it is held back so that no more do";
         let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "The call is held back", detail);
         Some(problem.retry_after(hold.left))
     }
 
-    /// Notes that a target ended under a call, and tells the log; returns once the log has it, or [`STRIKE_WAIT`] later.
+    /// Records that a target ended while it ran a call, and appends the strike to the log. Returns when the log has it,
+    /// at the latest after [`STRIKE_WAIT`].
     pub(crate) async fn record_end(&self, job: &Job, sent: &SentAttempt) {
         let request = fingerprint(job);
         let now_ms = unix_ms();
         let strike = Strike {
             request,
-            // Each attempt meets one end at most.
+            // An attempt experiences at most one end of a target, so its id identifies that end.
             end: End::of(&sent.name, Some(sent.attempt.entry ^ sent.attempt.counter)),
             at_ms: now_ms,
             standing: Standing::Counts,
@@ -74,15 +80,15 @@
             register.take_in(strike, News::Seen, now_ms);
             register.ends(&request)
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.name.as_str(), ends; "a target ended under a call");
+        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.name.as_str(), ends; "a target ended while it ran a call");
         let appended = self.append_strikes(vec![strike]);
         let deadline = job.deadline.min(Instant::now() + STRIKE_WAIT);
         if tokio::time::timeout_at(deadline, appended).await.is_err() {
-            log::info!(target: DECISION, decision = "strike_late", content = request.short().as_str(); "going on before the log has the strike");
+            log::info!(target: DECISION, decision = "strike_late", content = request.short().as_str(); "continuing before the strike is in the log");
         }
     }
 
-    /// Notes a whole answer to a call.
+    /// Records a complete response to a call, and appends the strikes that it clears to the log.
     pub(crate) fn record_response(&self, job: &Job) {
         let request = fingerprint(job);
         let cleared = {
@@ -92,13 +98,13 @@
             }
             register.untold()
         };
-        log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the call is answered well: it is not what ended targets");
+        log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the call completed, so it did not cause the ends of targets");
         let of_call = cleared.into_iter().filter(|strike| strike.request == request);
-        // The answer is there: nobody waits for the log.
+        // The response is complete, so no caller waits for the log.
         let _appended = self.append_strikes(of_call.collect());
     }
 
-    /// Appends strikes, again and again while the log does not take them.
+    /// Appends strikes to the log in the background, with retries.
     fn append_strikes(&self, strikes: Vec<Strike>) -> JoinHandle<()> {
         let journal = Arc::clone(&self.journal);
         tokio::spawn(async move {
@@ -108,7 +114,7 @@
                     if matches!(&submitted, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
                         break;
                     }
-                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.short().as_str(); "the log did not take a strike");
+                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.short().as_str(); "the log did not accept a strike; retrying");
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
--- a/crates/sparscale_entry/src/respond.rs
+++ b/crates/sparscale_entry/src/respond.rs
@@ -1,4 +1,4 @@
-//! Answers as callers get them: streams of events, whole completions, a plain service's answer.
+//! HTTP responses to callers: event streams, complete responses, and responses of plain services.
 
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 use crate::problem::Problem;
 use crate::response_stream::ResponseStream;
 
-/// A stream of events that starts with the chunks in `first`.
+/// Event stream that starts with the chunks in `first`.
 pub(crate) fn stream_response(live: ResponseStream, first: &[Bytes], guard: InFlightGuard) -> Response<Body> {
     let id = live.request_id();
     let state = EventStream {
@@ -27,7 +27,7 @@
         let event = state.next().await?;
         Some((Ok::<_, std::convert::Infallible>(Frame::data(event)), state))
     });
-    // A handler's body has to be shareable between threads; polling it from one at a time is all that is needed.
+    // Dropshot requires a body that is `Sync`, although only one thread at a time polls it.
     let body = Body::wrap(StreamBody::new(SyncStream::new(events)));
     let mut response = Response::new(body);
     let headers = response.headers_mut();
@@ -42,7 +42,7 @@
     response
 }
 
-/// A stream of events, with the place that its request takes.
+/// State of an event stream; it keeps the request counted as in flight.
 struct EventStream {
     live: ResponseStream,
     pending: VecDeque<Bytes>,
--- a/crates/sparscale_entry/src/response_stream.rs
+++ b/crates/sparscale_entry/src/response_stream.rs
@@ -1,4 +1,4 @@
-//! An answer on its way to the caller. A broken stream is resumed at the first missing chunk.
+//! Forwards a response to the caller; a broken stream is resumed at the first missing chunk.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 use crate::problem::Problem;
 use crate::unserved::failed;
 
-/// Resumptions in a row without a new chunk, after which the answer is given up.
+/// Most consecutive resumptions without a new chunk before the response is abandoned.
 const MAX_RESUMES: u32 = 3;
-/// Pause between two of them.
+/// Delay between two resumptions.
 const RESUME_DELAY: Duration = Duration::from_millis(100);
 
-/// An answer that has begun.
+/// A response that has begun.
 pub(crate) struct ResponseStream {
     dispatcher: Arc<Dispatcher>,
     job: Arc<Job>,
@@ -55,17 +55,17 @@
         }
     }
 
-    /// The target that answers.
+    /// The target that sends the response.
     pub(crate) fn target(&self) -> TargetKey {
         self.sent.target
     }
 
-    /// Id under which the caller may ask about the request.
+    /// Id with which the caller can query the outcome of the request.
     pub(crate) fn request_id(&self) -> String {
         self.dispatcher.request_id(&self.job, &self.sent)
     }
 
-    /// The next chunk; none after a whole answer.
+    /// The next chunk; none after the last one or after an error.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Problem>> {
         loop {
             if let Some(chunk) = self.ready_chunks.pop_front() {
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -1,4 +1,4 @@
-//! Log lines of the choice of a target.
+//! Logs the choice of a target.
 
 use serde::Serialize;
 use sparscale_board::Board;
@@ -7,7 +7,7 @@
 
 use crate::job::{Job, SentAttempt};
 
-/// A candidate as a decision line shows it; costs in milliseconds.
+/// A candidate in a decision line; costs in milliseconds.
 #[derive(Serialize)]
 struct Candidate<'a> {
     name: &'a str,
@@ -19,7 +19,7 @@
     distance: f64,
 }
 
-/// The candidates as JSON: the log holds flat values, so they stand in one.
+/// The scored candidates as one JSON text, because log values must be flat.
 pub(crate) fn candidate_lines(board: &Board, decision: &Decision) -> String {
     let candidates = decision.scored.iter().filter_map(|scored| {
         Some(Candidate {
@@ -47,6 +47,6 @@
         candidates,
         bundle = version,
         map;
-        "routed"
+        "chose a target"
     );
 }
--- a/crates/sparscale_entry/src/settings.rs
+++ b/crates/sparscale_entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! Settings of an entry, as written in the file and as checked.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,24 +7,25 @@
 use sparscale_control::process;
 use sparscale_settings::{Check, Problem};
 
-/// Shortest secret for tickets and request ids, in characters.
+/// Minimum length of the secret for tickets and request ids, in characters.
 const MIN_SECRET_CHARS: usize = 32;
 
 /// The settings file as written.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Raw {
-    /// What every process has.
+    /// Settings that every process has.
     pub process: process::Raw,
-    /// Address at which callers are served, HTTP.
+    /// Address of the HTTP server for callers.
     pub callers: SocketAddr,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Secret that all entries share; tickets and request ids are sealed with it.
+    /// Secret shared by all entries, with which tickets and request ids are authenticated.
     pub secret: String,
     /// Lifetime of a ticket, in seconds.
     pub ticket_seconds: u64,
-    /// Time for which a stopping entry still accepts requests, in milliseconds: the balancer's lag.
+    /// Time for which a stopping entry still accepts requests, in milliseconds, because the balancer notices the stop
+    /// late.
     pub stop_lag_ms: u64,
 }
 
@@ -49,7 +50,7 @@
             problems.push(Problem::new("secret", "is too short", remedy));
         }
         if !(1_024..=1 << 20).contains(&raw.max_body_bytes) {
-            let remedy = "use 1024 to 1048576; a frame between processes holds no more";
+            let remedy = "use 1024 to 1048576, the largest frame between processes";
             problems.push(Problem::new("max_body_bytes", "is out of range", remedy));
         }
         if !(1..=86_400).contains(&raw.ticket_seconds) {
--- a/crates/sparscale_entry/src/ticket.rs
+++ b/crates/sparscale_entry/src/ticket.rs
@@ -1,6 +1,6 @@
-//! Sealed texts that entries hand to callers: tickets for requests that may not be repeated, and request ids.
+//! Authenticated tokens issued to callers: tickets for requests that may not be repeated, and request ids.
 //!
-//! All entries share one secret, so any entry accepts what another has issued and nothing is agreed per request.
+//! All entries share one secret, so that every entry accepts the tokens of the others without coordination per request.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -13,9 +13,9 @@
 use snafu::Snafu;
 use sparscale_wire::AttemptId;
 
-/// Start of every ticket; a plain key does not begin with it.
+/// Prefix of every ticket; tells tickets from plain keys.
 pub(crate) const TICKET_PREFIX: &str = "ticket1.";
-/// Start of every request id.
+/// Prefix of every request id.
 const REQUEST_PREFIX: &str = "request1.";
 
 /// Binds one request to one agent incarnation.
@@ -25,34 +25,34 @@
     pub(crate) service: String,
     pub(crate) target: String,
     pub(crate) incarnation: u64,
-    /// Seconds since 1970 from which the ticket is refused.
+    /// Unix time in seconds from which the ticket is rejected.
     pub(crate) expires: u64,
-    /// Tells tickets of the same target apart.
+    /// Makes tickets for the same target distinct.
     pub(crate) nonce: u64,
 }
 
-/// Names a request whose outcome is unknown, so that a caller can ask about it.
+/// Identifies a request, so that a caller can query its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RequestName {
     pub(crate) workspace: String,
     pub(crate) target: String,
     pub(crate) attempt: AttemptId,
-    /// Incarnation of the agent that it went to, 0 if not known.
+    /// Incarnation of the agent that it was sent to; 0 if unknown.
     pub(crate) incarnation: u64,
 }
 
-/// A text that cannot be opened.
+/// Why a token cannot be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub(crate) enum Error {
-    /// It was not issued by this system, or was changed.
+    /// It was not issued by this system or was modified.
     #[snafu(display("the text was not issued here or was changed; send it exactly as it was issued"))]
     Forged,
-    /// It is too old.
+    /// It has expired.
     #[snafu(display("the ticket has expired"))]
     Expired,
 }
 
-/// Seals and opens texts.
+/// Issues and verifies tokens, authenticated by HMAC.
 #[derive(Clone)]
 pub(crate) struct Seal {
     mac: Hmac<Sha256>,
@@ -60,7 +60,7 @@
 
 impl Seal {
     pub(crate) fn new(secret: &str) -> Self {
-        // HMAC takes keys of any length; the empty key stands for an error that cannot happen.
+        // HMAC accepts keys of any length, so the fallback to the zero key is never used.
         let mac = Hmac::new_from_slice(secret.as_bytes())
             .unwrap_or_else(|_length| Hmac::new(&hmac::digest::Key::<Hmac<Sha256>>::default()));
         Self { mac }
@@ -70,7 +70,8 @@
         self.seal(TICKET_PREFIX, ticket)
     }
 
-    /// Opens a ticket. `now` is this process's clock; what the agent keeps outlasts the ticket by a wide margin.
+    /// Verifies a ticket and its expiry by this process's clock. Clock differences do no harm, because the agent keeps
+    /// outcomes well beyond the expiry.
     pub(crate) fn open_ticket(&self, text: &str, now: SystemTime) -> Result<Ticket, Error> {
         let ticket: Ticket = self.open(TICKET_PREFIX, text)?;
         if unix_seconds(now) >= ticket.expires {
@@ -88,7 +89,7 @@
     }
 
     fn seal<T: Serialize>(&self, prefix: &str, value: &T) -> String {
-        // Serialising plain data into memory has no way to fail.
+        // Serializing plain data into memory cannot fail.
         let content = postcard::to_stdvec(value).unwrap_or_default();
         let tag = self.tag(prefix, &content);
         let sealed = [content.as_slice(), &tag].concat();
@@ -117,10 +118,10 @@
     }
 }
 
-/// Bytes of the authentication tag.
+/// Size of the authentication tag, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// Seconds since 1970.
+/// Unix time in seconds.
 pub(crate) fn unix_seconds(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs()
 }
--- a/crates/sparscale_entry/src/unserved.rs
+++ b/crates/sparscale_entry/src/unserved.rs
@@ -1,4 +1,4 @@
-//! What callers are told of requests that were not served.
+//! Problem details that callers receive for requests that were not served.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::job::Job;
 use crate::problem::Problem;
 
-/// What a failure means for the caller.
+/// Problem for a failure reported by the agent; the outcome of a request that may not be repeated stays unknown.
 pub(crate) fn failed(job: &Job, failure: &Failure) -> Problem {
     match failure {
         Failure::Target { message } => Problem::failed(message),
@@ -17,7 +17,7 @@
     }
 }
 
-/// A key that came with another body before: this request did not run.
+/// Problem for a key that was used with another body before; the request did not run.
 pub(crate) fn key_reused() -> Problem {
     let detail = "the key was used for a request with another body; use a new key";
     Problem::not_run(StatusCode::UNPROCESSABLE_ENTITY, "The key was used before", detail)
--- a/crates/sparscale_entry/tests/answer_assembly.rs
+++ b/crates/sparscale_entry/tests/answer_assembly.rs
@@ -1,4 +1,5 @@
-//! A caller gets its own whole answer, or an error: never a part, never someone else's.
+//! A caller receives its own complete response or an error: never an incomplete response, and never chunks of another
+//! one.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -8,7 +9,7 @@
 const OWN: AttemptId = AttemptId { entry: 1, counter: 1 };
 const OTHER: AttemptId = AttemptId { entry: 1, counter: 2 };
 
-/// What arrives: own and foreign frames in any order, doubled, with gaps.
+/// Received frames: of this attempt and of another one, in any order, with duplicates and gaps.
 #[derive(Clone, Debug)]
 struct Arrivals {
     chunks: u64,
@@ -59,7 +60,7 @@
     let mut forwarded: Vec<Bytes> = Vec::new();
     for (own, which) in arrivals.order {
         let attempt = if own { OWN } else { OTHER };
-        // Someone else's answer has another length, too.
+        // The response of the other attempt also has a different length.
         let chunks = if own { arrivals.chunks } else { 9 };
         let part = part(attempt, chunks, which);
         match assembly.accept(Answer { attempt, part }) {
--- a/crates/sparscale_entry/tests/retry_limits.rs
+++ b/crates/sparscale_entry/tests/retry_limits.rs
@@ -1,11 +1,11 @@
-//! Retries are paid for by first attempts alone.
+//! Only first attempts earn retries.
 //!
-//! A process that started had ten retries before any first attempt. One that ends and starts again over and over, as under
-//! an overload that ends it, then sends ten more with each start, which is what the budget is there to prevent.
+//! Guards against a budget that starts with retries, ten for instance: a process that an overload terminates again and
+//! again would then send ten more with each restart, which the budget exists to prevent.
 
 use sparscale_entry::limits::RetryBudget;
 
-/// Twenty processes follow each other, each with five first attempts that earn a fifth of a retry.
+/// Twenty processes run one after the other; each makes five first attempts, which earn a fifth of a retry each.
 #[test]
 fn restarts_grant_no_retries() {
     let mut retries = 0;
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -100,8 +100,8 @@
     pub retry_after: Duration,
 }
 
-/// Exponent of the power norm that approximates the largest rank load. With the true maximum all ranks below it would cost
-/// the same, and the next burst would meet uneven loads.
+/// Exponent of the power norm that approximates the largest rank load. With the true maximum all ranks below it would
+/// cost the same, and the next burst would meet uneven loads.
 const NORM_EXPONENT: i32 = 8;
 
 /// Expected load of a group at the time of one decision.
@@ -283,11 +283,11 @@
 
 /// Expected loads of all groups that the targets in `usable` belong to.
 ///
-/// The entry knows its own requests exactly, but reports on those of other entries are late: some of the reported requests
-/// have ended, and as many new ones are assumed to have arrived. Other entries decide by the same rule on nearly the same
-/// reports, so the new requests are distributed over the groups as this entry distributed its own, and inside a group they
-/// fill up the least loaded ranks. Without this estimate, entries with the same reports would all choose the same rank or
-/// group.
+/// The entry knows its own requests exactly, but reports on those of other entries are late: some of the reported
+/// requests have ended, and as many new ones are assumed to have arrived. Other entries decide by the same rule on
+/// nearly the same reports, so the new requests are distributed over the groups as this entry distributed its own, and
+/// inside a group they fill up the least loaded ranks. Without this estimate, entries with the same reports would all
+/// choose the same rank or group.
 fn group_loads(board: &Board, usable: &[TargetKey], now: Duration) -> Vec<GroupLoad> {
     let mut keys: Vec<GroupKey> = Vec::new();
     for key in usable {
@@ -307,8 +307,8 @@
         if own_recent_sends <= 0.0 {
             return group.ended_count;
         }
-        // The reported requests count as one additional request of this entry, which steadies the estimate of an entry that
-        // sends little.
+        // The reported requests count as one additional request of this entry, which steadies the estimate of an entry
+        // that sends little.
         let share = (group.own_recent_sends + group.ended_count / ended_count.max(f64::MIN_POSITIVE))
             / (own_recent_sends + 1.0);
         ended_count * share
