--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -136,8 +136,8 @@
         let displaced = if self.has_headroom() {
             None
         } else {
-            let dropped = self.displace_lower_tier(job.tier);
-            Some(dropped.ok_or(Refusal::Full { retry_after: wait })?)
+            let removed = self.displace_lower_tier(job.tier);
+            Some(removed.ok_or(Refusal::Full { retry_after: wait })?)
         };
         self.push(job);
         Ok(Admission { displaced })
@@ -190,9 +190,9 @@
     /// Expected wait of a new request of `tier`: the queued work at or above that tier, divided by the number of
     /// requests that run at the same time.
     pub fn expected_wait(&self, tier: u8, cost: f64) -> Duration {
-        let ahead: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.cost).sum();
-        let busy = if self.running >= self.limits.running { cost } else { 0.0 };
-        let seconds = (ahead + busy) * self.seconds_per_cost / self.limits.running.max(1) as f64;
+        let ahead_cost: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.cost).sum();
+        let wait_cost = if self.running >= self.limits.running { cost } else { 0.0 };
+        let seconds = (ahead_cost + wait_cost) * self.seconds_per_cost / self.limits.running.max(1) as f64;
         Duration::from_secs_f64(seconds.clamp(0.0, 3_600.0))
     }
 
@@ -225,17 +225,17 @@
     }
 
     fn next_tier(&self) -> Option<u8> {
-        let mut busy = self.tiers.iter().filter(|(_, tier)| !tier.by_finish.is_empty());
-        let highest = busy.next()?;
-        let lowest = busy.next_back().unwrap_or(highest);
-        let floor_due = self.limits.floor_one_in > 0 && self.dispatches_since_floor + 1 >= self.limits.floor_one_in;
-        let chosen = if floor_due { lowest } else { highest };
+        let mut nonempty_tiers = self.tiers.iter().filter(|(_, tier)| !tier.by_finish.is_empty());
+        let highest = nonempty_tiers.next()?;
+        let lowest = nonempty_tiers.next_back().unwrap_or(highest);
+        let is_floor_due = self.limits.floor_one_in > 0 && self.dispatches_since_floor + 1 >= self.limits.floor_one_in;
+        let chosen = if is_floor_due { lowest } else { highest };
         Some(*chosen.0)
     }
 
     fn count_dispatch(&mut self, tier: u8) {
-        let others_wait = self.tiers.range(tier + 1..).any(|(_, tier)| !tier.by_finish.is_empty());
-        self.dispatches_since_floor = if others_wait {
+        let has_lower_tier_jobs = self.tiers.range(tier + 1..).any(|(_, tier)| !tier.by_finish.is_empty());
+        self.dispatches_since_floor = if has_lower_tier_jobs {
             self.dispatches_since_floor + 1
         } else {
             0
--- a/crates/sparscale_board/src/model.rs
+++ b/crates/sparscale_board/src/model.rs
@@ -14,7 +14,7 @@
 /// Linear least-squares fit of step time over the largest rank load, with exponential forgetting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepModel {
-    weight_sum: f64,
+    weight: f64,
     load_sum: f64,
     time_sum: f64,
     load_squared_sum: f64,
@@ -24,7 +24,7 @@
 impl Default for StepModel {
     fn default() -> Self {
         Self {
-            weight_sum: 0.0,
+            weight: 0.0,
             load_sum: 0.0,
             time_sum: 0.0,
             load_squared_sum: 0.0,
@@ -36,7 +36,7 @@
 impl StepModel {
     /// Records a step of `milliseconds` whose most loaded rank ran `load` sequences.
     pub fn observe(&mut self, load: f64, milliseconds: f64) {
-        self.weight_sum = self.weight_sum * RETENTION + 1.0;
+        self.weight = self.weight * RETENTION + 1.0;
         self.load_sum = self.load_sum * RETENTION + load;
         self.time_sum = self.time_sum * RETENTION + milliseconds;
         self.load_squared_sum = self.load_squared_sum * RETENTION + load * load;
@@ -45,25 +45,25 @@
 
     /// Step time added by one more sequence on the most loaded rank, in milliseconds.
     pub fn slope_ms(&self) -> f64 {
-        if self.weight_sum < 2.0 {
+        if self.weight < 2.0 {
             return INITIAL_SLOPE_MS;
         }
-        let mean = self.load_sum / self.weight_sum;
-        let variance = self.load_squared_sum / self.weight_sum - mean * mean;
+        let mean = self.load_sum / self.weight;
+        let variance = self.load_squared_sum / self.weight - mean * mean;
         if variance < MIN_LOAD_VARIANCE {
             return INITIAL_SLOPE_MS;
         }
-        let covariance = self.load_time_sum / self.weight_sum - mean * self.time_sum / self.weight_sum;
+        let covariance = self.load_time_sum / self.weight - mean * self.time_sum / self.weight;
         (covariance / variance).max(0.0)
     }
 
     /// Step time when the most loaded rank runs `load` sequences, in milliseconds.
     pub fn step_ms(&self, load: f64) -> f64 {
-        if self.weight_sum == 0.0 {
+        if self.weight == 0.0 {
             return INITIAL_BASE_MS + INITIAL_SLOPE_MS * load;
         }
-        let mean_load = self.load_sum / self.weight_sum;
-        let mean_time = self.time_sum / self.weight_sum;
+        let mean_load = self.load_sum / self.weight;
+        let mean_time = self.time_sum / self.weight;
         mean_time + self.slope_ms() * (load - mean_load)
     }
 }
@@ -74,7 +74,7 @@
 /// Residence time of requests, with exponential forgetting.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResidenceTimes {
-    weight_sum: f64,
+    weight: f64,
     seconds_sum: f64,
     seconds_squared_sum: f64,
 }
@@ -83,7 +83,7 @@
     /// Records a request that lasted `residence`.
     pub fn observe(&mut self, residence: Duration) {
         let seconds = residence.as_secs_f64();
-        self.weight_sum = self.weight_sum * RETENTION + 1.0;
+        self.weight = self.weight * RETENTION + 1.0;
         self.seconds_sum = self.seconds_sum * RETENTION + seconds;
         self.seconds_squared_sum = self.seconds_squared_sum * RETENTION + seconds * seconds;
     }
@@ -91,7 +91,7 @@
     /// Mean remaining time of a request that is in progress at a random moment, in seconds. Such a request is more
     /// likely to be a long one, so this is the second moment over twice the first.
     pub fn residual_seconds(&self) -> f64 {
-        if self.weight_sum < 2.0 || self.seconds_sum <= 0.0 {
+        if self.weight < 2.0 || self.seconds_sum <= 0.0 {
             return INITIAL_RESIDUAL_SECS;
         }
         self.seconds_squared_sum / (2.0 * self.seconds_sum)
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -227,15 +227,15 @@
     fn score(&self, key: TargetKey, request: &Request) -> Option<ScoredTarget> {
         let target = self.board.target(key)?;
         let answer_tokens = f64::from(request.answer_tokens.max(1));
-        let (requests, step_ms, others_ms_per_token) = match target.rank {
+        let (requests, ms_per_step, others_ms_per_token) = match target.rank {
             Some((group, rank)) => self.rank_costs(group, rank)?,
             None => (target.expected_requests(), SERVICE_STEP_MS, 0.0),
         };
         let own_prefill = (f64::from(request.prompt_tokens) - hit_tokens(target, request, self.now)).max(0.0);
         let prefill_ms = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
         let max_in_flight = f64::from(self.board.max_in_flight_per_target.max(1));
-        let wait_ms = (requests + 1.0 - max_in_flight).max(0.0) / max_in_flight * answer_tokens * step_ms;
-        let steps_ms = answer_tokens * step_ms;
+        let wait_ms = (requests + 1.0 - max_in_flight).max(0.0) / max_in_flight * answer_tokens * ms_per_step;
+        let steps_ms = answer_tokens * ms_per_step;
         let others_ms = others_ms_per_token * answer_tokens;
         let round_trip_ms = target.distance.round_trip_ms();
         Some(ScoredTarget {
