--- a/crates/sparscale_admit/src/ledger.rs
+++ b/crates/sparscale_admit/src/ledger.rs
@@ -67,13 +67,13 @@
 }
 
 #[derive(Debug, Clone)]
-struct Entry {
+struct Record {
     state: State,
     key: Option<Key>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct KeyEntry {
+struct BoundKey {
     attempt: Attempt,
     body: [u8; 32],
 }
@@ -82,10 +82,10 @@
 #[derive(Debug)]
 pub struct Ledger {
     capacity: usize,
-    entries: BTreeMap<Attempt, Entry>,
+    records: BTreeMap<Attempt, Record>,
     by_expiry: BTreeSet<(Duration, Attempt)>,
     counter_floors: HashMap<u64, u64>,
-    keys: HashMap<Key, KeyEntry>,
+    keys: HashMap<Key, BoundKey>,
 }
 
 impl Ledger {
@@ -93,7 +93,7 @@
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            entries: BTreeMap::new(),
+            records: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
             counter_floors: HashMap::new(),
             keys: HashMap::new(),
@@ -102,29 +102,29 @@
 
     /// Number of records.
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.records.len()
     }
 
     /// Whether the ledger has no records.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.records.is_empty()
     }
 
     /// State of `attempt`, if it has a record.
     pub fn state(&self, attempt: Attempt) -> Option<State> {
-        self.entries.get(&attempt).map(|entry| entry.state)
+        self.records.get(&attempt).map(|record| record.state)
     }
 
     /// Registers `attempt` and keeps its record at least until `expires`.
     pub fn enter(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Result<(), Refusal> {
-        if let Some(entry) = self.entries.get(&attempt) {
-            return Err(Refusal::Known { state: entry.state });
+        if let Some(record) = self.records.get(&attempt) {
+            return Err(Refusal::Known { state: record.state });
         }
         if self.is_below_floor(attempt) {
             return Err(Refusal::Forgotten);
         }
         self.expire(now);
-        if self.entries.len() >= self.capacity {
+        if self.records.len() >= self.capacity {
             return Err(Refusal::Full);
         }
         self.insert(attempt, State::Queued, expires);
@@ -140,16 +140,16 @@
                 Keyed::OtherBody
             };
         }
-        if let Some(entry) = self.entries.get_mut(&attempt) {
-            entry.key = Some(key);
-            self.keys.insert(key, KeyEntry { attempt, body });
+        if let Some(record) = self.records.get_mut(&attempt) {
+            record.key = Some(key);
+            self.keys.insert(key, BoundKey { attempt, body });
         }
         Keyed::New
     }
 
     /// The attempt that `key` is bound to.
     pub fn bound(&self, key: &Key) -> Option<Attempt> {
-        self.keys.get(key).map(|entry| entry.attempt)
+        self.keys.get(key).map(|record| record.attempt)
     }
 
     /// Records that `attempt` is about to be forwarded. Returns false if it must not be, because it is not queued.
@@ -185,7 +185,7 @@
             return None;
         }
         self.expire(now);
-        if self.entries.len() >= self.capacity {
+        if self.records.len() >= self.capacity {
             return None;
         }
         self.insert(attempt, State::Tombstone, expires);
@@ -193,9 +193,9 @@
     }
 
     /// Attempts that were forwarded and have not ended.
-    pub fn running(&self) -> impl Iterator<Item = Attempt> {
-        let running = |(attempt, entry): (&Attempt, &Entry)| (entry.state == State::Running).then_some(*attempt);
-        self.entries.iter().filter_map(running)
+    pub fn running_attempts(&self) -> impl Iterator<Item = Attempt> {
+        let running = |(attempt, record): (&Attempt, &Record)| (record.state == State::Running).then_some(*attempt);
+        self.records.iter().filter_map(running)
     }
 
     /// Evicts records whose time has passed and raises the floors of their senders above them.
@@ -218,10 +218,10 @@
     }
 
     fn evict(&mut self, attempt: Attempt) {
-        let Some(entry) = self.entries.remove(&attempt) else {
+        let Some(record) = self.records.remove(&attempt) else {
             return;
         };
-        if let Some(key) = entry.key {
+        if let Some(key) = record.key {
             self.keys.remove(&key);
         }
         let floor = self.counter_floors.entry(attempt.sender).or_default();
@@ -230,22 +230,22 @@
 
     /// Unbinds the key of an attempt that was not run, so that another attempt may use it.
     fn release_key(&mut self, attempt: Attempt) {
-        let key = self.entries.get_mut(&attempt).and_then(|entry| entry.key.take());
+        let key = self.records.get_mut(&attempt).and_then(|record| record.key.take());
         if let Some(key) = key {
             self.keys.remove(&key);
         }
     }
 
     fn insert(&mut self, attempt: Attempt, state: State, expires: Duration) {
-        let entry = Entry { state, key: None };
+        let record = Record { state, key: None };
         self.by_expiry.insert((expires, attempt));
-        self.entries.insert(attempt, entry);
+        self.records.insert(attempt, record);
     }
 
     fn transition(&mut self, attempt: Attempt, from: State, to: State) -> bool {
-        match self.entries.get_mut(&attempt) {
-            Some(entry) if entry.state == from => {
-                entry.state = to;
+        match self.records.get_mut(&attempt) {
+            Some(record) if record.state == from => {
+                record.state = to;
                 true
             }
             _ => false,
--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -69,8 +69,8 @@
 pub struct Queue<K> {
     limits: Limits,
     tiers: BTreeMap<u8, Tier<K>>,
-    waiting: usize,
-    running: usize,
+    queued_count: usize,
+    running_count: usize,
     dispatches_since_floor: u32,
     /// Smoothed running time per unit of cost, in seconds.
     seconds_per_cost: f64,
@@ -82,7 +82,7 @@
     /// Workspaces with queued requests, by virtual finish time.
     by_finish: BTreeSet<(VirtualTime, String)>,
     virtual_now: VirtualTime,
-    cost: f64,
+    queued_cost: f64,
 }
 
 #[derive(Debug)]
@@ -100,8 +100,8 @@
         Self {
             limits,
             tiers: BTreeMap::new(),
-            waiting: 0,
-            running: 0,
+            queued_count: 0,
+            running_count: 0,
             dispatches_since_floor: 0,
             seconds_per_cost: 0.0,
         }
@@ -114,23 +114,23 @@
 
     /// Number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.waiting
+        self.queued_count
     }
 
     /// Number of running requests.
     pub fn running(&self) -> usize {
-        self.running
+        self.running_count
     }
 
     /// Whether the target runs as many requests as it may.
     pub fn is_busy(&self) -> bool {
-        self.running >= self.limits.running
+        self.running_count >= self.limits.running
     }
 
     /// Queues `job`, or rejects it immediately.
     pub fn offer(&mut self, job: Job<K>, now: Duration) -> Result<Admission<K>, Refusal> {
         let wait = self.expected_wait(job.tier, job.cost);
-        if self.running >= self.limits.running && now + wait >= job.deadline {
+        if self.running_count >= self.limits.running && now + wait >= job.deadline {
             return Err(Refusal::TooLate { retry_after: wait });
         }
         let displaced = if self.has_headroom() {
@@ -146,7 +146,7 @@
     /// Removes and returns the request that runs next, if the target may run another one. Requests whose deadline has
     /// passed are added to `expired`.
     pub fn next(&mut self, now: Duration, expired: &mut Vec<K>) -> Option<Job<K>> {
-        while self.running < self.limits.running {
+        while self.running_count < self.limits.running {
             let tier = self.next_tier()?;
             let job = self.pop(tier)?;
             if job.deadline <= now {
@@ -154,7 +154,7 @@
                 continue;
             }
             self.count_dispatch(tier);
-            self.running += 1;
+            self.running_count += 1;
             return Some(job);
         }
         None
@@ -162,7 +162,7 @@
 
     /// Records the end of a request that ran for `residence` with expected work `cost`.
     pub fn finished(&mut self, cost: f64, residence: Duration) {
-        self.running = self.running.saturating_sub(1);
+        self.running_count = self.running_count.saturating_sub(1);
         let observed = residence.as_secs_f64() / cost.max(1.0);
         if self.seconds_per_cost == 0.0 {
             self.seconds_per_cost = observed;
@@ -172,15 +172,15 @@
 
     /// Records that a request returned by [`Queue::next`] did not run.
     pub fn gave_up_place(&mut self) {
-        self.running = self.running.saturating_sub(1);
+        self.running_count = self.running_count.saturating_sub(1);
     }
 
     /// Removes a queued request; returns false if it is not queued.
     pub fn remove(&mut self, key: &K) -> bool {
         for tier in self.tiers.values_mut() {
             if let Some(cost) = tier.remove(key) {
-                tier.cost -= cost;
-                self.waiting -= 1;
+                tier.queued_cost -= cost;
+                self.queued_count -= 1;
                 return true;
             }
         }
@@ -190,14 +190,18 @@
     /// Expected wait of a new request of `tier`: the queued work at or above that tier, divided by the number of
     /// requests that run at the same time.
     pub fn expected_wait(&self, tier: u8, cost: f64) -> Duration {
-        let ahead_cost: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.cost).sum();
-        let wait_cost = if self.running >= self.limits.running { cost } else { 0.0 };
+        let ahead_cost: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.queued_cost).sum();
+        let wait_cost = if self.running_count >= self.limits.running {
+            cost
+        } else {
+            0.0
+        };
         let seconds = (ahead_cost + wait_cost) * self.seconds_per_cost / self.limits.running.max(1) as f64;
         Duration::from_secs_f64(seconds.clamp(0.0, 3_600.0))
     }
 
     fn has_headroom(&self) -> bool {
-        self.waiting < self.limits.waiting || self.running < self.limits.running
+        self.queued_count < self.limits.waiting || self.running_count < self.limits.running
     }
 
     /// Removes the newest request of the lowest tier below `tier`, to make headroom for one of `tier`.
@@ -209,18 +213,18 @@
             .find(|(_, tier)| !tier.by_finish.is_empty());
         let lowest = below.map(|(index, _)| *index)?;
         let job = self.tiers.get_mut(&lowest)?.drop_newest()?;
-        self.waiting -= 1;
+        self.queued_count -= 1;
         Some(job.key)
     }
 
     fn push(&mut self, job: Job<K>) {
-        self.waiting += 1;
+        self.queued_count += 1;
         self.tiers.entry(job.tier).or_insert_with(Tier::new).push(job);
     }
 
     fn pop(&mut self, tier: u8) -> Option<Job<K>> {
         let job = self.tiers.get_mut(&tier)?.pop()?;
-        self.waiting -= 1;
+        self.queued_count -= 1;
         Some(job)
     }
 
@@ -249,12 +253,12 @@
             workspaces: BTreeMap::new(),
             by_finish: BTreeSet::new(),
             virtual_now: 0,
-            cost: 0.0,
+            queued_cost: 0.0,
         }
     }
 
     fn push(&mut self, job: Job<K>) {
-        self.cost += job.cost;
+        self.queued_cost += job.cost;
         let name = job.workspace.clone();
         let workspace = self.workspaces.entry(name.clone()).or_insert_with(|| WorkspaceQueue {
             jobs: VecDeque::new(),
@@ -273,7 +277,7 @@
         self.virtual_now = finish;
         let workspace = self.workspaces.get_mut(&name)?;
         let job = workspace.jobs.pop_front()?;
-        self.cost -= job.cost;
+        self.queued_cost -= job.cost;
         workspace.virtual_finish = finish + virtual_cost(&job);
         if workspace.jobs.is_empty() {
             self.evict_idle_workspaces();
@@ -290,7 +294,7 @@
         self.workspaces
             .retain(|_, workspace| !workspace.jobs.is_empty() || workspace.virtual_finish > now);
         if self.by_finish.is_empty() {
-            self.cost = 0.0;
+            self.queued_cost = 0.0;
         }
     }
 
@@ -315,7 +319,7 @@
         if workspace.jobs.is_empty() {
             self.by_finish.remove(&(finish, name));
         }
-        self.cost -= job.cost;
+        self.queued_cost -= job.cost;
         Some(job)
     }
 }
--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -75,9 +75,9 @@
     /// Time of the latest step, in milliseconds.
     pub step_ms: f64,
     /// Number of the current expert map.
-    pub map: u64,
+    pub map_number: u64,
     /// Whether the agent rejects new work because it drains or its target does not listen.
-    pub closed: bool,
+    pub is_closed: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -105,14 +105,14 @@
     /// Prompt prefixes that it probably has in its cache.
     pub hints: PrefixHints,
     /// Counter of this entry's last request to it.
-    pub last_sent: u64,
+    pub last_sent_counter: u64,
     /// Not used before this time, because its agent could not be reached.
     avoid_until: Duration,
     /// Not used before this time, because its agent rejects all work.
     rejecting_until: Duration,
     reported_at: Option<Duration>,
     /// Requests of this entry that have not ended.
-    sent: VecDeque<SentRequest>,
+    in_flight: VecDeque<SentRequest>,
     consecutive_failures: u32,
 }
 
@@ -248,27 +248,28 @@
     }
 
     fn replace_targets(&mut self, fleet: &Fleet) {
-        let listed: HashSet<&str> = fleet.targets.iter().map(|target| target.name.as_str()).collect();
-        self.targets.retain(|_, target| listed.contains(target.name.as_str()));
+        let listed_names: HashSet<&str> = fleet.targets.iter().map(|target| target.name.as_str()).collect();
+        self.targets
+            .retain(|_, target| listed_names.contains(target.name.as_str()));
         let targets = &self.targets;
         self.by_name.retain(|_, key| targets.contains_key(*key));
-        for described in &fleet.targets {
-            let key = self.by_name.get(&described.name).copied().unwrap_or_else(|| {
+        for fleet_target in &fleet.targets {
+            let key = self.by_name.get(&fleet_target.name).copied().unwrap_or_else(|| {
                 self.targets.insert(Target {
-                    name: described.name.clone(),
+                    name: fleet_target.name.clone(),
                     ..Target::default()
                 })
             });
-            self.by_name.insert(described.name.clone(), key);
+            self.by_name.insert(fleet_target.name.clone(), key);
             if let Some(target) = self.targets.get_mut(key) {
-                target.distance = distance(fleet, &self.hall, &described.hall);
+                target.distance = distance(fleet, &self.hall, &fleet_target.hall);
                 target.rank = None;
             }
         }
     }
 
     fn replace_groups(&mut self, fleet: &Fleet) {
-        let known: HashMap<String, StepModel> = self
+        let step_models: HashMap<String, StepModel> = self
             .groups
             .values()
             .map(|group| (group.name.clone(), group.step_model))
@@ -280,7 +281,7 @@
                 name: group.name.clone(),
                 model: group.model.clone(),
                 ranks: ranks.clone(),
-                step_model: known.get(&group.name).copied().unwrap_or_default(),
+                step_model: step_models.get(&group.name).copied().unwrap_or_default(),
                 sends: RecentSends::default(),
             });
             for (index, rank) in ranks.into_iter().enumerate() {
@@ -292,9 +293,9 @@
     }
 
     /// Applies the box list, given as address and standing by target name; a target that is not in it becomes absent.
-    pub fn apply_listed(&mut self, listed: &HashMap<String, (SocketAddr, Standing)>) {
+    pub fn apply_listed(&mut self, box_list: &HashMap<String, (SocketAddr, Standing)>) {
         for target in self.targets.values_mut() {
-            let (address, standing) = match listed.get(&target.name) {
+            let (address, standing) = match box_list.get(&target.name) {
                 Some((address, standing)) => (Some(*address), *standing),
                 None => (target.address, Standing::Absent),
             };
@@ -336,15 +337,15 @@
             return;
         };
         target.hints.record(blocks, now);
-        target.last_sent = counter;
+        target.last_sent_counter = counter;
         let group = target.rank.map(|(group, _)| group);
-        target.sent.push_back(SentRequest {
+        target.in_flight.push_back(SentRequest {
             counter,
             prefill_tokens,
             sent_at: now,
         });
-        if target.sent.len() > MAX_TRACKED_REQUESTS {
-            target.sent.pop_front();
+        if target.in_flight.len() > MAX_TRACKED_REQUESTS {
+            target.in_flight.pop_front();
         }
         if let Some(group) = group.and_then(|key| self.groups.get_mut(key)) {
             group.sends = RecentSends {
@@ -359,11 +360,11 @@
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let Some(index) = target.sent.iter().position(|sent| sent.counter == counter) else {
+        let Some(index) = target.in_flight.iter().position(|request| request.counter == counter) else {
             return;
         };
-        if let Some(sent) = target.sent.remove(index) {
-            self.residence_times.observe(now.saturating_sub(sent.sent_at));
+        if let Some(request) = target.in_flight.remove(index) {
+            self.residence_times.observe(now.saturating_sub(request.sent_at));
         }
     }
 
@@ -400,12 +401,12 @@
         let step_ms = target.load.step_ms;
         let Some(members) = self.groups.get(group) else { return };
         let loads = members.ranks.iter().filter_map(|rank| self.targets.get(*rank));
-        let largest = loads.map(|rank| rank.load.running).max().unwrap_or(0);
+        let largest_load = loads.map(|rank| rank.load.running).max().unwrap_or(0);
         if step_ms <= 0.0 {
             return;
         }
         if let Some(group) = self.groups.get_mut(group) {
-            group.step_model.observe(f64::from(largest), step_ms);
+            group.step_model.observe(f64::from(largest_load), step_ms);
         }
     }
 }
@@ -413,7 +414,7 @@
 impl Target {
     /// Requests of this entry that have not ended; known without delay.
     pub fn own_requests(&self) -> f64 {
-        self.sent.len() as f64
+        self.in_flight.len() as f64
     }
 
     /// Last reported requests of other entries; none before the first report.
@@ -425,8 +426,8 @@
 
     /// Age of the last report, including its assumed delivery time.
     pub fn report_age(&self, now: Duration) -> Duration {
-        let reported = self.reported_at.unwrap_or_default();
-        now.saturating_sub(reported) + REPORT_LAG
+        let reported_at = self.reported_at.unwrap_or_default();
+        now.saturating_sub(reported_at) + REPORT_LAG
     }
 
     /// Requests at the target or on their way to it, for a target that is not part of a group.
@@ -436,14 +437,14 @@
 
     /// Prompt tokens waiting for prefill, including those of requests that this entry has sent since the report.
     pub fn expected_prefill(&self) -> f64 {
-        let unseen = self.sent.iter().filter(|sent| sent.counter > self.load.seen);
-        let unseen: u32 = unseen.map(|sent| sent.prefill_tokens).sum();
-        f64::from(self.load.prefill_tokens + unseen)
+        let unreported = self.in_flight.iter().filter(|request| request.counter > self.load.seen);
+        let unreported: u32 = unreported.map(|request| request.prefill_tokens).sum();
+        f64::from(self.load.prefill_tokens + unreported)
     }
 
     /// Whether new work may be sent to the target now.
     pub fn accepts_work(&self, now: Duration) -> bool {
-        self.standing == Standing::Live && !self.load.closed && self.address.is_some() && now >= self.usable_at()
+        self.standing == Standing::Live && !self.load.is_closed && self.address.is_some() && now >= self.usable_at()
     }
 
     /// Time from which a target that failed or rejected work may be used again.
--- a/crates/sparscale_entry/src/api.rs
+++ b/crates/sparscale_entry/src/api.rs
@@ -44,7 +44,7 @@
     pub(crate) in_flight: InFlight,
     pub(crate) max_body_bytes: usize,
     pub(crate) ticket_lifetime: Duration,
-    pub(crate) stopping: AtomicBool,
+    pub(crate) is_stopping: AtomicBool,
 }
 
 /// How much of a response is read before the caller receives any of it.
@@ -137,7 +137,7 @@
 async fn readiness(context: Context) -> HandlerResult {
     let api = context.context();
     let mut response = Response::new(Body::from("ready\n"));
-    if api.stopping.load(Ordering::Relaxed) || api.journal.in_force().is_none() {
+    if api.is_stopping.load(Ordering::Relaxed) || api.journal.in_force().is_none() {
         response = Response::new(Body::from("not ready\n"));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
@@ -147,14 +147,14 @@
 /// Description of all endpoints.
 pub(crate) fn description() -> Result<ApiDescription<Arc<Api>>, String> {
     let mut api = ApiDescription::new();
-    let registered = api
+    let registration = api
         .register(complete)
         .and_then(|()| api.register(call_service))
         .and_then(|()| api.register(issue_ticket))
         .and_then(|()| api.register(ask_about))
         .and_then(|()| api.register(health))
         .and_then(|()| api.register(readiness));
-    registered.map_err(|error| error.to_string())?;
+    registration.map_err(|error| error.to_string())?;
     Ok(api)
 }
 
@@ -168,13 +168,13 @@
         let caller = self.admit_caller(headers)?;
         let body = self.read_body(body).await?;
         let request = completion::Request::parse(&body).map_err(|error| bad_request(&error.to_string()))?;
-        let known = caller
+        let is_known = caller
             .bundle
             .fleet()
             .models
             .iter()
             .any(|model| model.name == request.model);
-        if !known {
+        if !is_known {
             return Err(not_found(&format!("no model is called {}", request.model)));
         }
         let prompt = request.prompt();
@@ -197,8 +197,8 @@
         if request.stream {
             // The headers are sent with the first token; until then a broken response can be restarted on another
             // target.
-            let (stream, first) = self.read_response(&job, ReadExtent::FirstChunk).await?;
-            return Ok(stream_response(stream, &first, caller.guard));
+            let (stream, first_chunks) = self.read_response(&job, ReadExtent::FirstChunk).await?;
+            return Ok(stream_response(stream, &first_chunks, caller.guard));
         }
         let (stream, chunks) = self.read_response(&job, ReadExtent::Whole).await?;
         let text = response_text(&chunks)?;
@@ -298,12 +298,12 @@
             expires: ticket::unix_seconds(SystemTime::now()) + lifetime,
             nonce: rand::random(),
         };
-        let answer = TicketResponse {
+        let response = TicketResponse {
             ticket: self.dispatcher.seal.issue_ticket(&ticket),
             expires_in_seconds: lifetime,
         };
         // Serializing plain data into memory cannot fail.
-        Ok(json_response(serde_json::to_string(&answer).unwrap_or_default()))
+        Ok(json_response(serde_json::to_string(&response).unwrap_or_default()))
     }
 
     async fn ask_about(&self, headers: &HeaderMap, id: &str) -> Result<Response<Body>, Problem> {
@@ -372,10 +372,10 @@
 
     async fn read_body(&self, body: StreamingBody) -> Result<Bytes, Problem> {
         let mut buffered = BytesMut::new();
-        let mut pieces = std::pin::pin!(body.into_stream());
-        while let Some(piece) = pieces.next().await {
-            let piece = piece.map_err(|error| bad_request(&error.external_message))?;
-            buffered.extend_from_slice(&piece);
+        let mut body_chunks = std::pin::pin!(body.into_stream());
+        while let Some(chunk) = body_chunks.next().await {
+            let chunk = chunk.map_err(|error| bad_request(&error.external_message))?;
+            buffered.extend_from_slice(&chunk);
             if buffered.len() > self.max_body_bytes {
                 let detail = format!("a body has at most {} bytes", self.max_body_bytes);
                 return Err(Problem::not_run(
--- a/crates/sparscale_entry/src/binding.rs
+++ b/crates/sparscale_entry/src/binding.rs
@@ -34,8 +34,8 @@
     }
 
     fn bind_by_ticket(&self, job: &mut Job, service: &str, key: &str) -> Result<(), Problem> {
-        let opened = self.dispatcher.seal.open_ticket(key, SystemTime::now());
-        let ticket = match opened {
+        let open_result = self.dispatcher.seal.open_ticket(key, SystemTime::now());
+        let ticket = match open_result {
             Ok(ticket) => ticket,
             Err(ticket::Error::Expired) => {
                 return Err(Problem::unknown(
@@ -83,11 +83,11 @@
             incarnation,
             body: job.call.digest(),
         };
-        let submitted = self
+        let append_result = self
             .journal
             .submit(RecordBody::Bind(binding.clone()), BIND_TIMEOUT)
             .await;
-        match submitted {
+        match append_result {
             Ok(receipt) if receipt.verdict == Verdict::Accepted => Ok(binding),
             Ok(_) => {
                 let winner = self.journal.with_state(|state| state.binding(&key).cloned());
--- a/crates/sparscale_entry/src/board_control.rs
+++ b/crates/sparscale_entry/src/board_control.rs
@@ -50,8 +50,8 @@
     pub(crate) fn subset(&self, board: &Board, pool: &str, all: &[TargetKey], limit: usize) -> Subset {
         let mut subsets = self.subsets.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = self.entry.as_str();
-        let known = subsets.entry(pool.to_owned());
-        known.or_insert_with(|| subset(board, entry, all, limit)).clone()
+        let cached = subsets.entry(pool.to_owned());
+        cached.or_insert_with(|| subset(board, entry, all, limit)).clone()
     }
 
     fn clear_subsets(&self) {
@@ -111,8 +111,8 @@
     let watched: Watched = Arc::default();
     loop {
         let wanted = targets_to_watch(&board);
-        let new = update_watched(&watched, &wanted);
-        for (key, address) in new {
+        let new_targets = update_watched(&watched, &wanted);
+        for (key, address) in new_targets {
             let watch = LoadWatch {
                 board: Arc::clone(&board),
                 watched: Arc::clone(&watched),
@@ -138,10 +138,10 @@
 fn update_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
     let mut watched = watched.lock().unwrap_or_else(PoisonError::into_inner);
     watched.retain(|key, address| wanted.get(key) == Some(address));
-    let new = wanted.iter().filter(|(key, _)| !watched.contains_key(*key));
-    let new: Vec<(TargetKey, SocketAddr)> = new.map(|(key, address)| (*key, *address)).collect();
-    watched.extend(new.iter().copied());
-    new
+    let new_targets = wanted.iter().filter(|(key, _)| !watched.contains_key(*key));
+    let new_targets: Vec<(TargetKey, SocketAddr)> = new_targets.map(|(key, address)| (*key, *address)).collect();
+    watched.extend(new_targets.iter().copied());
+    new_targets
 }
 
 /// Selects the targets to watch: those used last, then the nearest of those never used.
@@ -151,7 +151,7 @@
     let mut ranked: Vec<_> = live
         .filter_map(|(key, target)| {
             Some((
-                std::cmp::Reverse(target.last_sent),
+                std::cmp::Reverse(target.last_sent_counter),
                 target.distance,
                 key,
                 target.address?,
@@ -225,7 +225,7 @@
         own: load.own,
         prefill_tokens: load.prefill_tokens,
         step_ms: f64::from(load.step_micros) / 1_000.0,
-        map: load.map,
-        closed: load.closed,
+        map_number: load.map,
+        is_closed: load.closed,
     }
 }
--- a/crates/sparscale_entry/src/dispatch.rs
+++ b/crates/sparscale_entry/src/dispatch.rs
@@ -107,7 +107,7 @@
                 self.quarantine.record_end(job, &sent).await;
             }
             let problem = match outcome {
-                SendOutcome::Responding(live) => return Ok(*live),
+                SendOutcome::Responding(stream) => return Ok(*stream),
                 SendOutcome::Refused(refusal) => self.handle_refusal(job, &sent, &refusal)?,
                 SendOutcome::NotRun => unreachable_target(),
                 // A repeatable request whose response has not begun may be retried, on the same target if no other is
@@ -164,7 +164,7 @@
             attempt,
             incarnation: target.load.incarnation,
         };
-        let map = target.load.map;
+        let map = target.load.map_number;
         let candidates = candidate_lines(&board, &decision);
         drop(board);
         log_route(job, &sent, &decision, &candidates, version, map);
@@ -205,9 +205,9 @@
         let board = self.board.lock();
         let candidates = self.candidates(&board, job)?;
         // A key can only be bound to a target whose incarnation has been reported.
-        let reported = |key: &TargetKey| board.target(*key).is_some_and(|target| target.load.incarnation != 0);
-        let reported: Vec<TargetKey> = candidates.into_iter().filter(reported).collect();
-        let decision = choose(&board, &reported, &job.route, Rule::GroupCost, now, &mut rand::rng());
+        let has_incarnation = |key: &TargetKey| board.target(*key).is_some_and(|target| target.load.incarnation != 0);
+        let bindable: Vec<TargetKey> = candidates.into_iter().filter(has_incarnation).collect();
+        let decision = choose(&board, &bindable, &job.route, Rule::GroupCost, now, &mut rand::rng());
         let decision = decision.map_err(|error| no_target(error.retry_after))?;
         let target = board.target(decision.target).ok_or_else(unreachable_target)?;
         Ok((target.name.clone(), target.load.incarnation))
@@ -236,8 +236,8 @@
         // Until the response begins, this future is dropped only if the caller disconnects.
         let guard = CancelGuard::new(self, sent);
         loop {
-            let received = tokio::time::timeout_at(job.deadline, channel.receiver.receive()).await;
-            let frame = match received {
+            let receive_result = tokio::time::timeout_at(job.deadline, channel.receiver.receive()).await;
+            let frame = match receive_result {
                 Ok(Ok(frame)) => frame,
                 Ok(Err(error)) => {
                     self.record_failure(sent, &error);
@@ -255,9 +255,9 @@
                     self.board.lock().record_response(sent.target);
                     self.record_load(sent, &head.load);
                     guard.disarm();
-                    let live =
+                    let stream =
                         ResponseStream::new(Arc::clone(self), Arc::clone(job), sent.clone(), assembly, channel, head);
-                    return SendOutcome::Responding(Box::new(live));
+                    return SendOutcome::Responding(Box::new(stream));
                 }
                 Step::Refused(refusal) => {
                     self.record_load(sent, &refusal.load);
@@ -301,8 +301,8 @@
 
     /// Opens a stream that repeats the response from chunk `from` on.
     pub(crate) async fn resume(&self, sent: &SentAttempt, from: u64) -> Result<Channel, StreamError> {
-        let opened = self.endpoint.open(sent.address, Role::Agent).await;
-        let mut channel = opened.map_err(|_unreachable| StreamError::Ended)?;
+        let open_result = self.endpoint.open(sent.address, Role::Agent).await;
+        let mut channel = open_result.map_err(|_unreachable| StreamError::Ended)?;
         let attempt = sent.attempt;
         channel.sender.send(&Frame::Ask(Ask::Resume { attempt, from })).await?;
         channel.sender.finish();
@@ -311,12 +311,12 @@
 
     /// Queries the agent at `address` for the outcome of `attempt`, which was sent to its incarnation `incarnation`.
     pub(crate) async fn settle(&self, address: SocketAddr, attempt: AttemptId, incarnation: u64) -> Settlement {
-        let queried = tokio::time::timeout(
+        let query_result = tokio::time::timeout(
             SETTLE_TIMEOUT,
             self.query_settlement(address, Ask::Settle { attempt, incarnation }),
         )
         .await;
-        queried.ok().flatten().unwrap_or(Settlement::Unknown)
+        query_result.ok().flatten().unwrap_or(Settlement::Unknown)
     }
 
     async fn query_settlement(&self, address: SocketAddr, ask: Ask) -> Option<Settlement> {
@@ -333,8 +333,8 @@
         let dispatcher = Arc::clone(self);
         let sent = sent.clone();
         tokio::spawn(async move {
-            let cancelled = tokio::time::timeout(CANCEL_TIMEOUT, dispatcher.cancel(&sent)).await;
-            if cancelled.is_err() {
+            let cancel_result = tokio::time::timeout(CANCEL_TIMEOUT, dispatcher.cancel(&sent)).await;
+            if cancel_result.is_err() {
                 log::info!(attempt = sent.attempt.to_string().as_str(); "cancelling the attempt of a disconnected caller timed out");
             }
         });
@@ -371,9 +371,9 @@
     }
 
     /// Avoids the target of a broken response for a while.
-    pub(crate) fn avoid(&self, live: &ResponseStream) {
+    pub(crate) fn avoid(&self, stream: &ResponseStream) {
         let now = self.board.now();
-        self.board.lock().record_failure(live.target(), now);
+        self.board.lock().record_failure(stream.target(), now);
     }
 
     fn record_failure(&self, sent: &SentAttempt, error: &dyn std::error::Error) {
@@ -419,7 +419,7 @@
 struct CancelGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     sent: &'a SentAttempt,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl<'a> CancelGuard<'a> {
@@ -427,18 +427,18 @@
         Self {
             dispatcher,
             sent,
-            armed: true,
+            is_armed: true,
         }
     }
 
     fn disarm(mut self) {
-        self.armed = false;
+        self.is_armed = false;
     }
 }
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if self.armed {
+        if self.is_armed {
             self.dispatcher.cancel_in_background(self.sent);
         }
     }
--- a/crates/sparscale_entry/src/duty.rs
+++ b/crates/sparscale_entry/src/duty.rs
@@ -61,14 +61,14 @@
             self.last_fence = fence;
             self.last_seen = Instant::now();
         }
-        let live: Vec<Node> = boxes
+        let live_nodes: Vec<Node> = boxes
             .live()
             .into_iter()
             .filter(|node| node.role == Role::Entry)
             .collect();
-        let candidate_index = self.candidate_index(&live, holder.as_ref())?;
+        let candidate_index = self.candidate_index(&live_nodes, holder.as_ref())?;
         if let Some(holder) = &holder
-            && self.holder_responds(holder, &live, endpoint).await
+            && self.holder_responds(holder, &live_nodes, endpoint).await
         {
             self.last_seen = Instant::now();
             return None;
@@ -89,9 +89,9 @@
     }
 
     /// Index of this entry among the candidates; none if it is not a candidate.
-    fn candidate_index(&self, live: &[Node], holder: Option<&Holder>) -> Option<u32> {
+    fn candidate_index(&self, live_nodes: &[Node], holder: Option<&Holder>) -> Option<u32> {
         let is_own_earlier_run = holder.is_some_and(|holder| holder.node == self.node);
-        let candidates = live
+        let candidates = live_nodes
             .iter()
             .filter(|node| is_own_earlier_run || holder.is_none_or(|holder| holder.node != node.name));
         let mut names: Vec<&str> = candidates.map(|node| node.name.as_str()).collect();
@@ -101,12 +101,12 @@
     }
 
     /// Whether the holder responds and is still the incarnation that claimed.
-    async fn holder_responds(&self, holder: &Holder, live: &[Node], endpoint: &Endpoint) -> bool {
-        let Some(node) = live.iter().find(|node| node.name == holder.node) else {
+    async fn holder_responds(&self, holder: &Holder, live_nodes: &[Node], endpoint: &Endpoint) -> bool {
+        let Some(node) = live_nodes.iter().find(|node| node.name == holder.node) else {
             return false;
         };
-        let pinged = tokio::time::timeout(PING_TIMEOUT, ping(endpoint, node)).await;
-        pinged.ok().flatten() == Some(holder.incarnation)
+        let ping_result = tokio::time::timeout(PING_TIMEOUT, ping(endpoint, node)).await;
+        ping_result.ok().flatten() == Some(holder.incarnation)
     }
 
     async fn claim(&mut self, journal: &Arc<Journal>, over: u64) -> Option<u64> {
@@ -117,9 +117,9 @@
             incarnation: self.incarnation,
             over,
         };
-        let submitted = journal.submit(Body::Claim(claim), CLAIM_TIMEOUT).await;
-        log::info!(target: DECISION, decision = "claim", duty:? = self.duty, over, result:? = submitted; "claimed a duty");
-        match submitted {
+        let append_result = journal.submit(Body::Claim(claim), CLAIM_TIMEOUT).await;
+        log::info!(target: DECISION, decision = "claim", duty:? = self.duty, over, result:? = append_result; "claimed a duty");
+        match append_result {
             Ok(receipt) if receipt.verdict == Verdict::Accepted => Some(receipt.offset + 1),
             _ => None,
         }
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -133,15 +133,15 @@
         let decide_at = Instant::now() + Duration::from_secs_f64(decide_after);
         let mut probe = Probe::default();
         let mut arming_since = None;
-        let mut last = Progress::Enlisting;
+        let mut last_progress = Progress::Enlisting;
         loop {
-            if last != Progress::Done || !self.is_advancing(&mut probe, state).await {
+            if last_progress != Progress::Done || !self.is_advancing(&mut probe, state).await {
                 self.run_round(&mut coordinator, state).await;
             }
             let progress = coordinator.progress();
-            if progress != last {
+            if progress != last_progress {
                 log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "progress of the map switch");
-                last = progress;
+                last_progress = progress;
             }
             match progress {
                 Progress::Overtaken | Progress::Stuck => return progress,
@@ -180,26 +180,26 @@
             fence: self.fence,
             act: Act::Enlist,
         };
-        let Some(report) = self.send(rank, order).await else {
+        let Some(report) = self.send_order(rank, order).await else {
             return false;
         };
-        let advanced = report.step > probe.step;
+        let has_advanced = report.step > probe.step;
         probe.step = report.step;
-        let on_goal = report
+        let is_on_goal = report
             .plan
             .is_some_and(|plan| plan.number == state.map_number && plan.next.is_none());
-        advanced && on_goal && report.fence == self.fence
+        has_advanced && is_on_goal && report.fence == self.fence
     }
 
     /// Sends each rank its next order and records the reports.
     async fn run_round(&self, coordinator: &mut Coordinator, state: &GroupState) {
         coordinator.abandon_missed_attempt();
         let orders = coordinator.orders();
-        let sent = orders
+        let reports = orders
             .into_iter()
             .zip(&state.group.ranks)
-            .map(|(order, rank)| self.send(rank, order));
-        for (rank, report) in join_all(sent).await.into_iter().enumerate() {
+            .map(|(order, rank)| self.send_order(rank, order));
+        for (rank, report) in join_all(reports).await.into_iter().enumerate() {
             match report {
                 Some(report) => coordinator.record_report(rank, report),
                 None => coordinator.discard_report(rank),
@@ -207,7 +207,7 @@
         }
     }
 
-    async fn send(&self, rank: &str, order: Order) -> Option<Report> {
+    async fn send_order(&self, rank: &str, order: Order) -> Option<Report> {
         let ask = Ask::Order {
             group: self.group.clone(),
             order,
@@ -238,7 +238,7 @@
 
     /// Updates the expert counts, decides on a map, and appends it to the log if it is new.
     async fn decide_and_append(&mut self, state: &GroupState) {
-        self.count(state).await;
+        self.update_counts(state).await;
         let Some(counting) = &self.counting else { return };
         let costs = costs(state);
         let started_at = Instant::now();
@@ -251,11 +251,11 @@
             base: state.map_number,
             map,
         };
-        let submitted = self.context.journal.submit(Body::Map(change), MAP_APPEND_TIMEOUT).await;
-        log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = submitted; "appended a map to the log");
+        let append_result = self.context.journal.submit(Body::Map(change), MAP_APPEND_TIMEOUT).await;
+        log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = append_result; "appended a map to the log");
     }
 
-    async fn count(&mut self, state: &GroupState) {
+    async fn update_counts(&mut self, state: &GroupState) {
         let new_counting = || Counting {
             counts: TokenCounts::new(state.shape, Duration::from_secs_f64(state.placement.half_life_seconds)),
             last_counts: vec![None; state.group.ranks.len()],
@@ -269,12 +269,12 @@
             .unwrap_or_else(new_counting);
         let elapsed = counting.updated_at.elapsed();
         counting.updated_at = Instant::now();
-        let mut sum = vec![0.0; state.shape.layers * state.shape.experts];
+        let mut new_tokens = vec![0.0; state.shape.layers * state.shape.experts];
         for (rank, tokens) in self.query_counts(state, &mut counting.next_rank).await {
-            let before = counting.last_counts[rank].replace(tokens.clone());
-            add_new_tokens(&mut sum, &tokens, before.as_deref());
+            let previous = counting.last_counts[rank].replace(tokens.clone());
+            add_new_tokens(&mut new_tokens, &tokens, previous.as_deref());
         }
-        counting.counts.observe(&sum, elapsed);
+        counting.counts.observe(&new_tokens, elapsed);
         self.counting = Some(counting);
     }
 
@@ -285,11 +285,11 @@
             .map(|step| (*next_rank + step) % ranks.len())
             .collect();
         *next_rank = (*next_rank + RANKS_PER_COUNT_ROUND) % ranks.len();
-        let answers = join_all(queried_ranks.iter().map(|rank| self.query(&ranks[*rank], Ask::Experts))).await;
+        let frames = join_all(queried_ranks.iter().map(|rank| self.query(&ranks[*rank], Ask::Experts))).await;
         let counted = queried_ranks
             .into_iter()
-            .zip(answers)
-            .filter_map(|(rank, answer)| match answer {
+            .zip(frames)
+            .filter_map(|(rank, frame)| match frame {
                 Some(Frame::Experts(tokens)) => Some((rank, tokens)),
                 _ => None,
             });
@@ -297,16 +297,17 @@
     }
 }
 
-/// Adds the tokens that a rank has counted since `before`; the first report of a rank is only a baseline.
-fn add_new_tokens(sum: &mut [f64], tokens: &[u64], before: Option<&[u64]>) {
-    let Some(before) = before.filter(|before| before.len() == tokens.len()) else {
+/// Adds the tokens that a rank has counted since `previous`. The first report of a rank only sets the baseline, and the
+/// counts of a replaced rank restart at zero, which adds nothing.
+fn add_new_tokens(new_tokens: &mut [f64], tokens: &[u64], previous: Option<&[u64]>) {
+    let Some(previous) = previous.filter(|previous| previous.len() == tokens.len()) else {
         return;
     };
-    if tokens.len() != sum.len() {
+    if tokens.len() != new_tokens.len() {
         return;
     }
-    for ((sum, now), before) in sum.iter_mut().zip(tokens).zip(before) {
-        *sum += now.saturating_sub(*before) as f64;
+    for ((new_tokens, now), previous) in new_tokens.iter_mut().zip(tokens).zip(previous) {
+        *new_tokens += now.saturating_sub(*previous) as f64;
     }
 }
 
--- a/crates/sparscale_entry/src/program.rs
+++ b/crates/sparscale_entry/src/program.rs
@@ -97,7 +97,7 @@
         in_flight: InFlight::default(),
         max_body_bytes: settings.max_body_bytes,
         ticket_lifetime: settings.ticket_lifetime,
-        stopping: AtomicBool::new(false),
+        is_stopping: AtomicBool::new(false),
     });
     let server = serve(&settings, Arc::clone(&api))?;
     log::info!(name = name.as_str(), incarnation = process.incarnation, callers = server.local_addr().to_string().as_str(); "entry ready");
@@ -128,7 +128,7 @@
 /// Reports "not ready" to the balancer, keeps accepting requests until the balancer has noticed, and finishes all
 /// responses.
 async fn stop(settings: &Settings, api: &Api, server: HttpServer<Arc<Api>>) {
-    api.stopping.store(true, Ordering::Relaxed);
+    api.is_stopping.store(true, Ordering::Relaxed);
     log::info!(target: DECISION, decision = "drain", reason = "told to stop", in_progress = api.in_flight.total(); "draining");
     tokio::time::sleep(settings.stop_lag).await;
     if let Err(error) = server.close().await {
--- a/crates/sparscale_entry/src/quarantine.rs
+++ b/crates/sparscale_entry/src/quarantine.rs
@@ -110,8 +110,8 @@
         tokio::spawn(async move {
             for strike in strikes {
                 for _ in 0..MAX_APPEND_ATTEMPTS {
-                    let submitted = journal.submit(Body::Strike(strike), APPEND_TIMEOUT).await;
-                    if matches!(&submitted, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
+                    let append_result = journal.submit(Body::Strike(strike), APPEND_TIMEOUT).await;
+                    if matches!(&append_result, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
                         break;
                     }
                     log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.short().as_str(); "the log did not accept a strike; retrying");
--- a/crates/sparscale_entry/src/respond.rs
+++ b/crates/sparscale_entry/src/respond.rs
@@ -15,10 +15,10 @@
 use crate::response_stream::ResponseStream;
 
 /// Event stream that starts with the chunks in `first`.
-pub(crate) fn stream_response(live: ResponseStream, first: &[Bytes], guard: InFlightGuard) -> Response<Body> {
-    let id = live.request_id();
+pub(crate) fn stream_response(stream: ResponseStream, first: &[Bytes], guard: InFlightGuard) -> Response<Body> {
+    let id = stream.request_id();
     let state = EventStream {
-        live,
+        stream,
         pending: first.iter().map(|chunk| completion::event(chunk)).collect(),
         is_over: false,
         _guard: guard,
@@ -44,7 +44,7 @@
 
 /// State of an event stream; it keeps the request counted as in flight.
 struct EventStream {
-    live: ResponseStream,
+    stream: ResponseStream,
     pending: VecDeque<Bytes>,
     is_over: bool,
     _guard: InFlightGuard,
@@ -58,7 +58,7 @@
         if self.is_over {
             return None;
         }
-        match self.live.next().await {
+        match self.stream.next().await {
             Some(Ok(chunk)) => Some(completion::event(&chunk)),
             Some(Err(problem)) => {
                 self.is_over = true;
@@ -78,15 +78,15 @@
     Ok(texts.concat())
 }
 
-pub(crate) fn service_response(live: &ResponseStream, body: Bytes) -> Result<Response<Body>, Problem> {
+pub(crate) fn service_response(stream: &ResponseStream, body: Bytes) -> Result<Response<Body>, Problem> {
     let mut response = Response::new(Body::from(body));
-    *response.status_mut() = StatusCode::from_u16(live.head.status)
+    *response.status_mut() = StatusCode::from_u16(stream.head.status)
         .map_err(|_range| Problem::failed("the target's status is no HTTP status"))?;
     let headers = response.headers_mut();
-    if let Ok(content_type) = header::HeaderValue::from_str(&live.head.content_type) {
+    if let Ok(content_type) = header::HeaderValue::from_str(&stream.head.content_type) {
         headers.insert(header::CONTENT_TYPE, content_type);
     }
-    if let Ok(id) = header::HeaderValue::from_str(&live.request_id()) {
+    if let Ok(id) = header::HeaderValue::from_str(&stream.request_id()) {
         headers.insert("x-request-id", id);
     }
     Ok(response)
--- a/crates/sparscale_entry/src/response_stream.rs
+++ b/crates/sparscale_entry/src/response_stream.rs
@@ -82,8 +82,8 @@
     }
 
     async fn receive(&mut self) -> Result<(), Problem> {
-        let received = tokio::time::timeout_at(self.job.deadline, self.channel.receiver.receive()).await;
-        match received {
+        let receive_result = tokio::time::timeout_at(self.job.deadline, self.channel.receiver.receive()).await;
+        match receive_result {
             Ok(Ok(Frame::Answer(answer))) => self.accept(answer).await,
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => self.resume(&error.to_string()).await,
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -21,14 +21,14 @@
 
 /// The scored candidates as one JSON text, because log values must be flat.
 pub(crate) fn candidate_lines(board: &Board, decision: &Decision) -> String {
-    let candidates = decision.scored.iter().filter_map(|scored| {
+    let candidates = decision.scored_targets.iter().filter_map(|scored| {
         Some(Candidate {
             name: &board.target(scored.key)?.name,
             cost: scored.cost_ms,
             wait: scored.wait_ms,
             prefill: scored.prefill_ms,
-            steps: scored.steps_ms,
-            others: scored.others_ms,
+            steps: scored.decode_ms,
+            others: scored.group_delay_ms,
             distance: scored.round_trip_ms,
         })
     });
--- a/crates/sparscale_entry/tests/answer_assembly.rs
+++ b/crates/sparscale_entry/tests/answer_assembly.rs
@@ -58,11 +58,11 @@
     let whole: Vec<Bytes> = (0..arrivals.chunks).map(|sequence| text(OWN, sequence)).collect();
     let mut assembly = Assembly::new(OWN);
     let mut forwarded: Vec<Bytes> = Vec::new();
-    for (own, which) in arrivals.order {
-        let attempt = if own { OWN } else { OTHER };
+    for (is_own, index) in arrivals.order {
+        let attempt = if is_own { OWN } else { OTHER };
         // The response of the other attempt also has a different length.
-        let chunks = if own { arrivals.chunks } else { 9 };
-        let part = part(attempt, chunks, which);
+        let chunks = if is_own { arrivals.chunks } else { 9 };
+        let part = part(attempt, chunks, index);
         match assembly.accept(Answer { attempt, part }) {
             Step::Chunks(chunks) | Step::End { chunks, .. } => forwarded.extend(chunks),
             Step::Nothing | Step::Head(_) => {}
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -65,20 +65,20 @@
     /// Prefill of the backlog and of this prompt, less the expected prefix cache hit.
     pub prefill_ms: f64,
     /// Decode steps of this response.
-    pub steps_ms: f64,
+    pub decode_ms: f64,
     /// Delay that the longer steps add to all other requests of the group.
-    pub others_ms: f64,
+    pub group_delay_ms: f64,
     /// Network round trip.
     pub round_trip_ms: f64,
     /// Counter of this entry's last request to the target; breaks ties in favour of the least recently used.
-    pub last_sent: u64,
+    pub last_sent_counter: u64,
 }
 
 impl ScoredTarget {
     fn compare(&self, other: &Self) -> Ordering {
         self.cost_ms
             .total_cmp(&other.cost_ms)
-            .then(self.last_sent.cmp(&other.last_sent))
+            .then(self.last_sent_counter.cmp(&other.last_sent_counter))
     }
 }
 
@@ -90,7 +90,7 @@
     /// Why it was chosen.
     pub reason: Reason,
     /// The candidates that were scored; empty for a baseline rule.
-    pub scored: Vec<ScoredTarget>,
+    pub scored_targets: Vec<ScoredTarget>,
 }
 
 /// No candidate accepts work.
@@ -137,11 +137,11 @@
         return Err(no_candidate(board, candidates, now));
     };
     if usable.len() == 1 {
-        let scored = GroupLoads::new(board, &usable, now).score(*first, request);
+        let scored_target = GroupLoads::new(board, &usable, now).score(*first, request);
         return Ok(Decision {
             target: *first,
             reason: Reason::Only,
-            scored: scored.into_iter().collect(),
+            scored_targets: scored_target.into_iter().collect(),
         });
     }
     match rule {
@@ -176,15 +176,15 @@
     random: &mut impl Rng,
 ) -> Decision {
     let loads = GroupLoads::new(board, usable, now);
-    let scored: Vec<ScoredTarget> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
+    let scored_targets: Vec<ScoredTarget> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
     // Each entry starts at a random candidate, so that entries don't all break ties the same way.
-    let start = random.random_range(0..scored.len().max(1));
-    let (before, after) = scored.split_at(start);
+    let start = random.random_range(0..scored_targets.len().max(1));
+    let (before, after) = scored_targets.split_at(start);
     let best = after.iter().chain(before).min_by(|left, right| left.compare(right));
     Decision {
         target: best.map_or(usable[0], |best| best.key),
         reason: Reason::LeastCost,
-        scored,
+        scored_targets,
     }
 }
 
@@ -199,7 +199,7 @@
     Decision {
         target,
         reason: Reason::Baseline,
-        scored: Vec::new(),
+        scored_targets: Vec::new(),
     }
 }
 
@@ -227,7 +227,7 @@
     fn score(&self, key: TargetKey, request: &Request) -> Option<ScoredTarget> {
         let target = self.board.target(key)?;
         let answer_tokens = f64::from(request.answer_tokens.max(1));
-        let (requests, ms_per_step, others_ms_per_token) = match target.rank {
+        let (requests, ms_per_step, group_delay_ms_per_token) = match target.rank {
             Some((group, rank)) => self.rank_costs(group, rank)?,
             None => (target.expected_requests(), SERVICE_STEP_MS, 0.0),
         };
@@ -235,18 +235,18 @@
         let prefill_ms = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
         let max_in_flight = f64::from(self.board.max_in_flight_per_target.max(1));
         let wait_ms = (requests + 1.0 - max_in_flight).max(0.0) / max_in_flight * answer_tokens * ms_per_step;
-        let steps_ms = answer_tokens * ms_per_step;
-        let others_ms = others_ms_per_token * answer_tokens;
+        let decode_ms = answer_tokens * ms_per_step;
+        let group_delay_ms = group_delay_ms_per_token * answer_tokens;
         let round_trip_ms = target.distance.round_trip_ms();
         Some(ScoredTarget {
             key,
-            cost_ms: wait_ms + prefill_ms + steps_ms + others_ms + round_trip_ms,
+            cost_ms: wait_ms + prefill_ms + decode_ms + group_delay_ms + round_trip_ms,
             wait_ms,
             prefill_ms,
-            steps_ms,
-            others_ms,
+            decode_ms,
+            group_delay_ms,
             round_trip_ms,
-            last_sent: target.last_sent,
+            last_sent_counter: target.last_sent_counter,
         })
     }
 
@@ -303,7 +303,7 @@
         .collect();
     let ended_count: f64 = others.iter().map(|group| group.ended_count).sum();
     let own_recent_sends: f64 = others.iter().map(|group| group.own_recent_sends).sum();
-    let arrived = |group: &OtherEntriesLoad| {
+    let new_requests = |group: &OtherEntriesLoad| {
         if own_recent_sends <= 0.0 {
             return group.ended_count;
         }
@@ -315,15 +315,15 @@
     };
     others
         .iter()
-        .filter_map(|group| group_load(board, group, arrived(group)))
+        .filter_map(|group| group_load(board, group, new_requests(group)))
         .collect()
 }
 
 fn other_entries_load(board: &Board, key: GroupKey, now: Duration) -> Option<OtherEntriesLoad> {
     let group = board.group(key)?;
     let members = || group.ranks.iter().filter_map(|rank| board.target(*rank));
-    let reported = members().filter_map(Target::reported_others);
-    let (sum, count) = reported.fold((0.0, 0.0), |(sum, count), others| (sum + others, count + 1.0));
+    let reported_loads = members().filter_map(Target::reported_others);
+    let (sum, count) = reported_loads.fold((0.0, 0.0), |(sum, count), others| (sum + others, count + 1.0));
     let mean = if count > 0.0 { sum / count } else { 0.0 };
     let residual = board.residence_times.residual_seconds();
     let mut ended_count = 0.0;
@@ -342,10 +342,10 @@
     })
 }
 
-fn group_load(board: &Board, others: &OtherEntriesLoad, arrived: f64) -> Option<GroupLoad> {
+fn group_load(board: &Board, others: &OtherEntriesLoad, new_requests: f64) -> Option<GroupLoad> {
     let group = board.group(others.key)?;
     let mut rank_loads = others.in_flight_by_rank.clone();
-    fill_lowest(&mut rank_loads, arrived);
+    fill_lowest(&mut rank_loads, new_requests);
     let members = group.ranks.iter().filter_map(|rank| board.target(*rank));
     for (expected, rank) in rank_loads.iter_mut().zip(members) {
         *expected += rank.own_requests();
--- a/crates/sparscale_route/tests/target_choice.rs
+++ b/crates/sparscale_route/tests/target_choice.rs
@@ -135,18 +135,18 @@
         let standings: Vec<Standing> = states.0.iter().map(|(which, ..)| standing(*which)).collect();
         let (mut board, keys) = board(&standings);
         let mut usable = Vec::new();
-        for (key, (which, running, closed, failed)) in keys.iter().zip(&states.0) {
+        for (key, (which, running, is_closed, has_failed)) in keys.iter().zip(&states.0) {
             let load = Load {
                 incarnation: 1,
                 running: u32::from(*running),
-                closed: *closed,
+                is_closed: *is_closed,
                 ..Load::default()
             };
             board.apply_load(*key, load, NOW);
-            if *failed {
+            if *has_failed {
                 board.record_failure(*key, NOW);
             }
-            if *which == 0 && !closed && !failed {
+            if *which == 0 && !is_closed && !has_failed {
                 usable.push(*key);
             }
         }
