--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -170,7 +170,7 @@
         self.seconds_per_cost += (observed - self.seconds_per_cost) / SERVICE_TIME_SMOOTHING;
     }
 
-    /// Records that a request returned by [`Queue::next`] did not run.
+    /// Records that a dequeued request did not run.
     pub fn gave_up_place(&mut self) {
         self.running_count = self.running_count.saturating_sub(1);
     }
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -140,7 +140,7 @@
             }
             let progress = coordinator.progress();
             if progress != last_progress {
-                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "progress of the map switch");
+                log::info!(target: DECISION, decision = "switch", group = self.group.as_str(), fence = self.fence, goal = state.map_number, progress:? = progress; "switch");
                 last_progress = progress;
             }
             match progress {
@@ -349,6 +349,6 @@
         cost_stay = decision.cost_stay,
         cost_move = decision.cost_move,
         took_ms = took.as_secs_f64() * 1_000.0;
-        "placement decision"
+        "placement"
     );
 }
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -47,6 +47,6 @@
         candidates,
         bundle = version,
         map;
-        "chose a target"
+        "routed"
     );
 }
--- a/crates/sparscale_entry/src/ticket.rs
+++ b/crates/sparscale_entry/src/ticket.rs
@@ -121,7 +121,7 @@
 /// Size of the authentication tag, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// Unix time in seconds.
+/// Unix time, in seconds since 1970.
 pub(crate) fn unix_seconds(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs()
 }
