--- a/crates/sparscale_entry/src/dispatch.rs
+++ b/crates/sparscale_entry/src/dispatch.rs
@@ -26,7 +26,7 @@
 use crate::response_stream::ResponseStream;
 use crate::route_log::{candidate_lines, log_route};
 use crate::ticket::{RequestName, Seal};
-use crate::unserved::{failed, key_reused, no_target, unreachable_target};
+use crate::unserved::{failure_problem, key_reused, no_target, unreachable_target};
 
 /// Most attempts of one request.
 const MAX_ATTEMPTS: usize = 4;
@@ -82,7 +82,7 @@
     /// Dispatches `job` until a response begins or no further attempt is allowed.
     pub(crate) async fn dispatch(self: &Arc<Self>, job: &Arc<Job>) -> Result<ResponseStream, Problem> {
         self.retry_budget.record_request(job.limits.retry_percent);
-        let mut attempted = Vec::new();
+        let mut attempted_targets = Vec::new();
         let mut last_problem = None;
         for index in 0..MAX_ATTEMPTS {
             // Checked before each attempt, because a target may have ended while it ran this call, here or through
@@ -93,11 +93,11 @@
             if index > 0 && !self.retry_budget.try_spend() {
                 break;
             }
-            let sent = match self.route(job, &attempted) {
+            let sent = match self.route(job, &attempted_targets) {
                 Ok(sent) => sent,
                 Err(problem) => return Err(last_problem.unwrap_or(problem)),
             };
-            attempted.push(sent.target);
+            attempted_targets.push(sent.target);
             let request_id = self.request_id(job, &sent);
             let outcome = self.send(job, &sent).await;
             if !matches!(outcome, SendOutcome::Responding(_)) {
@@ -113,12 +113,12 @@
                 // A repeatable request whose response has not begun may be retried, on the same target if no other is
                 // left.
                 SendOutcome::Failed(failure) if job.repeatable => {
-                    if self.has_attempted_all(job, &attempted) {
-                        attempted.clear();
+                    if self.has_attempted_all(job, &attempted_targets) {
+                        attempted_targets.clear();
                     }
-                    failed(job, &failure).request_id(request_id)
+                    failure_problem(job, &failure).request_id(request_id)
                 }
-                SendOutcome::Failed(failure) => return Err(failed(job, &failure).request_id(request_id)),
+                SendOutcome::Failed(failure) => return Err(failure_problem(job, &failure).request_id(request_id)),
                 SendOutcome::Unknown if job.repeatable => {
                     self.cancel_in_background(&sent);
                     unreachable_target()
@@ -137,7 +137,7 @@
     }
 
     /// Chooses a target that was not attempted yet, and logs the decision.
-    fn route(&self, job: &Job, attempted: &[TargetKey]) -> Result<SentAttempt, Problem> {
+    fn route(&self, job: &Job, attempted_targets: &[TargetKey]) -> Result<SentAttempt, Problem> {
         let now = self.board.now();
         let attempt = AttemptId {
             entry: self.incarnation,
@@ -145,12 +145,19 @@
         };
         let mut board = self.board.lock();
         let candidates = self.candidates(&board, job)?;
-        let remaining: Vec<TargetKey> = candidates
+        let remaining_targets: Vec<TargetKey> = candidates
             .iter()
             .copied()
-            .filter(|key| !attempted.contains(key))
+            .filter(|key| !attempted_targets.contains(key))
             .collect();
-        let decision = choose(&board, &remaining, &job.route, Rule::GroupCost, now, &mut rand::rng());
+        let decision = choose(
+            &board,
+            &remaining_targets,
+            &job.route,
+            Rule::GroupCost,
+            now,
+            &mut rand::rng(),
+        );
         let decision = decision.map_err(|error| no_target(error.retry_after))?;
         let key = decision.target;
         let version = board.bundle_version;
@@ -159,7 +166,7 @@
         let target = board.target(key).ok_or_else(unreachable_target)?;
         let sent = SentAttempt {
             target: key,
-            name: target.name.clone(),
+            target_name: target.name.clone(),
             address: target.address.ok_or_else(unreachable_target)?,
             attempt,
             incarnation: target.load.incarnation,
@@ -171,7 +178,7 @@
         Ok(sent)
     }
 
-    fn has_attempted_all(&self, job: &Job, attempted: &[TargetKey]) -> bool {
+    fn has_attempted_all(&self, job: &Job, attempted_targets: &[TargetKey]) -> bool {
         let now = self.board.now();
         let board = self.board.lock();
         let candidates = self.candidates(&board, job).unwrap_or_default();
@@ -179,7 +186,7 @@
         candidates
             .iter()
             .filter(|key| usable(key))
-            .all(|key| attempted.contains(key))
+            .all(|key| attempted_targets.contains(key))
     }
 
     fn candidates(&self, board: &sparscale_board::Board, job: &Job) -> Result<Vec<TargetKey>, Problem> {
@@ -281,7 +288,7 @@
     /// Settles an attempt whose stream broke before the response began.
     async fn settle_before_response(self: &Arc<Self>, job: &Arc<Job>, sent: &SentAttempt) -> SendOutcome {
         let settlement = self.settle(sent.address, sent.attempt, sent.incarnation).await;
-        log::info!(target: DECISION, decision = "settle", attempt = sent.attempt.to_string().as_str(), agent = sent.name.as_str(), settlement:? = settlement; "settled an attempt whose stream broke");
+        log::info!(target: DECISION, decision = "settle", attempt = sent.attempt.to_string().as_str(), agent = sent.target_name.as_str(), settlement:? = settlement; "settled an attempt whose stream broke");
         match settlement {
             Settlement::NotRun => SendOutcome::NotRun,
             Settlement::Running | Settlement::Ended if Instant::now() < job.deadline => {
@@ -353,7 +360,7 @@
     pub(crate) fn request_id(&self, job: &Job, sent: &SentAttempt) -> String {
         self.seal.issue_request_id(&RequestName {
             workspace: job.workspace.name.clone(),
-            target: sent.name.clone(),
+            target: sent.target_name.clone(),
             attempt: sent.attempt,
             incarnation: sent.incarnation,
         })
@@ -377,7 +384,7 @@
     }
 
     fn record_failure(&self, sent: &SentAttempt, error: &dyn std::error::Error) {
-        log::warn!(agent = sent.name.as_str(), error = error.to_string().as_str(); "an agent could not be reached");
+        log::warn!(agent = sent.target_name.as_str(), error = error.to_string().as_str(); "an agent could not be reached");
         let now = self.board.now();
         self.board.lock().record_failure(sent.target, now);
     }
--- a/crates/sparscale_entry/src/job.rs
+++ b/crates/sparscale_entry/src/job.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct SentAttempt {
     pub(crate) target: TargetKey,
-    pub(crate) name: String,
+    pub(crate) target_name: String,
     pub(crate) address: SocketAddr,
     pub(crate) attempt: AttemptId,
     /// Last incarnation that the agent reported before the dispatch; 0 if unknown.
--- a/crates/sparscale_entry/src/quarantine.rs
+++ b/crates/sparscale_entry/src/quarantine.rs
@@ -71,7 +71,7 @@
         let strike = Strike {
             request,
             // An attempt experiences at most one end of a target, so its id identifies that end.
-            end: End::of(&sent.name, Some(sent.attempt.entry ^ sent.attempt.counter)),
+            end: End::of(&sent.target_name, Some(sent.attempt.entry ^ sent.attempt.counter)),
             at_ms: now_ms,
             standing: Standing::Counts,
         };
@@ -80,7 +80,7 @@
             register.take_in(strike, News::Seen, now_ms);
             register.ends(&request)
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.name.as_str(), ends; "a target ended while it ran a call");
+        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.target_name.as_str(), ends; "a target ended while it ran a call");
         let appended = self.append_strikes(vec![strike]);
         let deadline = job.deadline.min(Instant::now() + STRIKE_WAIT);
         if tokio::time::timeout_at(deadline, appended).await.is_err() {
--- a/crates/sparscale_entry/src/response_stream.rs
+++ b/crates/sparscale_entry/src/response_stream.rs
@@ -13,7 +13,7 @@
 use crate::dispatch::Dispatcher;
 use crate::job::{Job, SentAttempt};
 use crate::problem::Problem;
-use crate::unserved::failed;
+use crate::unserved::failure_problem;
 
 /// Most consecutive resumptions without a new chunk before the response is abandoned.
 const MAX_RESUMES: u32 = 3;
@@ -87,7 +87,7 @@
             Ok(Ok(Frame::Answer(answer))) => self.accept(answer).await,
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => self.resume(&error.to_string()).await,
-            Err(_elapsed) => Err(self.abandoned("the deadline passed")),
+            Err(_elapsed) => Err(self.abandon_problem("the deadline passed")),
         }
     }
 
@@ -110,7 +110,7 @@
                 if matches!(failure, Failure::Ended { .. }) {
                     self.dispatcher.quarantine.record_end(&self.job, &self.sent).await;
                 }
-                Err(failed(&self.job, &failure))
+                Err(failure_problem(&self.job, &failure))
             }
             Step::Refused(_) => self.resume("refused after the answer began").await,
             Step::Broken(reason) => self.resume(reason).await,
@@ -120,7 +120,7 @@
     async fn resume(&mut self, reason: &str) -> Result<(), Problem> {
         loop {
             if self.resume_count >= MAX_RESUMES || Instant::now() >= self.job.deadline {
-                return Err(self.abandoned("the target's agent cannot be reached any more"));
+                return Err(self.abandon_problem("the target's agent cannot be reached any more"));
             }
             self.resume_count += 1;
             let from = self.assembly.next_sequence();
@@ -133,7 +133,7 @@
         }
     }
 
-    fn abandoned(&self, detail: &str) -> Problem {
+    fn abandon_problem(&self, detail: &str) -> Problem {
         if self.job.repeatable {
             Problem::failed(detail)
         } else {
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -42,7 +42,7 @@
         attempt = sent.attempt.to_string().as_str(),
         workspace = job.workspace.name.as_str(),
         tier = job.tier,
-        agent = sent.name.as_str(),
+        agent = sent.target_name.as_str(),
         reason:? = decision.reason,
         candidates,
         bundle = version,
--- a/crates/sparscale_entry/src/unserved.rs
+++ b/crates/sparscale_entry/src/unserved.rs
@@ -9,7 +9,7 @@
 use crate::problem::Problem;
 
 /// Problem for a failure reported by the agent; the outcome of a request that may not be repeated stays unknown.
-pub(crate) fn failed(job: &Job, failure: &Failure) -> Problem {
+pub(crate) fn failure_problem(job: &Job, failure: &Failure) -> Problem {
     match failure {
         Failure::Target { message } => Problem::failed(message),
         Failure::Unknown { message } | Failure::Ended { message } if job.repeatable => Problem::failed(message),
