--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -1,4 +1,4 @@
-//! Targets and groups, and how controllers change them.
+//! State of targets and groups, and the updates that controllers make to it.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -7,37 +7,37 @@
 use slotmap::{SlotMap, new_key_type};
 use sparscale_bundle::{Bundle, Call, Fleet};
 
-use crate::hints::Hints;
-use crate::model::{Holding, StepModel};
+use crate::hints::PrefixHints;
+use crate::model::{ResidenceTimes, StepModel};
 
 new_key_type! {
-    /// Names a target on the board.
+    /// Key of a target on the board.
     pub struct TargetKey;
-    /// Names a group on the board.
+    /// Key of a group on the board.
     pub struct GroupKey;
 }
 
-/// Requests in progress that are remembered for one target; more change no decision.
-const MAX_SENT: usize = 1_024;
-/// Time that a report is taken to have been on its way.
+/// Most requests in progress that are tracked for one target; more change no decision.
+const MAX_TRACKED_REQUESTS: usize = 1_024;
+/// Assumed delivery time of a load report.
 const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Standing {
-    /// The box list does not show it.
+    /// It is not in the box list.
     #[default]
     Absent,
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It takes no new work: the list or its agent says so.
-    Leaving,
+    /// It accepts no new work, as stated by the box list or its agent.
+    Draining,
 }
 
-/// How far a target is.
+/// Network distance of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum HallDistance {
-    /// In the entry's hall.
+    /// In the entry's own hall.
     Same,
     /// In another hall of the entry's region.
     Region,
@@ -47,7 +47,7 @@
 }
 
 impl HallDistance {
-    /// Time that a message and its answer take on the way, in milliseconds.
+    /// Network round-trip time, in milliseconds.
     pub fn round_trip_ms(self) -> f64 {
         match self {
             Self::Same => 0.2,
@@ -57,63 +57,63 @@
     }
 }
 
-/// Load as last reported.
+/// Last reported load of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// Incarnation of the agent.
+    /// Incarnation of the agent that reported.
     pub incarnation: u64,
-    /// Highest counter of this entry that the report covers.
+    /// Highest request counter of this entry that the report covers.
     pub seen: u64,
-    /// Requests at the target.
+    /// Requests that run at the target.
     pub running: u32,
-    /// Requests that wait at the agent.
+    /// Requests that are queued at the agent.
     pub queued: u32,
-    /// Those of both that this entry has sent.
+    /// Running and queued requests that this entry has sent.
     pub own: u32,
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens waiting for prefill.
     pub prefill_tokens: u32,
     /// Time of the latest step, in milliseconds.
     pub step_ms: f64,
-    /// Number of the expert map in use.
-    pub map: u64,
-    /// Whether the agent refuses new work: it drains, or its target does not listen.
-    pub closed: bool,
+    /// Number of the current expert map.
+    pub map_number: u64,
+    /// Whether the agent rejects new work because it drains or its target does not listen.
+    pub is_closed: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentRequest {
     counter: u64,
     prefill_tokens: u32,
-    at: Duration,
+    sent_at: Duration,
 }
 
-/// A back end.
+/// A back end and its state as this entry knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Target {
     /// Unique name.
     pub name: String,
-    /// How far it is from this entry.
+    /// Network distance from this entry.
     pub distance: HallDistance,
     /// Address of its agent.
     pub address: Option<SocketAddr>,
-    /// Whether the box list lets it take work.
+    /// Whether it accepts work according to the box list.
     pub standing: Standing,
-    /// Group and rank, for a model rank.
+    /// Group and rank index, for a model rank.
     pub rank: Option<(GroupKey, usize)>,
-    /// Load as last reported.
+    /// Last reported load of a target.
     pub load: Load,
-    /// Prompt prefixes that it probably has.
-    pub hints: Hints,
-    /// Counter of this entry's last request there.
-    pub last_sent: u64,
-    /// Not to be used before this time: its agent could not be reached.
+    /// Prompt prefixes that it probably has in its cache.
+    pub hints: PrefixHints,
+    /// Counter of this entry's last request to it.
+    pub last_sent_counter: u64,
+    /// Not used before this time, because its agent could not be reached.
     avoid_until: Duration,
-    /// Not to be used before this time: its agent turned work away whatever the work is.
-    refuses_until: Duration,
+    /// Not used before this time, because its agent rejects all work.
+    rejecting_until: Duration,
     reported_at: Option<Duration>,
     /// Requests of this entry that have not ended.
-    sent: VecDeque<Sent>,
-    failures: u32,
+    in_flight: VecDeque<SentRequest>,
+    consecutive_failures: u32,
 }
 
 /// A group of ranks.
@@ -125,32 +125,32 @@
     pub model: String,
     /// Its ranks, in rank order.
     pub ranks: Vec<TargetKey>,
-    /// What its step time depends on.
-    pub step: StepModel,
-    sends: Sends,
+    /// Step time as a function of load.
+    pub step_model: StepModel,
+    sends: RecentSends,
 }
 
-/// This entry's requests to a group, fading with age.
+/// Number of this entry's requests to a group, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sends {
+struct RecentSends {
     count: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
-impl Sends {
-    /// Time in which a request's weight falls by a factor of e.
-    const FADE: Duration = Duration::from_secs(2);
+impl RecentSends {
+    /// Time in which the weight of a request falls by a factor of e.
+    const DECAY_TIME: Duration = Duration::from_secs(2);
 
-    fn faded(self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        self.count * (-age / Self::FADE.as_secs_f64()).exp()
+    fn decayed(self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.count * (-age / Self::DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
 impl Group {
-    /// This entry's requests to the group in the last few seconds, late ones counting less.
+    /// Number of this entry's requests to the group in the last few seconds; older ones count less.
     pub fn recent_sends(&self, now: Duration) -> f64 {
-        self.sends.faded(now)
+        self.sends.decayed(now)
     }
 }
 
@@ -163,7 +163,7 @@
     pub calls: Vec<Call>,
 }
 
-/// Everything that an entry knows about back ends.
+/// All that an entry knows about back ends.
 #[derive(Debug, Default)]
 pub struct Board {
     hall: String,
@@ -171,16 +171,16 @@
     groups: SlotMap<GroupKey, Group>,
     by_name: HashMap<String, TargetKey>,
     services: BTreeMap<String, Service>,
-    /// Version of the bundle that the board shows; 0 for none.
-    pub version: u64,
-    /// Requests that one target runs at once.
-    pub places: u32,
-    /// How long requests last.
-    pub holding: Holding,
+    /// Version of the bundle that was applied last; 0 for none.
+    pub bundle_version: u64,
+    /// Most requests that one target runs at the same time.
+    pub max_in_flight_per_target: u32,
+    /// Residence time of requests.
+    pub residence_times: ResidenceTimes,
 }
 
 impl Board {
-    /// An empty board of an entry in `hall`.
+    /// Creates an empty board for an entry in `hall`.
     pub fn new(hall: &str) -> Self {
         Self {
             hall: hall.to_owned(),
@@ -193,12 +193,12 @@
         self.targets.get(key)
     }
 
-    /// The target under `key`, to be changed.
+    /// The target under `key`, for updates.
     pub fn target_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.targets.get_mut(key)
     }
 
-    /// The target called `name`.
+    /// Key of the target called `name`.
     pub fn find(&self, name: &str) -> Option<TargetKey> {
         self.by_name.get(name).copied()
     }
@@ -229,11 +229,11 @@
         groups.flat_map(|group| group.ranks.iter().copied()).collect()
     }
 
-    /// Shows `bundle`. Targets that stay keep their key and everything that is known about them.
+    /// Applies `bundle`. Targets that stay keep their key and their state.
     pub fn apply_bundle(&mut self, bundle: &Bundle) {
         let fleet = bundle.fleet();
-        self.version = bundle.version();
-        self.places = fleet.limits.in_flight_per_target;
+        self.bundle_version = bundle.version();
+        self.max_in_flight_per_target = fleet.limits.in_flight_per_target;
         self.replace_targets(fleet);
         self.replace_groups(fleet);
         self.services = fleet
@@ -248,30 +248,31 @@
     }
 
     fn replace_targets(&mut self, fleet: &Fleet) {
-        let listed: HashSet<&str> = fleet.targets.iter().map(|target| target.name.as_str()).collect();
-        self.targets.retain(|_, target| listed.contains(target.name.as_str()));
+        let listed_names: HashSet<&str> = fleet.targets.iter().map(|target| target.name.as_str()).collect();
+        self.targets
+            .retain(|_, target| listed_names.contains(target.name.as_str()));
         let targets = &self.targets;
         self.by_name.retain(|_, key| targets.contains_key(*key));
-        for described in &fleet.targets {
-            let key = self.by_name.get(&described.name).copied().unwrap_or_else(|| {
+        for fleet_target in &fleet.targets {
+            let key = self.by_name.get(&fleet_target.name).copied().unwrap_or_else(|| {
                 self.targets.insert(Target {
-                    name: described.name.clone(),
+                    name: fleet_target.name.clone(),
                     ..Target::default()
                 })
             });
-            self.by_name.insert(described.name.clone(), key);
+            self.by_name.insert(fleet_target.name.clone(), key);
             if let Some(target) = self.targets.get_mut(key) {
-                target.distance = distance(fleet, &self.hall, &described.hall);
+                target.distance = distance(fleet, &self.hall, &fleet_target.hall);
                 target.rank = None;
             }
         }
     }
 
     fn replace_groups(&mut self, fleet: &Fleet) {
-        let known: HashMap<String, StepModel> = self
+        let step_models: HashMap<String, StepModel> = self
             .groups
             .values()
-            .map(|group| (group.name.clone(), group.step))
+            .map(|group| (group.name.clone(), group.step_model))
             .collect();
         self.groups.clear();
         for group in &fleet.groups {
@@ -280,8 +281,8 @@
                 name: group.name.clone(),
                 model: group.model.clone(),
                 ranks: ranks.clone(),
-                step: known.get(&group.name).copied().unwrap_or_default(),
-                sends: Sends::default(),
+                step_model: step_models.get(&group.name).copied().unwrap_or_default(),
+                sends: RecentSends::default(),
             });
             for (index, rank) in ranks.into_iter().enumerate() {
                 if let Some(target) = self.targets.get_mut(rank) {
@@ -291,15 +292,15 @@
         }
     }
 
-    /// Takes in what the box list says about the target called `name`; a target that it does not show is absent.
-    pub fn apply_listed(&mut self, listed: &HashMap<String, (SocketAddr, Standing)>) {
+    /// Applies the box list, given as address and standing by target name; a target that is not in it becomes absent.
+    pub fn apply_listed(&mut self, box_list: &HashMap<String, (SocketAddr, Standing)>) {
         for target in self.targets.values_mut() {
-            let (address, standing) = match listed.get(&target.name) {
+            let (address, standing) = match box_list.get(&target.name) {
                 Some((address, standing)) => (Some(*address), *standing),
                 None => (target.address, Standing::Absent),
             };
             if target.address != address {
-                // Another box has taken the name: nothing known about the old one holds.
+                // Another box now has this name, so the state of the old one is discarded.
                 *target = Target {
                     name: std::mem::take(&mut target.name),
                     distance: target.distance,
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Takes in a load report of the target under `key`.
+    /// Records a load report of the target under `key`; a report of an earlier incarnation is ignored.
     pub fn apply_load(&mut self, key: TargetKey, load: Load, now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -325,71 +326,72 @@
         }
         target.load = load;
         target.reported_at = Some(now);
-        target.failures = 0;
+        target.consecutive_failures = 0;
         target.avoid_until = Duration::ZERO;
         self.observe_step(key);
     }
 
-    /// Notes that request `counter` was sent to the target under `key`.
+    /// Records that request `counter` was sent to the target under `key`.
     pub fn note_sent(&mut self, key: TargetKey, counter: u64, prefill_tokens: u32, blocks: &[u64], now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        target.hints.note(blocks, now);
-        target.last_sent = counter;
+        target.hints.record(blocks, now);
+        target.last_sent_counter = counter;
         let group = target.rank.map(|(group, _)| group);
-        target.sent.push_back(Sent {
+        target.in_flight.push_back(SentRequest {
             counter,
             prefill_tokens,
-            at: now,
+            sent_at: now,
         });
-        if target.sent.len() > MAX_SENT {
-            target.sent.pop_front();
+        if target.in_flight.len() > MAX_TRACKED_REQUESTS {
+            target.in_flight.pop_front();
         }
         if let Some(group) = group.and_then(|key| self.groups.get_mut(key)) {
-            group.sends = Sends {
-                count: group.sends.faded(now) + 1.0,
-                at: now,
+            group.sends = RecentSends {
+                count: group.sends.decayed(now) + 1.0,
+                updated_at: now,
             };
         }
     }
 
-    /// Notes that request `counter` at the target under `key` is over.
+    /// Records the end of request `counter` at the target under `key`.
     pub fn note_ended(&mut self, key: TargetKey, counter: u64, now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let Some(index) = target.sent.iter().position(|sent| sent.counter == counter) else {
+        let Some(index) = target.in_flight.iter().position(|request| request.counter == counter) else {
             return;
         };
-        if let Some(sent) = target.sent.remove(index) {
-            self.holding.observe(now.saturating_sub(sent.at));
+        if let Some(request) = target.in_flight.remove(index) {
+            self.residence_times.observe(now.saturating_sub(request.sent_at));
         }
     }
 
-    /// Notes that the target under `key` could not be reached; it is avoided for a while that doubles each time.
-    pub fn note_failure(&mut self, key: TargetKey, now: Duration) {
-        const FIRST: Duration = Duration::from_millis(500);
+    /// Records that the target under `key` could not be reached; it is avoided for a time that doubles with each
+    /// failure.
+    pub fn record_failure(&mut self, key: TargetKey, now: Duration) {
+        const FIRST_PAUSE: Duration = Duration::from_millis(500);
         const MAX_DOUBLINGS: u32 = 5;
         if let Some(target) = self.targets.get_mut(key) {
-            let pause = FIRST * 2_u32.pow(target.failures.min(MAX_DOUBLINGS));
-            target.failures += 1;
+            let pause = FIRST_PAUSE * 2_u32.pow(target.consecutive_failures.min(MAX_DOUBLINGS));
+            target.consecutive_failures += 1;
             target.avoid_until = now + pause;
         }
     }
 
-    /// Notes that the agent of the target under `key` takes no work at all for `pause`. A load report does not end this: an
-    /// agent reports on and on beside a target that is gone.
-    pub fn note_refusal(&mut self, key: TargetKey, pause: Duration, now: Duration) {
+    /// Records that the agent of the target under `key` rejects all work for `pause`. A load report does not end this,
+    /// because an agent keeps reporting when its target has terminated.
+    pub fn record_rejection(&mut self, key: TargetKey, pause: Duration, now: Duration) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.refuses_until = now + pause;
+            target.rejecting_until = now + pause;
         }
     }
 
-    /// Notes that the target under `key` answers.
-    pub fn note_answer(&mut self, key: TargetKey) {
+    /// Records a response of the target under `key`, which ends a rejection pause.
+    pub fn record_response(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.refuses_until = Duration::ZERO;
+            target.rejecting_until = Duration::ZERO;
         }
     }
 
@@ -399,55 +401,55 @@
         let step_ms = target.load.step_ms;
         let Some(members) = self.groups.get(group) else { return };
         let loads = members.ranks.iter().filter_map(|rank| self.targets.get(*rank));
-        let largest = loads.map(|rank| rank.load.running).max().unwrap_or(0);
+        let largest_load = loads.map(|rank| rank.load.running).max().unwrap_or(0);
         if step_ms <= 0.0 {
             return;
         }
         if let Some(group) = self.groups.get_mut(group) {
-            group.step.observe(f64::from(largest), step_ms);
+            group.step_model.observe(f64::from(largest_load), step_ms);
         }
     }
 }
 
 impl Target {
-    /// Requests of this entry that have not ended. This is known without a lag.
+    /// Requests of this entry that have not ended; known without delay.
     pub fn own_requests(&self) -> f64 {
-        self.sent.len() as f64
+        self.in_flight.len() as f64
     }
 
-    /// Requests of other entries, as last reported; none if nothing was reported yet.
+    /// Last reported requests of other entries; none before the first report.
     pub fn reported_others(&self) -> Option<f64> {
         self.reported_at?;
         let all = self.load.running + self.load.queued;
         Some(f64::from(all.saturating_sub(self.load.own)))
     }
 
-    /// Age of the last report, the way included.
+    /// Age of the last report, including its assumed delivery time.
     pub fn report_age(&self, now: Duration) -> Duration {
-        let reported = self.reported_at.unwrap_or_default();
-        now.saturating_sub(reported) + REPORT_LAG
+        let reported_at = self.reported_at.unwrap_or_default();
+        now.saturating_sub(reported_at) + REPORT_LAG
     }
 
-    /// Requests at the target or on their way there, for a target that is not part of a group.
+    /// Requests at the target or on their way to it, for a target that is not part of a group.
     pub fn expected_requests(&self) -> f64 {
         self.own_requests() + self.reported_others().unwrap_or(0.0)
     }
 
-    /// Prompt tokens that wait for prefill there, with what this entry sent since the report.
+    /// Prompt tokens waiting for prefill, including those of requests that this entry has sent since the report.
     pub fn expected_prefill(&self) -> f64 {
-        let unseen = self.sent.iter().filter(|sent| sent.counter > self.load.seen);
-        let unseen: u32 = unseen.map(|sent| sent.prefill_tokens).sum();
-        f64::from(self.load.prefill_tokens + unseen)
+        let unreported = self.in_flight.iter().filter(|request| request.counter > self.load.seen);
+        let unreported: u32 = unreported.map(|request| request.prefill_tokens).sum();
+        f64::from(self.load.prefill_tokens + unreported)
     }
 
-    /// Whether new work may go there now.
-    pub fn takes_work(&self, now: Duration) -> bool {
-        self.standing == Standing::Live && !self.load.closed && self.address.is_some() && now >= self.usable_at()
+    /// Whether new work may be sent to the target now.
+    pub fn accepts_work(&self, now: Duration) -> bool {
+        self.standing == Standing::Live && !self.load.is_closed && self.address.is_some() && now >= self.usable_at()
     }
 
-    /// When a target that failed or turned work away may be tried again.
+    /// Time from which a target that failed or rejected work may be used again.
     pub fn usable_at(&self) -> Duration {
-        self.avoid_until.max(self.refuses_until)
+        self.avoid_until.max(self.rejecting_until)
     }
 }
 
--- a/crates/sparscale_entry/src/job.rs
+++ b/crates/sparscale_entry/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a target.
+//! A request of a caller and its dispatches to targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use sparscale_wire::{Attempt, AttemptId, Call};
 use tokio::time::Instant;
 
-/// Where a request may go.
+/// Targets that a request may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Pool {
     /// Any rank that serves this model.
     Model(String),
     /// Any target of this service.
     Service(String),
-    /// One incarnation of one target's agent: the one that an idempotency key is bound to.
+    /// The agent incarnation that an idempotency key is bound to.
     Bound {
         /// Name of the target.
         target: String,
@@ -27,7 +27,7 @@
     },
 }
 
-/// A request on its way.
+/// A request with all that its dispatches need.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) workspace: Arc<Workspace>,
@@ -35,28 +35,28 @@
     pub(crate) deadline: Instant,
     pub(crate) repeatable: bool,
     pub(crate) key: Option<BindingKey>,
-    pub(crate) keep: Duration,
+    pub(crate) retention: Duration,
     pub(crate) call: Call,
     pub(crate) pool: Pool,
     pub(crate) route: RouteRequest,
     pub(crate) limits: Limits,
 }
 
-/// One dispatch.
+/// One dispatch of a request to a target.
 #[derive(Debug, Clone)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub(crate) target: TargetKey,
-    pub(crate) name: String,
+    pub(crate) target_name: String,
     pub(crate) address: SocketAddr,
     pub(crate) attempt: AttemptId,
-    /// Incarnation of the agent as last reported before the dispatch; 0 if none was.
+    /// Last incarnation that the agent reported before the dispatch; 0 if unknown.
     pub(crate) incarnation: u64,
 }
 
 impl Job {
-    /// The dispatch as it goes over the wire.
-    pub(crate) fn attempt(&self, sent: &Sent) -> Attempt {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+    /// The dispatch in its wire format.
+    pub(crate) fn attempt(&self, sent: &SentAttempt) -> Attempt {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let incarnation = match &self.pool {
             Pool::Bound { incarnation, .. } => *incarnation,
             Pool::Model(_) | Pool::Service(_) => 0,
@@ -67,10 +67,10 @@
             workspace: self.workspace.name.clone(),
             tier: self.tier,
             weight: self.workspace.weight,
-            deadline_ms: left.as_millis() as u64,
+            deadline_ms: remaining.as_millis() as u64,
             repeatable: self.repeatable,
             key: self.key,
-            keep_seconds: self.keep.as_secs(),
+            keep_seconds: self.retention.as_secs(),
             prompt_tokens: self.route.prompt_tokens,
             answer_tokens: self.route.answer_tokens,
             call: self.call.clone(),
--- a/crates/sparscale_entry/src/limits.rs
+++ b/crates/sparscale_entry/src/limits.rs
@@ -1,46 +1,46 @@
-//! What one entry allows: requests in progress per workspace, and retries.
+//! Limits of one entry: requests in flight per workspace, and retries.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Retries that can be saved up.
-const MAX_RETRIES: f64 = 100.0;
+/// Most retries that the budget can accumulate.
+const MAX_SAVED_RETRIES: f64 = 100.0;
 
-/// Counts requests in progress per workspace.
+/// Counts requests in flight per workspace.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InFlight {
     counts: Arc<Mutex<HashMap<String, u32>>>,
 }
 
-/// One request in progress; it stops counting when this is dropped.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct InFlightGuard {
     counts: Arc<Mutex<HashMap<String, u32>>>,
     workspace: String,
 }
 
 impl InFlight {
-    /// A place for one more request of `workspace`, if fewer than `limit` are in progress.
-    pub(crate) fn enter(&self, workspace: &str, limit: u32) -> Option<Place> {
+    /// Admits one more request of `workspace` if fewer than `limit` are in flight.
+    pub(crate) fn try_enter(&self, workspace: &str, limit: u32) -> Option<InFlightGuard> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(workspace.to_owned()).or_default();
         if *count >= limit {
             return None;
         }
         *count += 1;
-        Some(Place {
+        Some(InFlightGuard {
             counts: Arc::clone(&self.counts),
             workspace: workspace.to_owned(),
         })
     }
 
-    /// Requests in progress of all workspaces.
+    /// Requests in flight of all workspaces.
     pub(crate) fn total(&self) -> u32 {
         lock(&self.counts).values().sum()
     }
 }
 
-impl Drop for Place {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut counts = lock(&self.counts);
         if let Some(count) = counts.get_mut(&self.workspace) {
@@ -52,27 +52,29 @@
     }
 }
 
-/// Retries come out of a budget that first attempts fill, so that retries never multiply an overload. A new process has none:
-/// one that ends over and over under an overload would bring some with each start.
+/// Budget of retries that is filled by first attempts, so that retries cannot multiply an overload.
+///
+/// A new process starts with an empty budget: a process that an overload terminates again and again would otherwise add
+/// retries with each restart.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    saved: Mutex<f64>,
+    balance: Mutex<f64>,
 }
 
 impl RetryBudget {
-    /// Notes a first attempt, which earns `percent` of a retry.
-    pub fn earn(&self, percent: u32) {
-        let mut saved = lock(&self.saved);
-        *saved = (*saved + f64::from(percent) / 100.0).min(MAX_RETRIES);
+    /// Records a first attempt, which adds `percent` of a retry to the budget.
+    pub fn record_request(&self, percent: u32) {
+        let mut balance = lock(&self.balance);
+        *balance = (*balance + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
     }
 
-    /// Spends one retry, if there is one.
-    pub fn spend(&self) -> bool {
-        let mut saved = lock(&self.saved);
-        if *saved < 1.0 {
+    /// Takes one retry from the budget; returns false if there is none.
+    pub fn try_spend(&self) -> bool {
+        let mut balance = lock(&self.balance);
+        if *balance < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *balance -= 1.0;
         true
     }
 }
