--- a/crates/sparscale_agent/src/connection.rs
+++ b/crates/sparscale_agent/src/connection.rs
@@ -1,4 +1,4 @@
-//! Streams that other processes open.
+//! Serves the streams that entries, placers and followers open to this agent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,81 +9,81 @@
     StreamError,
 };
 
-use crate::answer::Answer;
-use crate::core::{Begun, Core};
-use crate::order::Orders;
+use crate::core::{AttemptStart, Core};
+use crate::order::OrderForwarder;
+use crate::response_buffer::ResponseBuffer;
 
-/// Bounds of the time between two load reports to one entry, in milliseconds; the entry chooses.
-const LOAD_PAUSE_MS: std::ops::RangeInclusive<u64> = 100..=10_000;
+/// Allowed interval between two load reports to one entry; the entry requests a value within it.
+const LOAD_INTERVAL_MS: std::ops::RangeInclusive<u64> = 100..=10_000;
 
-/// Everything that streams need.
-pub(crate) struct Service {
+/// State shared by all streams.
+pub(crate) struct StreamContext {
     pub(crate) core: Arc<Core>,
     pub(crate) journal: Arc<Journal>,
-    pub(crate) orders: Orders,
+    pub(crate) orders: OrderForwarder,
 }
 
 /// Accepts connections until the endpoint closes.
-pub(crate) async fn accept(service: Arc<Service>, endpoint: Arc<Endpoint>) {
+pub(crate) async fn accept(context: Arc<StreamContext>, endpoint: Arc<Endpoint>) {
     while let Ok(incoming) = endpoint.accept().await {
-        let service = Arc::clone(&service);
+        let context = Arc::clone(&context);
         tokio::spawn(async move {
             match incoming.establish().await {
-                Ok(peer) => serve_peer(service, peer).await,
-                Err(error) => refused_connection(&error),
+                Ok(peer) => serve_peer(context, peer).await,
+                Err(error) => log_rejected_connection(&error),
             }
         });
     }
 }
 
-fn refused_connection(error: &EndpointError) {
-    log::warn!(target: sparscale_telemetry::ALARM, alarm = "connection_refused", error = error.to_string().as_str(); "a connection was refused");
+fn log_rejected_connection(error: &EndpointError) {
+    log::warn!(target: sparscale_telemetry::ALARM, alarm = "connection_refused", error = error.to_string().as_str(); "could not accept an incoming connection");
 }
 
-async fn serve_peer(service: Arc<Service>, peer: Peer) {
+async fn serve_peer(context: Arc<StreamContext>, peer: Peer) {
     while let Ok(channel) = peer.accept().await {
-        let service = Arc::clone(&service);
+        let context = Arc::clone(&context);
         let role = peer.role;
         tokio::spawn(async move {
-            if let Err(error) = serve_stream(&service, role, channel).await {
-                log::debug!(error = error.to_string().as_str(); "a stream ended early");
+            if let Err(error) = serve_stream(&context, role, channel).await {
+                log::debug!(error = error.to_string().as_str(); "a stream ended before its last frame");
             }
         });
     }
 }
 
-async fn serve_stream(service: &Arc<Service>, role: Role, mut channel: Channel) -> Result<(), StreamError> {
+async fn serve_stream(context: &Arc<StreamContext>, role: Role, mut channel: Channel) -> Result<(), StreamError> {
     let Frame::Ask(ask) = channel.receiver.receive().await? else {
         return Err(StreamError::Unexpected);
     };
     let mut sender = channel.sender;
     match ask {
         Ask::Follow { head, version } => {
-            return serve_follower(Arc::clone(&service.journal), head, version, sender).await;
+            return serve_follower(Arc::clone(&context.journal), head, version, sender).await;
         }
         Ask::Exchange | Ask::Conduct { .. } | Ask::Leader { .. } => return Err(StreamError::Unexpected),
         _ if role != Role::Entry => return Err(StreamError::Unexpected),
         Ask::Attempt(attempt) => {
             let id = attempt.id;
-            let begun = service.core.begin(*attempt);
-            send_begun(begun, id, &mut sender).await?;
+            let start = context.core.start_attempt(*attempt);
+            send_start(start, id, &mut sender).await?;
         }
-        Ask::Resume { attempt, from } => resume(&service.core, attempt, from, &mut sender).await?,
+        Ask::Resume { attempt, from } => resume(&context.core, attempt, from, &mut sender).await?,
         Ask::Settle { attempt, incarnation } => {
-            let settlement = service.core.settle_for(attempt, incarnation);
+            let settlement = context.core.settle_for(attempt, incarnation);
             sender.send(&Frame::Settlement(settlement)).await?;
         }
-        Ask::Cancel(attempt) => service.core.cancel(attempt).await,
-        Ask::Watch { entry, interval_ms } => return watch(&service.core, entry, interval_ms, &mut sender).await,
+        Ask::Cancel(attempt) => context.core.cancel(attempt).await,
+        Ask::Watch { entry, interval_ms } => return report_load(&context.core, entry, interval_ms, &mut sender).await,
         Ask::Order { group, order } => {
-            let report = service.orders.carry_out(&group, &order).await;
+            let report = context.orders.forward(&group, &order).await;
             if let Some(report) = report {
                 sender.send(&Frame::Report(report)).await?;
             }
         }
-        Ask::Ping => sender.send(&Frame::Pong(service.core.incarnation)).await?,
+        Ask::Ping => sender.send(&Frame::Pong(context.core.incarnation)).await?,
         Ask::Experts => {
-            let tokens = service.core.engine().expert_tokens().await.unwrap_or_default();
+            let tokens = context.core.engine().expert_tokens().await.unwrap_or_default();
             sender.send(&Frame::Experts(tokens)).await?;
         }
     }
@@ -92,27 +92,32 @@
     Ok(())
 }
 
-async fn send_begun(begun: Begun, id: AttemptId, sender: &mut Sender) -> Result<(), StreamError> {
-    match begun {
-        Begun::Answer(answer) => send_answer(&answer, id, 0, sender).await,
-        Begun::Refused(refusal) => send_part(id, Part::Refused(refusal), sender).await,
-        Begun::Unknown(message) => send_part(id, Part::Failed(Failure::Unknown { message }), sender).await,
+async fn send_start(start: AttemptStart, id: AttemptId, sender: &mut Sender) -> Result<(), StreamError> {
+    match start {
+        AttemptStart::Response(buffer) => send_response(&buffer, id, 0, sender).await,
+        AttemptStart::Rejected(refusal) => send_part(id, Part::Refused(refusal), sender).await,
+        AttemptStart::Unknown(message) => send_part(id, Part::Failed(Failure::Unknown { message }), sender).await,
     }
 }
 
 async fn resume(core: &Core, id: AttemptId, from: u64, sender: &mut Sender) -> Result<(), StreamError> {
-    if let Some(answer) = core.resume(id) {
-        return send_answer(&answer, id, from, sender).await;
+    if let Some(buffer) = core.buffered_response(id) {
+        return send_response(&buffer, id, from, sender).await;
     }
     let message = "the answer is not kept here".to_owned();
     send_part(id, Part::Failed(Failure::Unknown { message }), sender).await
 }
 
-/// Sends an answer from chunk `from` on, under the id that the receiver waits for.
-async fn send_answer(answer: &Answer, id: AttemptId, from: u64, sender: &mut Sender) -> Result<(), StreamError> {
-    let _reading = answer.attach();
+/// Sends a response, starting at chunk `from`, under the attempt id that the receiver expects.
+async fn send_response(
+    buffer: &ResponseBuffer,
+    id: AttemptId,
+    from: u64,
+    sender: &mut Sender,
+) -> Result<(), StreamError> {
+    let _reader = buffer.attach();
     let mut index = 0;
-    while let Some(part) = answer.part(index).await {
+    while let Some(part) = buffer.part(index).await {
         index += 1;
         if matches!(&part, Part::Chunk(chunk) if chunk.sequence < from) {
             continue;
@@ -126,21 +131,22 @@
     sender.send(&Frame::Answer(AnswerFrame { attempt, part })).await
 }
 
-/// Reports load whenever it changes, as often as the entry asked for; that the agent refuses new work is said at once.
-async fn watch(core: &Core, entry: u64, interval_ms: u64, sender: &mut Sender) -> Result<(), StreamError> {
-    let pause = Duration::from_millis(interval_ms.clamp(*LOAD_PAUSE_MS.start(), *LOAD_PAUSE_MS.end()));
-    let mut closings = core.closings();
+/// Reports load changes at the interval that the entry requested; a change of whether the agent accepts new work is
+/// reported immediately.
+async fn report_load(core: &Core, entry: u64, interval_ms: u64, sender: &mut Sender) -> Result<(), StreamError> {
+    let interval = Duration::from_millis(interval_ms.clamp(*LOAD_INTERVAL_MS.start(), *LOAD_INTERVAL_MS.end()));
+    let mut availability = core.subscribe_availability();
     let mut last = None;
     loop {
-        closings.mark_unchanged();
+        availability.mark_unchanged();
         let load = core.load(entry);
         if last != Some(load) {
             sender.send(&Frame::Load(load)).await?;
             last = Some(load);
         }
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            changed = closings.changed() => if changed.is_err() { return Ok(()) },
+            () = tokio::time::sleep(interval) => {}
+            changed = availability.changed() => if changed.is_err() { return Ok(()) },
             () = sender.stopped() => return Ok(()),
         }
     }
--- a/crates/sparscale_agent/src/core.rs
+++ b/crates/sparscale_agent/src/core.rs
@@ -1,4 +1,5 @@
-//! The agent's state and what happens to each request: ledger, queue, buffered answers.
+//! Processes each attempt that entries send: admission by ledger and queue, dispatch to the target, and the buffered
+//! response. A rejected attempt leaves a tombstone in the ledger, so that a copy which arrives later doesn't run either.
 
 mod state;
 
@@ -15,40 +16,42 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::answer::Answer;
 use crate::engine::{CallError, Engine, EngineLoad};
-use crate::intake::Intake;
-use state::{Earlier, Held, State, bind, closed_for, is_abandoned, is_over, ledger_id, note_seen};
-
-/// Time after its deadline for which an attempt stays in the ledger.
-const KEEP_AFTER_DEADLINE: Duration = Duration::from_mins(1);
-/// When to come back to an agent that is going away: at once, another one takes the request.
+use crate::response_buffer::ResponseBuffer;
+use crate::throttle::TargetThrottle;
+use state::{
+    AttemptRecord, EarlierUse, State, bind_key, is_abandoned, is_expired, ledger_id, record_counter, wait_past_deadline,
+};
+
+/// Time for which the ledger keeps an attempt after its deadline.
+const RETENTION_AFTER_DEADLINE: Duration = Duration::from_mins(1);
+/// Retry delay for requests rejected by a draining agent; short, because another agent accepts the request.
 const DRAIN_RETRY_MS: u64 = 100;
-/// When to come back to a target that cannot be reached.
-const DOWN_RETRY_MS: u64 = 1_000;
-
-/// How one attempt begins.
-pub(crate) enum Begun {
-    /// Its answer, from the start.
-    Answer(Arc<Answer>),
-    /// It was not handed on.
-    Refused(Refusal),
-    /// Nobody can tell whether it ran.
+/// Retry delay for requests to a target that can't be reached.
+const UNREACHABLE_RETRY_MS: u64 = 1_000;
+
+/// Outcome of the start of an attempt.
+pub(crate) enum AttemptStart {
+    /// The response, buffered from its first part on.
+    Response(Arc<ResponseBuffer>),
+    /// The attempt wasn't dispatched to the target.
+    Rejected(Refusal),
+    /// The agent can't determine whether the attempt ran.
     Unknown(String),
 }
 
-/// Pauses before each look at whether a target has ended under a request: a process that ends closes its connections first,
-/// its socket a moment later. Only answers that broke off wait for this.
-const END_PAUSES: [Duration; 3] = [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(150)];
+/// Delays before each check whether the target's process has ended during a request. A process that ends closes its
+/// connections before its listening socket, so one check isn't enough. Only incomplete responses wait for these checks.
+const EXIT_CHECK_DELAYS: [Duration; 3] = [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(150)];
 
-/// The agent's core.
+/// State of the agent, and the operations on it.
 pub(crate) struct Core {
     pub(crate) incarnation: u64,
     state: Mutex<State>,
     engine: Arc<dyn Engine>,
     metrics: Metrics,
-    started: Instant,
-    changed: watch::Sender<()>,
+    started_at: Instant,
+    availability_changed: watch::Sender<()>,
 }
 
 impl Core {
@@ -58,25 +61,25 @@
             waiting: 0,
             floor_one_in: 0,
         };
-        let (changed, _) = watch::channel(());
+        let (availability_changed, _) = watch::channel(());
         Self {
             incarnation,
             state: Mutex::new(State {
                 ledger: Ledger::new(ledger_entries),
                 queue: Queue::new(limits),
                 attempts: HashMap::new(),
-                seen: HashMap::new(),
-                in_progress: HashMap::new(),
-                draining: false,
-                listening: false,
-                ready: false,
+                highest_counters: HashMap::new(),
+                in_progress_by_entry: HashMap::new(),
+                is_draining: false,
+                is_listening: false,
+                is_ready: false,
                 engine_load: EngineLoad::default(),
-                intake: Intake::new(),
+                throttle: TargetThrottle::new(),
             }),
             engine,
             metrics,
-            started: Instant::now(),
-            changed,
+            started_at: Instant::now(),
+            availability_changed,
         }
     }
 
@@ -84,55 +87,55 @@
         &self.engine
     }
 
-    /// Uses the limits of the bundle in force.
+    /// Sets the limits of the active bundle; the agent rejects requests until this is called once.
     pub(crate) fn set_limits(&self, limits: queue::Limits) {
         let mut state = self.lock();
         state.queue.set_limits(limits);
-        state.ready = true;
+        state.is_ready = true;
     }
 
     pub(crate) fn set_engine_load(&self, load: EngineLoad) {
         self.lock().engine_load = load;
     }
 
-    /// Refuses new work from now on; entries that watch are told at once.
+    /// Rejects new requests from now on, and notifies subscribed entries immediately.
     pub(crate) fn drain(&self) {
-        self.lock().draining = true;
-        self.changed.send_replace(());
+        self.lock().is_draining = true;
+        self.availability_changed.send_replace(());
     }
 
-    /// Tells when the agent begins or ceases to refuse new work.
-    pub(crate) fn closings(&self) -> watch::Receiver<()> {
-        self.changed.subscribe()
+    /// Subscribes to changes of whether the agent accepts new requests.
+    pub(crate) fn subscribe_availability(&self) -> watch::Receiver<()> {
+        self.availability_changed.subscribe()
     }
 
-    /// Whether the target listened when it was last looked at.
+    /// Returns whether the target listened at the last check.
     pub(crate) fn is_listening(&self) -> bool {
-        self.lock().listening
+        self.lock().is_listening
     }
 
-    /// Notes whether the target listens; entries that watch are told at once.
-    pub(crate) fn set_listening(&self, listening: bool) {
-        self.note_listening(&mut self.lock(), listening);
+    /// Records whether the target listens, and notifies subscribed entries immediately of a change.
+    pub(crate) fn set_listening(&self, is_listening: bool) {
+        self.record_listening(&mut self.lock(), is_listening);
     }
 
-    fn note_listening(&self, state: &mut State, listening: bool) {
-        if state.listening == listening {
+    fn record_listening(&self, state: &mut State, is_listening: bool) {
+        if state.is_listening == is_listening {
             return;
         }
-        state.listening = listening;
-        if listening {
-            state.intake.begin();
+        state.is_listening = is_listening;
+        if is_listening {
+            state.throttle.reset();
         }
-        log::info!(target: DECISION, decision = "target", listening; "the target began or ceased to listen");
-        self.changed.send_replace(());
+        log::info!(target: DECISION, decision = "target", listening = is_listening; "the target has started or stopped listening");
+        self.availability_changed.send_replace(());
     }
 
-    /// Whether nothing listens at the target's address any more.
-    async fn has_ended(&self) -> bool {
-        for pause in END_PAUSES {
-            tokio::time::sleep(pause).await;
-            if !self.engine.listens().await {
+    /// Checks several times whether the target has stopped listening, which means that its process has ended.
+    async fn has_target_ended(&self) -> bool {
+        for delay in EXIT_CHECK_DELAYS {
+            tokio::time::sleep(delay).await;
+            if !self.engine.is_listening().await {
                 self.set_listening(false);
                 return true;
             }
@@ -140,47 +143,47 @@
         false
     }
 
-    /// Requests that wait or run.
-    pub(crate) fn in_progress(&self) -> usize {
+    /// Number of requests that are queued or running.
+    pub(crate) fn in_progress_count(&self) -> usize {
         let state = self.lock();
         state.queue.waiting() + state.queue.running()
     }
 
-    /// Load as told to the entry with this incarnation.
+    /// Load report for the entry with this incarnation.
     pub(crate) fn load(&self, entry: u64) -> Load {
         self.load_of(&self.lock(), entry)
     }
 
-    /// Takes an attempt in, or refuses it at once.
-    pub(crate) fn begin(self: &Arc<Self>, attempt: Attempt) -> Begun {
-        let begun = self.admit(attempt);
+    /// Admits an attempt or rejects it, and dispatches queued requests that the target has capacity for.
+    pub(crate) fn start_attempt(self: &Arc<Self>, attempt: Attempt) -> AttemptStart {
+        let start = self.admit(attempt);
         self.dispatch();
-        begun
+        start
     }
 
-    fn admit(self: &Arc<Self>, attempt: Attempt) -> Begun {
+    fn admit(self: &Arc<Self>, attempt: Attempt) -> AttemptStart {
         let now = self.now();
         let id = attempt.id;
         let mut state = self.lock();
-        note_seen(&mut state.seen, id);
-        if let Some(reason) = self.refusal_before_entry(&state, &attempt) {
-            return self.refuse(&mut state, id, reason, DRAIN_RETRY_MS);
+        record_counter(&mut state.highest_counters, id);
+        if let Some(reason) = self.reason_to_reject(&state, &attempt) {
+            return self.reject(&mut state, id, reason, DRAIN_RETRY_MS);
         }
-        if let Some(opens_in) = closed_for(&state, &attempt) {
-            return self.refuse(&mut state, id, RefusalReason::Closed, whole_ms(opens_in));
+        if let Some(wait) = wait_past_deadline(&state, &attempt) {
+            return self.reject(&mut state, id, RefusalReason::Closed, whole_ms(wait));
         }
         let deadline = now + Duration::from_millis(attempt.deadline_ms);
-        let keep = Duration::from_secs(attempt.keep_seconds).max(KEEP_AFTER_DEADLINE);
-        match state.ledger.enter(ledger_id(id), deadline + keep, now) {
+        let retention = Duration::from_secs(attempt.keep_seconds).max(RETENTION_AFTER_DEADLINE);
+        match state.ledger.enter(ledger_id(id), deadline + retention, now) {
             Ok(()) => {}
-            Err(refusal) => return self.refuse_entry(&state, id, refusal),
+            Err(refusal) => return self.reject_known(&state, id, refusal),
         }
-        if let Some(earlier) = bind(&mut state, &attempt) {
-            // The attempt itself was not handed on and never will be: the earlier one answers for it.
-            state.ledger.settle(ledger_id(id), deadline + keep, now);
+        if let Some(earlier) = bind_key(&mut state, &attempt) {
+            // This attempt never runs: it gets the response of the earlier attempt with the same key.
+            state.ledger.settle(ledger_id(id), deadline + retention, now);
             return match earlier {
-                Earlier::Attempt(earlier) => kept_answer(&state, earlier),
-                Earlier::OtherBody => Begun::Refused(self.refusal(&state, id, RefusalReason::KeyReused, 0)),
+                EarlierUse::Attempt(earlier) => buffered_response(&state, earlier),
+                EarlierUse::OtherBody => AttemptStart::Rejected(self.refusal(&state, id, RefusalReason::KeyReused, 0)),
             };
         }
         let job = queue::Job {
@@ -196,54 +199,54 @@
                 if let Some(displaced) = admission.displaced {
                     self.displace(&mut state, displaced);
                 }
-                let answer = Arc::new(Answer::new());
-                let held = Held {
+                let buffer = Arc::new(ResponseBuffer::new());
+                let record = AttemptRecord {
                     attempt: Arc::new(attempt),
-                    answer: Arc::clone(&answer),
-                    keep_until: Instant::now() + keep,
+                    response: Arc::clone(&buffer),
+                    keep_until: Instant::now() + retention,
                 };
-                state.attempts.insert(id, held);
-                *state.in_progress.entry(id.entry).or_default() += 1;
-                Begun::Answer(answer)
+                state.attempts.insert(id, record);
+                *state.in_progress_by_entry.entry(id.entry).or_default() += 1;
+                AttemptStart::Response(buffer)
             }
             Err(queue::Refusal::Full { retry_after }) => {
-                self.refuse(&mut state, id, RefusalReason::QueueFull, whole_ms(retry_after))
+                self.reject(&mut state, id, RefusalReason::QueueFull, whole_ms(retry_after))
             }
             Err(queue::Refusal::TooLate { retry_after }) => {
-                self.refuse(&mut state, id, RefusalReason::TooLate, whole_ms(retry_after))
+                self.reject(&mut state, id, RefusalReason::TooLate, whole_ms(retry_after))
             }
         }
     }
 
-    fn refusal_before_entry(&self, state: &State, attempt: &Attempt) -> Option<RefusalReason> {
+    fn reason_to_reject(&self, state: &State, attempt: &Attempt) -> Option<RefusalReason> {
         if attempt.incarnation != 0 && attempt.incarnation != self.incarnation {
             return Some(RefusalReason::OtherIncarnation);
         }
-        if !state.ready {
+        if !state.is_ready {
             return Some(RefusalReason::NotReady);
         }
-        // A re-send under a key that is bound here asks for an answer, not for work.
-        let bound = attempt
+        // A retry under a key that is bound here needs no new work, only the response of the earlier attempt.
+        let is_bound = attempt
             .key
             .is_some_and(|key| state.ledger.bound(key.as_bytes()).is_some());
-        (state.draining && !bound).then_some(RefusalReason::Draining)
+        (state.is_draining && !is_bound).then_some(RefusalReason::Draining)
     }
 
-    /// Refuses with a tombstone, so that a late copy of the attempt is refused, too.
-    fn refuse(&self, state: &mut State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) -> Begun {
+    /// Rejects an attempt and leaves a tombstone, so that a copy which arrives later is rejected too.
+    fn reject(&self, state: &mut State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) -> AttemptStart {
         let now = self.now();
-        let settled = state.ledger.settle(ledger_id(id), now + KEEP_AFTER_DEADLINE, now);
+        let settled = state.ledger.settle(ledger_id(id), now + RETENTION_AFTER_DEADLINE, now);
         match settled {
-            Some(ledger::State::Tombstone) => Begun::Refused(self.refusal(state, id, reason, retry_after_ms)),
-            Some(_) => Begun::Unknown("the attempt was handed on before".to_owned()),
-            // Without room for a tombstone, nothing was handed on either, but a copy could still come.
-            None => Begun::Unknown("the ledger has no room for a proof".to_owned()),
+            Some(ledger::State::Tombstone) => AttemptStart::Rejected(self.refusal(state, id, reason, retry_after_ms)),
+            Some(_) => AttemptStart::Unknown("the attempt was handed on before".to_owned()),
+            // The ledger is full: the attempt wasn't dispatched, but without a tombstone a later copy could run.
+            None => AttemptStart::Unknown("the ledger has no room for a proof".to_owned()),
         }
     }
 
     fn refusal(&self, state: &State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) -> Refusal {
         self.metrics.count("attempt.refused");
-        log::info!(target: DECISION, decision = "refuse", attempt = id.to_string().as_str(), reason:? = reason, retry_after_ms, queued = state.queue.waiting(), running = state.queue.running(); "refused");
+        log::info!(target: DECISION, decision = "refuse", attempt = id.to_string().as_str(), reason:? = reason, retry_after_ms, queued = state.queue.waiting(), running = state.queue.running(); "rejected an attempt");
         Refusal {
             reason,
             retry_after_ms,
@@ -251,86 +254,91 @@
         }
     }
 
-    fn refuse_entry(&self, state: &State, id: AttemptId, refusal: ledger::Refusal) -> Begun {
+    fn reject_known(&self, state: &State, id: AttemptId, refusal: ledger::Refusal) -> AttemptStart {
         match refusal {
             ledger::Refusal::Known {
                 state: ledger::State::Tombstone,
-            } => Begun::Refused(self.refusal(state, id, RefusalReason::Tombstone, 0)),
-            ledger::Refusal::Known { .. } => kept_answer(state, id),
-            ledger::Refusal::Forgotten => Begun::Unknown("the attempt is older than the ledger remembers".to_owned()),
-            // Not entered means not handed on, now; a copy that comes later meets the same ledger or runs first.
-            ledger::Refusal::Full => Begun::Refused(self.refusal(state, id, RefusalReason::LedgerFull, DOWN_RETRY_MS)),
+            } => AttemptStart::Rejected(self.refusal(state, id, RefusalReason::Tombstone, 0)),
+            ledger::Refusal::Known { .. } => buffered_response(state, id),
+            ledger::Refusal::Forgotten => {
+                AttemptStart::Unknown("the attempt is older than the ledger remembers".to_owned())
+            }
+            // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too, or is the first to run.
+            ledger::Refusal::Full => {
+                AttemptStart::Rejected(self.refusal(state, id, RefusalReason::LedgerFull, UNREACHABLE_RETRY_MS))
+            }
         }
     }
 
     fn displace(&self, state: &mut State, id: AttemptId) {
         let wait = state.queue.expected_wait(u8::MAX, 1.0);
-        self.refuse_waiting(state, id, RefusalReason::QueueFull, whole_ms(wait));
+        self.reject_queued(state, id, RefusalReason::QueueFull, whole_ms(wait));
     }
 
-    /// Refuses a request that was taken out of the queue.
-    fn refuse_waiting(&self, state: &mut State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) {
+    /// Rejects a request that was removed from the queue.
+    fn reject_queued(&self, state: &mut State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) {
         let now = self.now();
-        state.ledger.settle(ledger_id(id), now + KEEP_AFTER_DEADLINE, now);
-        state.leave(id);
+        state.ledger.settle(ledger_id(id), now + RETENTION_AFTER_DEADLINE, now);
+        state.record_end(id);
         let refusal = self.refusal(state, id, reason, retry_after_ms);
-        if let Some(held) = state.attempts.get(&id) {
-            held.answer.push(Part::Refused(refusal));
+        if let Some(record) = state.attempts.get(&id) {
+            record.response.push(Part::Refused(refusal));
         }
     }
 
-    /// Hands on whatever has a free place.
+    /// Dispatches queued requests to the target until it has no free slot or accepts no more for now.
     fn dispatch(self: &Arc<Self>) {
         let mut state = self.lock();
-        let mut expired = Vec::new();
+        let mut expired_ids = Vec::new();
         loop {
-            if state.queue.waiting() > 0 && !state.queue.is_busy() && !self.takes_one(&mut state) {
+            if state.queue.waiting() > 0 && !state.queue.is_busy() && !self.try_acquire(&mut state) {
                 return;
             }
-            let job = state.queue.next(self.now(), &mut expired);
-            for id in std::mem::take(&mut expired) {
-                self.refuse_waiting(&mut state, id, RefusalReason::TooLate, DRAIN_RETRY_MS);
+            let job = state.queue.next(self.now(), &mut expired_ids);
+            for id in std::mem::take(&mut expired_ids) {
+                self.reject_queued(&mut state, id, RefusalReason::TooLate, DRAIN_RETRY_MS);
             }
             let Some(job) = job else { return };
-            let held = state.attempts.get(&job.key);
-            let held = held.map(|held| (Arc::clone(&held.attempt), Arc::clone(&held.answer)));
-            if let Some((attempt, answer)) = held
+            let record = state.attempts.get(&job.key);
+            let record = record.map(|record| (Arc::clone(&record.attempt), Arc::clone(&record.response)));
+            if let Some((attempt, buffer)) = record
                 && state.ledger.hand_on(ledger_id(job.key))
             {
                 log::info!(target: DECISION, decision = "hand_on", attempt = job.key.to_string().as_str(), tier = job.tier, workspace = job.workspace.as_str(), queued = state.queue.waiting(), running = state.queue.running(); "handed on");
-                tokio::spawn(Arc::clone(self).run(attempt, answer, job.cost));
+                tokio::spawn(Arc::clone(self).run(attempt, buffer, job.cost));
             } else {
-                // It was settled while it waited; whoever reads its answer must hear so.
+                // The attempt was settled while it was queued: readers of its response must be notified that it never runs.
                 state.queue.gave_up_place();
-                self.refuse_waiting(&mut state, job.key, RefusalReason::Tombstone, 0);
+                self.reject_queued(&mut state, job.key, RefusalReason::Tombstone, 0);
             }
         }
     }
 
-    /// Whether the target takes a request now; else this is asked again when it does.
-    fn takes_one(self: &Arc<Self>, state: &mut State) -> bool {
-        if state.intake.take() {
+    /// Returns whether the target accepts a request now; if not, schedules another dispatch for when it does.
+    fn try_acquire(self: &Arc<Self>, state: &mut State) -> bool {
+        if state.throttle.try_acquire() {
             return true;
         }
-        if let Some(opens_in) = state.intake.wake_in() {
+        if let Some(time_until_open) = state.throttle.schedule_wakeup() {
             let core = Arc::clone(self);
             tokio::spawn(async move {
-                tokio::time::sleep(opens_in).await;
-                core.lock().intake.woken();
+                tokio::time::sleep(time_until_open).await;
+                core.lock().throttle.clear_wakeup();
                 core.dispatch();
             });
         }
         false
     }
 
-    /// Takes in what an answer of the target asks; entries that watch are told at once, and again when it takes requests.
-    fn hear(self: &Arc<Self>, signal: Signal) {
-        let opens_in = {
+    /// Records the limits stated by a response of the target. Subscribed entries are notified of a change immediately, and
+    /// again when the target accepts requests.
+    fn record_signal(self: &Arc<Self>, signal: Signal) {
+        let time_until_open = {
             let mut state = self.lock();
-            if !state.intake.hear(signal) {
+            if !state.throttle.record_signal(signal) {
                 return;
             }
-            state.intake.opens_in()
+            state.throttle.time_until_open()
         };
         log::info!(
             target: DECISION,
@@ -338,52 +346,52 @@
             per_second = signal.rate.value().map(Rate::per_second),
             rest_ms = signal.rest.map(whole_ms),
             leaving = signal.leaving;
-            "the target limits its rate, ceases to, wants rest, or leaves"
+            "the target changed its rate limit, requested a backoff, or announced that it is draining"
         );
-        self.changed.send_replace(());
-        if let Some(opens_in) = opens_in {
+        self.availability_changed.send_replace(());
+        if let Some(time_until_open) = time_until_open {
             let core = Arc::clone(self);
             tokio::spawn(async move {
-                tokio::time::sleep(opens_in).await;
-                core.changed.send_replace(());
+                tokio::time::sleep(time_until_open).await;
+                core.availability_changed.send_replace(());
             });
         }
     }
 
-    async fn run(self: Arc<Self>, attempt: Arc<Attempt>, answer: Arc<Answer>, cost: f64) {
-        let began = Instant::now();
-        let deadline = began + Duration::from_millis(attempt.deadline_ms);
-        let ran = tokio::time::timeout_at(deadline, self.call(&attempt, &answer)).await;
-        let result = ran.unwrap_or_else(|_elapsed| {
+    async fn run(self: Arc<Self>, attempt: Arc<Attempt>, buffer: Arc<ResponseBuffer>, cost: f64) {
+        let started_at = Instant::now();
+        let deadline = started_at + Duration::from_millis(attempt.deadline_ms);
+        let outcome = tokio::time::timeout_at(deadline, self.call(&attempt, &buffer)).await;
+        let result = outcome.unwrap_or_else(|_elapsed| {
             Err(CallError::Lost {
                 message: "the deadline passed".to_owned(),
             })
         });
         if result.is_err() && attempt.repeatable {
-            // The target may still work on it; a cancel that fails costs only that work.
+            // The target may still be working on the request. A cancel that fails only wastes that work.
             let _cancelled = self.engine.cancel(&attempt.id.to_string()).await;
         }
-        let ended = matches!(result, Err(CallError::Lost { .. })) && self.has_ended().await;
-        self.finish(&attempt, &answer, result, ended, cost, began.elapsed());
+        let has_target_ended = matches!(result, Err(CallError::Lost { .. })) && self.has_target_ended().await;
+        self.finish(&attempt, &buffer, result, has_target_ended, cost, started_at.elapsed());
         self.dispatch();
     }
 
-    async fn call(self: &Arc<Self>, attempt: &Attempt, answer: &Answer) -> Result<u64, CallError> {
-        let mut started = self.engine.call(attempt).await?;
-        self.hear(started.signal);
-        answer.push(Part::Head(Head {
-            status: started.status,
-            content_type: started.content_type,
+    async fn call(self: &Arc<Self>, attempt: &Attempt, buffer: &ResponseBuffer) -> Result<u64, CallError> {
+        let mut response = self.engine.call(attempt).await?;
+        self.record_signal(response.signal);
+        buffer.push(Part::Head(Head {
+            status: response.status,
+            content_type: response.content_type,
             incarnation: self.incarnation,
             load: self.load(attempt.id.entry),
         }));
         let mut sequence = 0;
-        while let Some(data) = started.chunks.next().await {
+        while let Some(data) = response.chunks.next().await {
             let data = data?;
-            answer.push(Part::Chunk(Chunk { sequence, data }));
+            buffer.push(Part::Chunk(Chunk { sequence, data }));
             sequence += 1;
-            if answer.has_ended() {
-                // Cancelled meanwhile.
+            if buffer.has_ended() {
+                // The attempt was cancelled.
                 return Ok(sequence);
             }
         }
@@ -393,16 +401,16 @@
     fn finish(
         &self,
         attempt: &Attempt,
-        answer: &Answer,
+        buffer: &ResponseBuffer,
         result: Result<u64, CallError>,
-        ended: bool,
+        has_target_ended: bool,
         cost: f64,
-        held: Duration,
+        residence: Duration,
     ) {
         let mut state = self.lock();
-        state.queue.finished(cost, held);
-        state.leave(attempt.id);
-        self.metrics.time("attempt.held", held);
+        state.queue.finished(cost, residence);
+        state.record_end(attempt.id);
+        self.metrics.time("attempt.held", residence);
         let part = match result {
             Ok(chunks) => {
                 state.ledger.end(ledger_id(attempt.id));
@@ -411,14 +419,14 @@
             }
             Err(CallError::NotSent { message }) => {
                 state.ledger.take_back(ledger_id(attempt.id));
-                self.note_listening(&mut state, false);
-                log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(); "the target cannot be reached");
-                Part::Refused(self.refusal(&state, attempt.id, RefusalReason::TargetDown, DOWN_RETRY_MS))
+                self.record_listening(&mut state, false);
+                log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(); "the target cannot be reached; check that it is running");
+                Part::Refused(self.refusal(&state, attempt.id, RefusalReason::TargetDown, UNREACHABLE_RETRY_MS))
             }
             Err(CallError::Lost { message }) => {
                 state.ledger.end(ledger_id(attempt.id));
-                log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(), ended; "no whole answer from the target");
-                let failure = if ended {
+                log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(), ended = has_target_ended; "the target sent no complete response");
+                let failure = if has_target_ended {
                     Failure::Ended { message }
                 } else {
                     Failure::Unknown { message }
@@ -426,18 +434,18 @@
                 Part::Failed(failure)
             }
         };
-        answer.push(part);
+        buffer.push(part);
     }
 
-    /// The buffered answer of an earlier attempt.
-    pub(crate) fn resume(&self, id: AttemptId) -> Option<Arc<Answer>> {
+    /// Returns the buffered response of an earlier attempt.
+    pub(crate) fn buffered_response(&self, id: AttemptId) -> Option<Arc<ResponseBuffer>> {
         let state = self.lock();
-        state.attempts.get(&id).map(|held| Arc::clone(&held.answer))
+        state.attempts.get(&id).map(|record| Arc::clone(&record.response))
     }
 
-    /// What became of an attempt that was sent to agent incarnation `incarnation`.
+    /// Returns the outcome of an attempt that was sent to the agent incarnation `incarnation`.
     ///
-    /// What an earlier incarnation did is not known here, so nothing may be called not run.
+    /// This incarnation doesn't know what an earlier one dispatched, so it must not report such an attempt as not run.
     pub(crate) fn settle_for(&self, id: AttemptId, incarnation: u64) -> Settlement {
         if incarnation != self.incarnation {
             return Settlement::Unknown;
@@ -445,13 +453,13 @@
         self.settle(id)
     }
 
-    /// What became of an attempt; if it was not handed on, it never will be.
+    /// Returns the outcome of an attempt; one that wasn't dispatched yet never will be.
     pub(crate) fn settle(&self, id: AttemptId) -> Settlement {
         let now = self.now();
         let mut state = self.lock();
-        let settled = state.ledger.settle(ledger_id(id), now + KEEP_AFTER_DEADLINE, now);
+        let settled = state.ledger.settle(ledger_id(id), now + RETENTION_AFTER_DEADLINE, now);
         if settled == Some(ledger::State::Tombstone) && state.queue.remove(&id) {
-            self.refuse_waiting(&mut state, id, RefusalReason::Tombstone, 0);
+            self.reject_queued(&mut state, id, RefusalReason::Tombstone, 0);
         }
         match settled {
             Some(ledger::State::Tombstone) => Settlement::NotRun,
@@ -461,37 +469,37 @@
         }
     }
 
-    /// Stops an attempt whose caller went away: one that waits never runs, one that runs stops if it may be repeated.
+    /// Cancels an attempt whose caller has disconnected: a queued one never runs, a running one is stopped if it is retryable.
     pub(crate) async fn cancel(self: &Arc<Self>, id: AttemptId) {
         if self.settle(id) != Settlement::Running {
             return;
         }
-        let held = self
+        let record = self
             .lock()
             .attempts
             .get(&id)
-            .map(|held| (Arc::clone(&held.attempt), Arc::clone(&held.answer)));
-        let Some((attempt, answer)) = held else { return };
+            .map(|record| (Arc::clone(&record.attempt), Arc::clone(&record.response)));
+        let Some((attempt, buffer)) = record else { return };
         if !attempt.repeatable || attempt.key.is_some() {
             return;
         }
         let message = "the caller went away".to_owned();
-        answer.push(Part::Failed(Failure::Unknown { message }));
-        // The target may be unreachable; then it ends by itself.
+        buffer.push(Part::Failed(Failure::Unknown { message }));
+        // If the target can't be reached, the request ends without a cancel.
         let _cancelled = self.engine.cancel(&id.to_string()).await;
     }
 
-    /// Drops answers that nobody needs any more and stops requests that nobody waits for; to be called now and then.
+    /// Drops responses whose retention has ended, and cancels requests whose response has no reader; called periodically.
     pub(crate) async fn sweep(self: &Arc<Self>) {
         let now = Instant::now();
-        let abandoned: Vec<AttemptId> = {
+        let abandoned_ids: Vec<AttemptId> = {
             let mut state = self.lock();
             state.ledger.expire(self.now());
-            state.attempts.retain(|_, held| !is_over(held, now));
-            let unread = state.attempts.iter().filter(|(_, held)| is_abandoned(held, now));
+            state.attempts.retain(|_, record| !is_expired(record, now));
+            let unread = state.attempts.iter().filter(|(_, record)| is_abandoned(record, now));
             unread.map(|(id, _)| *id).collect()
         };
-        for id in abandoned {
+        for id in abandoned_ids {
             log::info!(attempt = id.to_string().as_str(); "nobody reads this answer");
             self.cancel(id).await;
         }
@@ -500,19 +508,19 @@
     fn load_of(&self, state: &State, entry: u64) -> Load {
         Load {
             incarnation: self.incarnation,
-            seen: state.seen.get(&entry).copied().unwrap_or(0),
+            seen: state.highest_counters.get(&entry).copied().unwrap_or(0),
             running: state.queue.running() as u32,
             queued: state.queue.waiting() as u32,
-            own: state.in_progress.get(&entry).copied().unwrap_or(0),
+            own: state.in_progress_by_entry.get(&entry).copied().unwrap_or(0),
             prefill_tokens: state.engine_load.prefill_tokens,
             step_micros: state.engine_load.step_micros,
-            map: state.engine_load.map,
-            closed: state.draining || !state.listening || state.intake.is_closed(),
+            map: state.engine_load.map_number,
+            closed: state.is_draining || !state.is_listening || state.throttle.is_closed(),
         }
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -520,10 +528,10 @@
     }
 }
 
-fn kept_answer(state: &State, id: AttemptId) -> Begun {
+fn buffered_response(state: &State, id: AttemptId) -> AttemptStart {
     match state.attempts.get(&id) {
-        Some(held) => Begun::Answer(Arc::clone(&held.answer)),
-        None => Begun::Unknown("the answer is not kept any more".to_owned()),
+        Some(record) => AttemptStart::Response(Arc::clone(&record.response)),
+        None => AttemptStart::Unknown("the answer is not kept any more".to_owned()),
     }
 }
 
--- a/crates/sparscale_agent/src/core/state.rs
+++ b/crates/sparscale_agent/src/core/state.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps of its requests: ledger, queue and answers, and the questions that only these decide.
+//! State of an agent's requests (ledger, queue and buffered responses) and the functions that need nothing else.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,80 +9,89 @@
 use sparscale_wire::{Attempt, AttemptId};
 use tokio::time::Instant;
 
-use crate::answer::Answer;
 use crate::engine::EngineLoad;
-use crate::intake::Intake;
+use crate::response_buffer::ResponseBuffer;
+use crate::throttle::TargetThrottle;
 
-/// Time for which an answer that nobody reads stays buffered.
-const LINGER: Duration = Duration::from_secs(10);
-/// Time after which a request that may be repeated is cancelled because nobody reads its answer.
-const ABANDONED: Duration = Duration::from_secs(5);
-/// When to come back to a target that leaves: others take its place by then.
-const LEAVING_RETRY: Duration = Duration::from_mins(1);
-/// Entries whose highest counter is remembered.
+/// Time for which a complete response without a reader stays buffered.
+const UNREAD_RETENTION: Duration = Duration::from_secs(10);
+/// Time without a reader after which a running, retryable request is cancelled.
+const ABANDON_AFTER: Duration = Duration::from_secs(5);
+/// Retry delay for requests to a draining target; long enough for another target to replace it.
+const DRAINING_RETRY: Duration = Duration::from_mins(1);
+/// Maximum number of entries whose highest counter is kept.
 const MAX_ENTRIES: usize = 4_096;
 
 pub(super) struct State {
     pub(super) ledger: Ledger,
     pub(super) queue: Queue<AttemptId>,
-    pub(super) attempts: HashMap<AttemptId, Held>,
-    pub(super) seen: HashMap<u64, u64>,
-    /// Requests that wait or run, by the incarnation of the entry that sent them.
-    pub(super) in_progress: HashMap<u64, u32>,
-    pub(super) draining: bool,
-    /// Whether the target listened when it was last looked at.
-    pub(super) listening: bool,
-    pub(super) ready: bool,
+    pub(super) attempts: HashMap<AttemptId, AttemptRecord>,
+    /// Highest attempt counter received, by the incarnation of the entry.
+    pub(super) highest_counters: HashMap<u64, u64>,
+    /// Number of queued and running requests, by the incarnation of the entry that sent them.
+    pub(super) in_progress_by_entry: HashMap<u64, u32>,
+    pub(super) is_draining: bool,
+    /// Whether the target listened at the last check.
+    pub(super) is_listening: bool,
+    /// Whether the limits of a bundle have been set.
+    pub(super) is_ready: bool,
     pub(super) engine_load: EngineLoad,
-    pub(super) intake: Intake,
+    pub(super) throttle: TargetThrottle,
 }
 
-pub(super) struct Held {
+/// An admitted attempt and its buffered response.
+pub(super) struct AttemptRecord {
     pub(super) attempt: Arc<Attempt>,
-    pub(super) answer: Arc<Answer>,
+    pub(super) response: Arc<ResponseBuffer>,
     pub(super) keep_until: Instant,
 }
 
 impl State {
-    /// Counts a request no longer as in progress.
-    pub(super) fn leave(&mut self, id: AttemptId) {
-        if let Some(count) = self.in_progress.get_mut(&id.entry) {
+    /// Removes a request from its entry's count of requests in progress.
+    pub(super) fn record_end(&mut self, id: AttemptId) {
+        if let Some(count) = self.in_progress_by_entry.get_mut(&id.entry) {
             *count = count.saturating_sub(1);
             if *count == 0 {
-                self.in_progress.remove(&id.entry);
+                self.in_progress_by_entry.remove(&id.entry);
             }
         }
     }
 }
 
-/// Time until the target takes requests again, if the attempt cannot wait for that.
-pub(super) fn closed_for(state: &State, attempt: &Attempt) -> Option<Duration> {
-    let bound = attempt
+/// Time until the target accepts the attempt, if that is past the attempt's deadline; `None` if the attempt can wait.
+pub(super) fn wait_past_deadline(state: &State, attempt: &Attempt) -> Option<Duration> {
+    let is_bound = attempt
         .key
         .is_some_and(|key| state.ledger.bound(key.as_bytes()).is_some());
-    let opens_in = state.intake.takes_in(state.queue.waiting()).unwrap_or(LEAVING_RETRY);
+    let wait = state
+        .throttle
+        .expected_wait(state.queue.waiting())
+        .unwrap_or(DRAINING_RETRY);
     let deadline = Duration::from_millis(attempt.deadline_ms);
-    (!bound && opens_in >= deadline).then_some(opens_in)
+    (!is_bound && wait >= deadline).then_some(wait)
 }
 
-/// What a re-send under a key meets.
-pub(super) enum Earlier {
+/// Earlier use of an idempotency key.
+pub(super) enum EarlierUse {
+    /// The same request was sent by this attempt.
     Attempt(AttemptId),
+    /// The key was used for a request with another body.
     OtherBody,
 }
 
-pub(super) fn bind(state: &mut State, attempt: &Attempt) -> Option<Earlier> {
+/// Binds the attempt's idempotency key, if it has one; returns the earlier use of a key that is already bound.
+pub(super) fn bind_key(state: &mut State, attempt: &Attempt) -> Option<EarlierUse> {
     let key = attempt.key?;
     match state
         .ledger
         .bind(*key.as_bytes(), attempt.call.digest(), ledger_id(attempt.id))
     {
         Keyed::New => None,
-        Keyed::Earlier(earlier) => Some(Earlier::Attempt(AttemptId {
+        Keyed::Earlier(earlier) => Some(EarlierUse::Attempt(AttemptId {
             entry: earlier.sender,
             counter: earlier.counter,
         })),
-        Keyed::OtherBody => Some(Earlier::OtherBody),
+        Keyed::OtherBody => Some(EarlierUse::OtherBody),
     }
 }
 
@@ -93,22 +102,31 @@
     }
 }
 
-pub(super) fn note_seen(seen: &mut HashMap<u64, u64>, id: AttemptId) {
-    if seen.len() >= MAX_ENTRIES && !seen.contains_key(&id.entry) {
-        // An entry that is gone is not missed; one that is not only sees a lower counter once.
-        seen.clear();
+/// Records the counter of an attempt if it is the highest one received from its entry.
+pub(super) fn record_counter(highest_counters: &mut HashMap<u64, u64>, id: AttemptId) {
+    if highest_counters.len() >= MAX_ENTRIES && !highest_counters.contains_key(&id.entry) {
+        // Counters of terminated entries aren't needed, and an active entry merely receives a lower counter once.
+        highest_counters.clear();
     }
-    let highest = seen.entry(id.entry).or_default();
+    let highest = highest_counters.entry(id.entry).or_default();
     *highest = (*highest).max(id.counter);
 }
 
-pub(super) fn is_over(held: &Held, now: Instant) -> bool {
-    let unread = held.answer.unread_since().is_some_and(|since| now >= since + LINGER);
-    let kept = held.attempt.key.is_some() && now < held.keep_until;
-    held.answer.has_ended() && unread && !kept
+/// Returns whether the buffered response can be dropped: it has ended, isn't read, and no key keeps it.
+pub(super) fn is_expired(record: &AttemptRecord, now: Instant) -> bool {
+    let is_unread = record
+        .response
+        .unread_since()
+        .is_some_and(|since| now >= since + UNREAD_RETENTION);
+    let is_kept_for_key = record.attempt.key.is_some() && now < record.keep_until;
+    record.response.has_ended() && is_unread && !is_kept_for_key
 }
 
-pub(super) fn is_abandoned(held: &Held, now: Instant) -> bool {
-    let unread = held.answer.unread_since().is_some_and(|since| now >= since + ABANDONED);
-    held.attempt.repeatable && held.attempt.key.is_none() && !held.answer.has_ended() && unread
+/// Returns whether a running request can be cancelled because its response has had no reader for a while.
+pub(super) fn is_abandoned(record: &AttemptRecord, now: Instant) -> bool {
+    let is_unread = record
+        .response
+        .unread_since()
+        .is_some_and(|since| now >= since + ABANDON_AFTER);
+    record.attempt.repeatable && record.attempt.key.is_none() && !record.response.has_ended() && is_unread
 }
--- a/crates/sparscale_agent/src/engine.rs
+++ b/crates/sparscale_agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! What an agent needs of the target beside it.
+//! The interface between an agent and the target beside it.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -8,91 +8,91 @@
 use sparscale_place::switch::{Order, Report};
 use sparscale_wire::Attempt;
 
-/// Why a call of the target did not end well.
+/// Error of a call to the target.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// The target was not reached: nothing ran.
-    #[snafu(display("the target cannot be reached: {message}"))]
+    /// The target couldn't be reached, so the request didn't run.
+    #[snafu(display("the target cannot be reached: {message}; check that it is running"))]
     NotSent {
-        /// What went wrong.
+        /// Cause of the failure.
         message: String,
     },
-    /// The target was reached and no whole answer came: it may have run.
-    #[snafu(display("no whole answer from the target: {message}"))]
+    /// The target was reached but sent no complete response, so the request may have run.
+    #[snafu(display("the target sent no complete response: {message}"))]
     Lost {
-        /// What went wrong.
+        /// Cause of the failure.
         message: String,
     },
 }
 
-/// Pieces of an answer.
+/// Body of a response, read chunk by chunk.
 #[async_trait]
 pub trait Chunks: Send {
-    /// The next piece; none at the end of a whole answer.
+    /// Returns the next chunk, or `None` at the end of a complete response.
     async fn next(&mut self) -> Option<Result<Bytes, CallError>>;
 }
 
-/// An answer that has begun.
-pub struct Started {
+/// A response whose headers have arrived.
+pub struct TargetResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// What it asks of those that send to the target.
+    /// Limits that the target states for its senders.
     pub signal: Signal,
-    /// The answer itself.
+    /// Body of the response.
     pub chunks: Box<dyn Chunks>,
 }
 
-impl std::fmt::Debug for Started {
+impl std::fmt::Debug for TargetResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Started")
+        f.debug_struct("TargetResponse")
             .field("status", &self.status)
             .finish_non_exhaustive()
     }
 }
 
-/// Load as the target reports it, late.
+/// Load as reported by the target; older than the agent's own counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineLoad {
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens that still wait for prefill.
     pub prefill_tokens: u32,
-    /// Time of the latest step, in microseconds.
+    /// Duration of the latest step, in microseconds.
     pub step_micros: u32,
-    /// Number of the expert map in use.
-    pub map: u64,
+    /// Number of the active expert map.
+    pub map_number: u64,
 }
 
-/// A map with its number.
+/// An expert map with its number.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
-pub struct Numbered {
-    /// Number of the map.
+pub struct NumberedMap {
+    /// Number of the map in its group.
     pub number: u64,
-    /// The map.
+    /// Experts by slot and rank.
     pub map: Map,
 }
 
 /// The target beside an agent.
 #[async_trait]
 pub trait Engine: Send + Sync + 'static {
-    /// Hands a request on.
-    async fn call(&self, attempt: &Attempt) -> Result<Started, CallError>;
+    /// Forwards a request to the target.
+    async fn call(&self, attempt: &Attempt) -> Result<TargetResponse, CallError>;
 
-    /// Whether something listens at the target's address, or may: only a refused connection says that its process has ended.
-    async fn listens(&self) -> bool;
+    /// Returns whether a process may be listening at the target's address: only a refused connection proves that none is.
+    async fn is_listening(&self) -> bool;
 
-    /// Stops a request that may be repeated.
+    /// Stops a retryable request.
     async fn cancel(&self, request: &str) -> Result<(), CallError>;
 
-    /// Ids of requests that wait or run at the target; empty where the target cannot tell.
-    async fn running(&self) -> Result<Vec<String>, CallError>;
+    /// Returns the ids of requests that are queued or running at the target; empty if the target doesn't report them.
+    async fn running_requests(&self) -> Result<Vec<String>, CallError>;
 
-    /// Load of the target; none where it reports none.
+    /// Returns the load of the target, or `None` if it doesn't report any.
     async fn load(&self) -> Result<Option<EngineLoad>, CallError>;
 
-    /// Passes an order on, with the maps that it names.
-    async fn order(&self, order: &Order, maps: Vec<Numbered>) -> Result<Report, CallError>;
+    /// Forwards an order together with the maps that it refers to.
+    async fn send_order(&self, order: &Order, maps: Vec<NumberedMap>) -> Result<Report, CallError>;
 
-    /// Tokens that each expert served since the target started; empty where there are no experts.
+    /// Returns the number of tokens that each expert has served since the target started; empty for a target without experts.
     async fn expert_tokens(&self) -> Result<Vec<u64>, CallError>;
 }
--- a/crates/sparscale_agent/src/http_engine.rs
+++ b/crates/sparscale_agent/src/http_engine.rs
@@ -1,4 +1,4 @@
-//! A target that speaks HTTP: a model engine with chat completions, or a plain service.
+//! HTTP client of the target: a model engine with chat completions, or a plain service.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,69 +18,69 @@
 use sparscale_wire::{Attempt, Call};
 use tokio::net::TcpStream;
 
-use crate::engine::{CallError, Chunks, Engine, EngineLoad, Numbered, Started};
+use crate::engine::{CallError, Chunks, Engine, EngineLoad, NumberedMap, TargetResponse};
 use crate::settings::Kind;
 
-/// Time that a look at whether the target still listens may take; it is on the same box.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of the check whether the target still listens; short, because the target is on the same box.
+const LISTEN_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest answer of a plain service, and longest piece of a model answer, in bytes.
-const MAX_ANSWER: usize = 8 << 20;
-/// Ends a piece of a streamed answer.
+/// Longest response of a plain service, and longest event of a streamed response.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Separator between the events of a streamed response.
 const EVENT_END: &[u8] = b"\n\n";
-/// Starts the data of a piece.
-const EVENT_DATA: &[u8] = b"data: ";
-/// Marks a streamed answer as whole.
-const DONE: &[u8] = b"[DONE]";
-/// Media type of a streamed answer.
+/// Prefix of an event's data.
+const EVENT_DATA_PREFIX: &[u8] = b"data: ";
+/// Data of the event that ends a complete streamed response.
+const END_MARKER: &[u8] = b"[DONE]";
+/// Media type of a streamed response.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Client of one target.
 #[derive(Debug)]
 pub(crate) struct HttpEngine {
     client: Client<HttpConnector, Full<Bytes>>,
-    base: String,
+    base_url: String,
     kind: Kind,
-    names: Names,
+    header_names: Names,
 }
 
 #[derive(Deserialize)]
-struct Running {
+struct RunningRequests {
     requests: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct Load {
+struct LoadResponse {
     prefill_tokens: u32,
     step_micros: u32,
     report: Report,
 }
 
 #[derive(Deserialize)]
-struct Experts {
+struct ExpertTokens {
     tokens: Vec<u64>,
 }
 
 #[derive(serde::Serialize)]
-struct Ordered<'a> {
+struct OrderRequest<'a> {
     order: &'a Order,
-    maps: Vec<Numbered>,
+    maps: Vec<NumberedMap>,
 }
 
 #[derive(serde::Serialize)]
-struct Cancel<'a> {
+struct CancelRequest<'a> {
     request: &'a str,
 }
 
 impl HttpEngine {
-    pub(crate) fn new(base: &str, kind: Kind) -> Self {
+    pub(crate) fn new(base_url: &str, kind: Kind) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
-            base: base.trim_end_matches('/').to_owned(),
+            base_url: base_url.trim_end_matches('/').to_owned(),
             kind,
-            names: Names::own(),
+            header_names: Names::own(),
         }
     }
 
@@ -93,7 +93,7 @@
                 body,
             } => (format!("/calls/{name}"), content_type.as_str(), body),
         };
-        Request::post(format!("{}{path}", self.base))
+        Request::post(format!("{}{path}", self.base_url))
             .header(header::CONTENT_TYPE, content_type)
             .header("x-request-id", attempt.id.to_string())
             .header("x-priority", u16::from(attempt.tier))
@@ -101,37 +101,37 @@
             .map_err(not_sent)
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
+    async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
         self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
                 not_sent(error)
             } else {
-                lost(error)
+                response_lost(error)
             }
         })
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CallError> {
-        let request = Request::get(format!("{}{path}", self.base))
+        let request = Request::get(format!("{}{path}", self.base_url))
             .body(Full::default())
             .map_err(not_sent)?;
-        decode(self.exchange(request).await?).await
+        decode(self.send(request).await?).await
     }
 
     async fn post(&self, path: &str, body: Vec<u8>) -> Result<Response<Incoming>, CallError> {
-        let request = Request::post(format!("{}{path}", self.base))
+        let request = Request::post(format!("{}{path}", self.base_url))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body.into()))
             .map_err(not_sent)?;
-        self.exchange(request).await
+        self.send(request).await
     }
 }
 
 #[async_trait]
 impl Engine for HttpEngine {
-    async fn call(&self, attempt: &Attempt) -> Result<Started, CallError> {
-        let response = self.exchange(self.request(attempt)?).await?;
-        let signal = Signal::read(response.status(), response.headers(), &self.names);
+    async fn call(&self, attempt: &Attempt) -> Result<TargetResponse, CallError> {
+        let response = self.send(self.request(attempt)?).await?;
+        let signal = Signal::read(response.status(), response.headers(), &self.header_names);
         let status = response.status().as_u16();
         let content_type = response.headers().get(header::CONTENT_TYPE);
         let content_type = content_type
@@ -140,11 +140,11 @@
             .to_owned();
         let body = response.into_body();
         let chunks: Box<dyn Chunks> = if content_type.starts_with(EVENT_STREAM) {
-            Box::new(Events::new(body))
+            Box::new(EventStream::new(body))
         } else {
-            Box::new(Whole { body: Some(body) })
+            Box::new(SingleChunk { body: Some(body) })
         };
-        Ok(Started {
+        Ok(TargetResponse {
             status,
             content_type,
             signal,
@@ -152,9 +152,9 @@
         })
     }
 
-    async fn listens(&self) -> bool {
-        let address = self.base.strip_prefix("http://").unwrap_or(&self.base);
-        let connecting = tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(address));
+    async fn is_listening(&self) -> bool {
+        let address = self.base_url.strip_prefix("http://").unwrap_or(&self.base_url);
+        let connecting = tokio::time::timeout(LISTEN_CHECK_TIMEOUT, TcpStream::connect(address));
         !matches!(connecting.await, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 
@@ -162,15 +162,15 @@
         if self.kind == Kind::Service {
             return Ok(());
         }
-        self.post("/v1/cancel", encode(&Cancel { request })?).await?;
+        self.post("/v1/cancel", encode(&CancelRequest { request })?).await?;
         Ok(())
     }
 
-    async fn running(&self) -> Result<Vec<String>, CallError> {
+    async fn running_requests(&self) -> Result<Vec<String>, CallError> {
         if self.kind == Kind::Service {
             return Ok(Vec::new());
         }
-        let running: Running = self.get("/v1/running").await?;
+        let running: RunningRequests = self.get("/v1/running").await?;
         Ok(running.requests)
     }
 
@@ -178,16 +178,16 @@
         if self.kind == Kind::Service {
             return Ok(None);
         }
-        let load: Load = self.get("/v1/load").await?;
+        let load: LoadResponse = self.get("/v1/load").await?;
         Ok(Some(EngineLoad {
             prefill_tokens: load.prefill_tokens,
             step_micros: load.step_micros,
-            map: load.report.plan.map_or(0, |plan| plan.number),
+            map_number: load.report.plan.map_or(0, |plan| plan.number),
         }))
     }
 
-    async fn order(&self, order: &Order, maps: Vec<Numbered>) -> Result<Report, CallError> {
-        let response = self.post("/v1/orders", encode(&Ordered { order, maps })?).await?;
+    async fn send_order(&self, order: &Order, maps: Vec<NumberedMap>) -> Result<Report, CallError> {
+        let response = self.post("/v1/orders", encode(&OrderRequest { order, maps })?).await?;
         decode(response).await
     }
 
@@ -195,45 +195,45 @@
         if self.kind == Kind::Service {
             return Ok(Vec::new());
         }
-        let experts: Experts = self.get("/v1/experts").await?;
+        let experts: ExpertTokens = self.get("/v1/experts").await?;
         Ok(experts.tokens)
     }
 }
 
-/// A streamed answer; whole only if it ends with the marker.
-struct Events {
+/// Body of a streamed response; complete only if it ends with the end marker.
+struct EventStream {
     body: Incoming,
     buffer: BytesMut,
-    ready: VecDeque<Bytes>,
-    done: bool,
+    ready_events: VecDeque<Bytes>,
+    is_done: bool,
 }
 
-impl Events {
+impl EventStream {
     fn new(body: Incoming) -> Self {
         Self {
             body,
             buffer: BytesMut::new(),
-            ready: VecDeque::new(),
-            done: false,
+            ready_events: VecDeque::new(),
+            is_done: false,
         }
     }
 
-    fn split(&mut self) {
+    fn split_events(&mut self) {
         while let Some(end) = find(&self.buffer, EVENT_END) {
             let event = self.buffer.split_to(end + EVENT_END.len()).freeze();
             let event = event.slice(..end);
-            let Some(data) = event.strip_prefix(EVENT_DATA) else {
+            let Some(data) = event.strip_prefix(EVENT_DATA_PREFIX) else {
                 continue;
             };
-            if data == DONE {
-                self.done = true;
+            if data == END_MARKER {
+                self.is_done = true;
                 return;
             }
-            self.ready.push_back(event.slice_ref(data));
+            self.ready_events.push_back(event.slice_ref(data));
         }
     }
 
-    /// Reads what follows the end marker: only a body that was read to its end leaves its connection for the next call.
+    /// Reads the rest of the body after the end marker, because a connection is reused only if its last body was read to the end.
     async fn read_to_end(&mut self) {
         while let Some(Ok(_)) = self.body.frame().await {}
     }
@@ -244,48 +244,52 @@
                 if let Some(data) = frame.data_ref() {
                     self.buffer.extend_from_slice(data);
                 }
-                if self.buffer.len() > MAX_ANSWER {
-                    return Some(Err(lost("a piece of the answer is too long")));
+                if self.buffer.len() > MAX_RESPONSE_BYTES {
+                    return Some(Err(response_lost("a piece of the answer is too long")));
                 }
-                self.split();
+                self.split_events();
                 Some(Ok(()))
             }
-            Some(Err(error)) => Some(Err(lost(error))),
-            None => Some(Err(lost("the answer ended without its end marker"))),
+            Some(Err(error)) => Some(Err(response_lost(error))),
+            None => Some(Err(response_lost("the answer ended without its end marker"))),
         }
     }
 }
 
 #[async_trait]
-impl Chunks for Events {
+impl Chunks for EventStream {
     async fn next(&mut self) -> Option<Result<Bytes, CallError>> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.ready_events.pop_front() {
                 return Some(Ok(event));
             }
-            if self.done {
+            if self.is_done {
                 self.read_to_end().await;
                 return None;
             }
             if let Err(error) = self.read_more().await? {
-                self.done = true;
+                self.is_done = true;
                 return Some(Err(error));
             }
         }
     }
 }
 
-/// An answer that comes in one piece.
-struct Whole {
+/// Body of a response that isn't streamed; returned as a single chunk.
+struct SingleChunk {
     body: Option<Incoming>,
 }
 
 #[async_trait]
-impl Chunks for Whole {
+impl Chunks for SingleChunk {
     async fn next(&mut self) -> Option<Result<Bytes, CallError>> {
         let body = self.body.take()?;
-        let collected = Limited::new(body, MAX_ANSWER).collect().await;
-        Some(collected.map(http_body_util::Collected::to_bytes).map_err(lost))
+        let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        Some(
+            collected
+                .map(http_body_util::Collected::to_bytes)
+                .map_err(response_lost),
+        )
     }
 }
 
@@ -299,15 +303,15 @@
 
 async fn decode<T: DeserializeOwned>(response: Response<Incoming>) -> Result<T, CallError> {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER)
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
-        .map_err(lost)?
+        .map_err(response_lost)?
         .to_bytes();
     if !status.is_success() {
-        return Err(lost(format!("{status}: {}", String::from_utf8_lossy(&body))));
+        return Err(response_lost(format!("{status}: {}", String::from_utf8_lossy(&body))));
     }
-    serde_json::from_slice(&body).map_err(lost)
+    serde_json::from_slice(&body).map_err(response_lost)
 }
 
 fn not_sent(error: impl std::fmt::Display) -> CallError {
@@ -316,7 +320,7 @@
     }
 }
 
-fn lost(error: impl std::fmt::Display) -> CallError {
+fn response_lost(error: impl std::fmt::Display) -> CallError {
     CallError::Lost {
         message: error.to_string(),
     }
--- a/crates/sparscale_agent/src/lib.rs
+++ b/crates/sparscale_agent/src/lib.rs
@@ -1,18 +1,18 @@
-//! The agent: the only way to the target beside it.
+//! The agent beside a target, through which all requests to that target pass.
 //!
-//! It keeps the attempt ledger and the tier queue, hands requests on, buffers answers so that a broken stream can be
-//! resumed, and passes on orders about the expert map if their fence holds.
+//! It keeps the attempt ledger and the tier queue, dispatches requests to the target, buffers responses so that a broken
+//! stream can be resumed, and forwards orders about the expert map whose fence is still valid.
 
-mod answer;
 mod connection;
 mod core;
 mod engine;
 mod http_engine;
-mod intake;
 mod order;
 mod program;
+mod response_buffer;
 mod settings;
+mod throttle;
 
-pub use engine::{CallError, Chunks, Engine, EngineLoad, Started};
+pub use engine::{CallError, Chunks, Engine, EngineLoad, TargetResponse};
 pub use program::{Error, command, run};
 pub use settings::{Raw, Settings};
--- a/crates/sparscale_agent/src/main.rs
+++ b/crates/sparscale_agent/src/main.rs
@@ -1,9 +1,9 @@
-//! Runs one agent.
+//! Program that runs one agent.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-// One worker: with more, each token wakes threads on other cores, which costs more than the work on it.
+// With more than one worker, each token wakes threads on other cores, which costs more than forwarding the token.
 #[tokio::main(flavor = "multi_thread", worker_threads = 1)]
 async fn main() -> ExitCode {
     let matches = sparscale_agent::command().get_matches();
--- a/crates/sparscale_agent/src/order.rs
+++ b/crates/sparscale_agent/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders about the expert map: checked here, directly before they go to the target.
+//! Forwards orders about the expert map to the target, after a check that no later leader has taken over.
 
 use std::sync::Arc;
 
@@ -9,53 +9,54 @@
 use sparscale_telemetry::DECISION;
 use tokio::sync::Mutex;
 
-use crate::engine::{Engine, Numbered};
+use crate::engine::{Engine, NumberedMap};
 
-/// Passes orders on, one at a time.
+/// Checks the fence of each order and forwards one order at a time.
 ///
-/// The lock is held until the target has answered, so that no order overtakes another on its way. What is left: an
-/// earlier incarnation of this agent may have an order on its way while this one starts. A target that checks fences
-/// refuses it; at one that does not, [`sparscale_place::switch::Rank`]'s own rules still refuse what does not fit.
-pub(crate) struct Orders {
+/// The lock is held until the target has responded, so that no order overtakes another. One race remains: an order that an
+/// earlier incarnation of this agent sent may reach the target after this incarnation has started. A target that checks
+/// fences rejects it. For a target that doesn't, [`sparscale_place::switch::Rank`] rejects orders that don't fit its state.
+pub(crate) struct OrderForwarder {
     target: String,
     journal: Arc<Journal>,
     engine: Arc<dyn Engine>,
-    highest: Mutex<u64>,
+    highest_fence: Mutex<u64>,
 }
 
-impl Orders {
+impl OrderForwarder {
     pub(crate) fn new(target: String, journal: Arc<Journal>, engine: Arc<dyn Engine>) -> Self {
         Self {
             target,
             journal,
             engine,
-            highest: Mutex::new(0),
+            highest_fence: Mutex::new(0),
         }
     }
 
-    /// Carries `order` out, or refuses it with the fence that beat it; none if nothing can be said.
-    pub(crate) async fn carry_out(&self, group: &str, order: &Order) -> Option<Report> {
-        let mut highest = self.highest.lock().await;
-        // Until the log was folded to its head, a higher fence may be there that this agent has not seen.
+    /// Forwards `order` to the target, or rejects it and reports the higher fence. Returns `None` if this agent can't check the
+    /// order, or the target didn't respond to it.
+    pub(crate) async fn forward(&self, group: &str, order: &Order) -> Option<Report> {
+        let mut highest_fence = self.highest_fence.lock().await;
+        // The log may contain a higher fence until this agent has read it to its head.
         if !self.journal.confirm_head().await || !self.is_rank_of(group) {
             return None;
         }
-        *highest = (*highest).max(self.fence_in_log(group));
-        if order.fence < *highest {
-            log::info!(target: DECISION, decision = "refuse_order", group, fence = order.fence, highest = *highest; "an old fence");
-            return Some(refused(*highest));
+        *highest_fence = (*highest_fence).max(self.fence_in_log(group));
+        if order.fence < *highest_fence {
+            log::info!(target: DECISION, decision = "refuse_order", group, fence = order.fence, highest = *highest_fence; "rejected an order whose fence is lower than the highest known one");
+            return Some(rejection_report(*highest_fence));
         }
-        *highest = order.fence;
-        let maps = self.maps_of(group, &order.act)?;
-        match self.engine.order(order, maps).await {
+        *highest_fence = order.fence;
+        let maps = self.find_maps(group, &order.act)?;
+        match self.engine.send_order(order, maps).await {
             Ok(report) => {
                 if order.act != Act::Enlist {
-                    log::info!(target: DECISION, decision = "order", group, fence = order.fence, act:? = order.act, done = report.done, step = report.step; "passed an order on");
+                    log::info!(target: DECISION, decision = "order", group, fence = order.fence, act:? = order.act, done = report.done, step = report.step; "forwarded an order to the target");
                 }
                 Some(report)
             }
             Err(error) => {
-                log::warn!(group, error = error.to_string().as_str(); "the target did not answer an order");
+                log::warn!(group, error = error.to_string().as_str(); "the target did not respond to an order");
                 None
             }
         }
@@ -63,10 +64,10 @@
 
     fn is_rank_of(&self, group: &str) -> bool {
         let certificate = self.journal.in_force();
-        let found = certificate
+        let group_config = certificate
             .as_ref()
             .and_then(|certificate| certificate.bundle.fleet().group(group));
-        found.is_some_and(|group| group.ranks.contains(&self.target))
+        group_config.is_some_and(|group| group.ranks.contains(&self.target))
     }
 
     fn fence_in_log(&self, group: &str) -> u64 {
@@ -75,7 +76,7 @@
             .with_state(|state| state.holder(&duty).map_or(0, |holder| holder.fence))
     }
 
-    fn maps_of(&self, group: &str, act: &Act) -> Option<Vec<Numbered>> {
+    fn find_maps(&self, group: &str, act: &Act) -> Option<Vec<NumberedMap>> {
         let numbers = match act {
             Act::Stage { number } => vec![*number],
             Act::Join { plan, .. } => std::iter::once(plan.number)
@@ -83,28 +84,28 @@
                 .collect(),
             Act::Enlist | Act::Arm(_) | Act::Release(_) | Act::Disarm(_) => Vec::new(),
         };
-        numbers.into_iter().map(|number| self.map(group, number)).collect()
+        numbers.into_iter().map(|number| self.find_map(group, number)).collect()
     }
 
-    /// The map with this number: the initial one, the latest one in the log, or the one before it.
-    fn map(&self, group: &str, number: u64) -> Option<Numbered> {
+    /// Finds the map with this number: the initial one, the latest one in the log, or the latest one's predecessor.
+    fn find_map(&self, group: &str, number: u64) -> Option<NumberedMap> {
         let certificate = self.journal.in_force()?;
         let shape = shape(certificate.bundle.fleet().group(group)?);
         let map = self.journal.with_state(|state| {
-            let placed = state.map(group);
-            match placed {
-                Some(placed) if placed.number == number => Some(placed.map.as_ref().clone()),
-                Some(placed) if placed.base == number => placed.before.as_ref().map(|map| map.as_ref().clone()),
+            let latest = state.map(group);
+            match latest {
+                Some(latest) if latest.number == number => Some(latest.map.as_ref().clone()),
+                Some(latest) if latest.base == number => latest.before.as_ref().map(|map| map.as_ref().clone()),
                 _ => None,
             }
         });
         let map = map.or_else(|| (number == 0).then(|| Map::initial(shape)))?;
-        Some(Numbered { number, map })
+        Some(NumberedMap { number, map })
     }
 }
 
-/// The report that tells a placer of a higher fence.
-fn refused(fence: u64) -> Report {
+/// Returns the report by which a placer learns of a higher fence.
+fn rejection_report(fence: u64) -> Report {
     Report {
         incarnation: 0,
         fence,
--- a/crates/sparscale_agent/src/program.rs
+++ b/crates/sparscale_agent/src/program.rs
@@ -1,4 +1,4 @@
-//! Puts an agent together and runs it until it is told to stop.
+//! Assembles an agent, runs it until a stop signal arrives, and drains it.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -12,44 +12,44 @@
 use sparscale_wire::Endpoint;
 use tokio::sync::watch;
 
-use crate::connection::{self, Service};
+use crate::connection::{self, StreamContext};
 use crate::core::Core;
 use crate::engine::Engine;
 use crate::http_engine::HttpEngine;
-use crate::order::Orders;
+use crate::order::OrderForwarder;
 use crate::settings::{Raw, Settings};
 
-/// Time between two looks at the target's load.
-const ENGINE_PAUSE: Duration = Duration::from_millis(250);
-/// Time between two looks at whether a target that listened still does.
-const LISTEN_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two looks at whether one that is gone is back.
-const RETURN_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two sweeps of old answers.
-const SWEEP_PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two looks at whether a draining agent is done.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
-/// Time that the last frames get to reach entries before the socket closes.
+/// Interval between two reads of the target's load.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between two checks of a target that is listening.
+const LISTEN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two checks of a target that isn't listening; short, so that a restarted target gets requests quickly.
+const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two sweeps of expired responses and abandoned requests.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two checks whether a draining agent has finished its requests.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which a stopping agent waits until entries have received its last frames.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an agent cannot run.
+/// Error that ends an agent.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The settings file cannot be used.
+    /// The settings file is invalid.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// What is wrong with it.
+        /// Cause, with file and line.
         source: sparscale_settings::Error,
     },
-    /// The process cannot start.
+    /// The process couldn't start.
     #[snafu(display("{source}"), context(false))]
     Process {
-        /// What is wrong.
+        /// Cause of the failure.
         source: process::Error,
     },
 }
 
-/// The command line.
+/// Builds the command line parser.
 pub fn command() -> Command {
     Command::new("sparscale-agent")
         .about("Stands beside one target and is the only way to it")
@@ -62,30 +62,30 @@
         )
 }
 
-/// Runs an agent with the settings file at `path` until SIGTERM, then drains.
+/// Runs an agent with the settings file at `path` until SIGTERM, then drains it.
 pub async fn run(path: &std::path::Path, mut signals: Signals) -> Result<(), Error> {
     let settings: Settings = sparscale_settings::load::<Raw>(path)?;
     let process = settings.process.start("sparscale.agent")?;
     let name = settings.process.raw.name.clone();
     let engine: Arc<dyn Engine> = Arc::new(HttpEngine::new(&settings.target, settings.kind));
-    cancel_leftovers(engine.as_ref()).await;
+    cancel_orphaned_requests(engine.as_ref()).await;
     let core = Arc::new(Core::new(
         process.incarnation,
         settings.ledger_entries,
         Arc::clone(&engine),
         process.metrics.clone(),
     ));
-    let service = Arc::new(Service {
+    let context = Arc::new(StreamContext {
         core: Arc::clone(&core),
         journal: Arc::clone(&process.journal),
-        orders: Orders::new(name.clone(), Arc::clone(&process.journal), engine),
+        orders: OrderForwarder::new(name.clone(), Arc::clone(&process.journal), engine),
     });
     tokio::spawn(follow_limits(Arc::clone(&core), Arc::clone(&process.journal)));
-    tokio::spawn(follow_engine(Arc::clone(&core)));
-    tokio::spawn(follow_target(Arc::clone(&core)));
+    tokio::spawn(poll_engine_load(Arc::clone(&core)));
+    tokio::spawn(monitor_target(Arc::clone(&core)));
     tokio::spawn(sweep(Arc::clone(&core)));
-    tokio::spawn(leave_with_box(Arc::clone(&core), name.clone(), process.boxes.clone()));
-    tokio::spawn(connection::accept(service, Arc::clone(&process.endpoint)));
+    tokio::spawn(drain_with_box(Arc::clone(&core), name.clone(), process.boxes.clone()));
+    tokio::spawn(connection::accept(context, Arc::clone(&process.endpoint)));
     log::info!(name = name.as_str(), incarnation = process.incarnation, address = settings.process.raw.listen.to_string().as_str(); "agent ready");
     process::wait_for_stop(&process.endpoint, &mut signals).await;
     drain(&core).await;
@@ -93,12 +93,12 @@
     Ok(())
 }
 
-/// Stops at the target whatever an earlier incarnation left running: nobody can read those answers any more.
-async fn cancel_leftovers(engine: &dyn Engine) {
-    let running = engine.running().await.unwrap_or_default();
-    for request in running {
-        log::info!(request = request.as_str(); "cancelling what an earlier incarnation left");
-        // A target that cannot be reached runs nothing for long.
+/// Cancels the requests that an earlier incarnation left running at the target: their responses can't be read any more.
+async fn cancel_orphaned_requests(engine: &dyn Engine) {
+    let requests = engine.running_requests().await.unwrap_or_default();
+    for request in requests {
+        log::info!(request = request.as_str(); "cancelling a request of an earlier incarnation");
+        // If the target can't be reached, its requests end without a cancel.
         let _cancelled = engine.cancel(&request).await;
     }
 }
@@ -120,45 +120,45 @@
     }
 }
 
-async fn follow_engine(core: Arc<Core>) {
+async fn poll_engine_load(core: Arc<Core>) {
     loop {
         match core.engine().load().await {
             Ok(Some(load)) => core.set_engine_load(load),
             Ok(None) => return,
             Err(error) => log::debug!(error = error.to_string().as_str(); "the target reports no load"),
         }
-        tokio::time::sleep(ENGINE_PAUSE).await;
+        tokio::time::sleep(LOAD_POLL_INTERVAL).await;
     }
 }
 
-/// Looks whether the target listens, so that no entry sends work, or binds a key, to one that is gone.
-async fn follow_target(core: Arc<Core>) {
-    let mut closings = core.closings();
+/// Checks periodically whether the target listens, so that entries don't send requests or bind keys to a terminated one.
+async fn monitor_target(core: Arc<Core>) {
+    let mut availability = core.subscribe_availability();
     loop {
-        core.set_listening(core.engine().listens().await);
-        closings.mark_unchanged();
-        let pause = if core.is_listening() {
-            LISTEN_PAUSE
+        core.set_listening(core.engine().is_listening().await);
+        availability.mark_unchanged();
+        let interval = if core.is_listening() {
+            LISTEN_CHECK_INTERVAL
         } else {
-            RETURN_PAUSE
+            RECOVERY_CHECK_INTERVAL
         };
-        // A request that found the target gone shortens the pause.
-        let found = tokio::time::timeout(pause, closings.changed()).await;
-        if found.is_ok() {
-            tokio::time::sleep(RETURN_PAUSE).await;
+        // A request that couldn't reach the target ends the wait early.
+        let changed = tokio::time::timeout(interval, availability.changed()).await;
+        if changed.is_ok() {
+            tokio::time::sleep(RECOVERY_CHECK_INTERVAL).await;
         }
     }
 }
 
 async fn sweep(core: Arc<Core>) {
     loop {
-        tokio::time::sleep(SWEEP_PAUSE).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         core.sweep().await;
     }
 }
 
-/// Drains as soon as the box list shows this box as leaving.
-async fn leave_with_box(core: Arc<Core>, name: String, mut boxes: watch::Receiver<Arc<Listing>>) {
+/// Drains the agent as soon as the box list marks this box as leaving.
+async fn drain_with_box(core: Arc<Core>, name: String, mut boxes: watch::Receiver<Arc<Listing>>) {
     while boxes.changed().await.is_ok() {
         let listing = boxes.borrow().clone();
         let own = listing.boxes.iter().find(|listed| listed.name == name);
@@ -171,16 +171,16 @@
 }
 
 async fn drain(core: &Core) {
-    log::info!(target: DECISION, decision = "drain", reason = "told to stop", in_progress = core.in_progress(); "draining");
+    log::info!(target: DECISION, decision = "drain", reason = "told to stop", in_progress = core.in_progress_count(); "draining");
     core.drain();
-    while core.in_progress() > 0 {
-        tokio::time::sleep(DRAIN_PAUSE).await;
+    while core.in_progress_count() > 0 {
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
 async fn close(endpoint: &Endpoint) {
-    // Entries read the ends of their answers and close their streams; the pause gives them the time.
-    tokio::time::sleep(DRAIN_PAUSE).await;
+    // The delay lets entries read the ends of their responses and close their streams.
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     let _closed = tokio::time::timeout(CLOSE_TIMEOUT, endpoint.close()).await;
     log::info!("agent stopped");
 }
--- a/crates/sparscale_agent/src/settings.rs
+++ b/crates/sparscale_agent/src/settings.rs
@@ -4,7 +4,7 @@
 use sparscale_control::process;
 use sparscale_settings::{Check, Problem};
 
-/// What stands beside the agent.
+/// Type of the target beside the agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -14,17 +14,17 @@
     Service,
 }
 
-/// The settings file as written.
+/// Content of the settings file before it is checked.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Raw {
-    /// What every process has.
+    /// Settings that every process has.
     pub process: process::Raw,
-    /// What stands beside this agent.
+    /// Type of the target.
     pub kind: Kind,
     /// Base URL of the target.
     pub target: String,
-    /// Attempts that the ledger holds at most.
+    /// Maximum number of attempts in the ledger.
     pub ledger_entries: usize,
 }
 
@@ -58,7 +58,7 @@
                 ledger_entries: raw.ledger_entries,
             }),
             Ok(_) => Err(problems),
-            Err(more) => Err(problems.into_iter().chain(more).collect()),
+            Err(process_problems) => Err(problems.into_iter().chain(process_problems).collect()),
         }
     }
 }
