--- a/crates/sparscale_agent/src/core.rs
+++ b/crates/sparscale_agent/src/core.rs
@@ -176,13 +176,13 @@
         let retention = Duration::from_secs(attempt.keep_seconds).max(RETENTION_AFTER_DEADLINE);
         match state.ledger.enter(ledger_id(id), deadline + retention, now) {
             Ok(()) => {}
-            Err(refusal) => return self.reject_known(&state, id, refusal),
+            Err(refusal) => return self.resolve_ledger_refusal(&state, id, refusal),
         }
         if let Some(earlier) = bind_key(&mut state, &attempt) {
             // This attempt never runs: it gets the response of the earlier attempt with the same key.
             state.ledger.settle(ledger_id(id), deadline + retention, now);
             return match earlier {
-                EarlierUse::Attempt(earlier) => buffered_response(&state, earlier),
+                EarlierUse::Attempt(earlier) => start_from_buffer(&state, earlier),
                 EarlierUse::OtherBody => AttemptStart::Rejected(self.refusal(&state, id, RefusalReason::KeyReused, 0)),
             };
         }
@@ -254,16 +254,17 @@
         }
     }
 
-    fn reject_known(&self, state: &State, id: AttemptId, refusal: ledger::Refusal) -> AttemptStart {
+    fn resolve_ledger_refusal(&self, state: &State, id: AttemptId, refusal: ledger::Refusal) -> AttemptStart {
         match refusal {
             ledger::Refusal::Known {
                 state: ledger::State::Tombstone,
             } => AttemptStart::Rejected(self.refusal(state, id, RefusalReason::Tombstone, 0)),
-            ledger::Refusal::Known { .. } => buffered_response(state, id),
+            ledger::Refusal::Known { .. } => start_from_buffer(state, id),
             ledger::Refusal::Forgotten => {
                 AttemptStart::Unknown("the attempt is older than the ledger remembers".to_owned())
             }
-            // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too, or is the first to run.
+            // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too, or is
+            // the first to run.
             ledger::Refusal::Full => {
                 AttemptStart::Rejected(self.refusal(state, id, RefusalReason::LedgerFull, UNREACHABLE_RETRY_MS))
             }
@@ -307,7 +308,7 @@
                 log::info!(target: DECISION, decision = "hand_on", attempt = job.key.to_string().as_str(), tier = job.tier, workspace = job.workspace.as_str(), queued = state.queue.waiting(), running = state.queue.running(); "handed on");
                 tokio::spawn(Arc::clone(self).run(attempt, buffer, job.cost));
             } else {
-                // The attempt was settled while it was queued: readers of its response must be notified that it never runs.
+                // The attempt was settled while it was queued; its readers must be notified that it never runs.
                 state.queue.gave_up_place();
                 self.reject_queued(&mut state, job.key, RefusalReason::Tombstone, 0);
             }
@@ -469,7 +470,8 @@
         }
     }
 
-    /// Cancels an attempt whose caller has disconnected: a queued one never runs, a running one is stopped if it is retryable.
+    /// Cancels an attempt whose caller has disconnected: a queued one never runs, a running one is stopped if it is
+    /// retryable.
     pub(crate) async fn cancel(self: &Arc<Self>, id: AttemptId) {
         if self.settle(id) != Settlement::Running {
             return;
@@ -528,7 +530,7 @@
     }
 }
 
-fn buffered_response(state: &State, id: AttemptId) -> AttemptStart {
+fn start_from_buffer(state: &State, id: AttemptId) -> AttemptStart {
     match state.attempts.get(&id) {
         Some(record) => AttemptStart::Response(Arc::clone(&record.response)),
         None => AttemptStart::Unknown("the answer is not kept any more".to_owned()),
--- a/crates/sparscale_agent/src/program.rs
+++ b/crates/sparscale_agent/src/program.rs
@@ -52,7 +52,7 @@
 /// Builds the command line parser.
 pub fn command() -> Command {
     Command::new("sparscale-agent")
-        .about("Stands beside one target and is the only way to it")
+        .about("Runs beside one target and forwards all of its requests")
         .version(env!("CARGO_PKG_VERSION"))
         .arg(
             Arg::new("settings")
--- a/crates/sparscale_wire/src/endpoint.rs
+++ b/crates/sparscale_wire/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One UDP socket of a process, and its connections to other processes.
+//! The UDP socket of a process and its pooled QUIC connections to other processes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,94 +13,94 @@
 use crate::stream::Channel;
 use crate::tls::{self, Identity, Role};
 
-/// A connection without any packet for this long is given up.
+/// A connection that receives no packet for this time is closed.
 const IDLE_TIMEOUT_MS: u32 = 3_000;
-/// Packets that keep an idle connection alive; several fit into the idle timeout.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Time that a new connection may take.
+/// Interval of the packets that keep an idle connection alive; several fit into the idle timeout, so one may be lost.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for the setup of a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Round trip that a new connection is taken to have. A first packet that is lost is sent again after three of these; with the
-/// transport's usual third of a second eight of sixteen dials at once were given up before that.
+/// Round trip time assumed for a new connection. A lost first packet is sent again after three of these. With the
+/// transport's default of a third of a second, 8 of 16 simultaneous connection attempts timed out before that.
 const INITIAL_RTT: Duration = Duration::from_millis(50);
-/// A connection without a stream is closed when the last one was opened longer ago.
+/// A connection without an open stream is closed this long after its last stream was opened.
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(10);
-/// Streams that one peer may have open at once, where each request is one.
+/// Maximum number of streams that one peer may have open at once where each request is a stream.
 const MAX_STREAMS: u32 = 16_384;
-/// The same where a peer opens a stream or two and keeps them. The transport sets up some 80 bytes for each stream that
-/// may come, on each connection: 1.4 MB for [`MAX_STREAMS`].
+/// Maximum number of open streams for peers that open one or two and keep them. The transport allocates about 80 bytes per
+/// allowed stream on each connection, which is 1.4 MB for [`MAX_STREAMS`].
 pub const FEW_STREAMS: u32 = 64;
 
-/// Why a process cannot talk to another.
+/// Error of the socket or of a connection.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The socket cannot be opened.
+    /// The socket couldn't be opened.
     #[snafu(display("{address}: cannot be opened: {source}; choose a free address of this box"))]
     Bind {
         /// Address from the settings.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The certificates cannot be used.
+    /// The certificates are unusable.
     #[snafu(display("{source}"), context(false))]
     Tls {
-        /// What is wrong with them.
+        /// Cause, with the file.
         source: tls::Error,
     },
-    /// The address cannot be connected to.
+    /// No connection to the address can be attempted.
     #[snafu(display("{address}: {source}"))]
     Connect {
-        /// The other process.
+        /// Address of the other process.
         address: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         source: quinn::ConnectError,
     },
     /// The connection failed or broke.
     #[snafu(display("{address}: {source}"))]
     Connection {
-        /// The other process.
+        /// Address of the other process.
         address: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         source: quinn::ConnectionError,
     },
-    /// No connection came about in time.
+    /// The connection wasn't established within the timeout.
     #[snafu(display("{address}: no connection within {} ms", CONNECT_TIMEOUT.as_millis()))]
     Timeout {
-        /// The other process.
+        /// Address of the other process.
         address: SocketAddr,
     },
-    /// The endpoint was closed.
+    /// The endpoint has been closed.
     #[snafu(display("this process is stopping"))]
     Closed,
-    /// The peer's certificate names no role.
-    #[snafu(display("{address}: the certificate names no role of the system; issue it for {}", Role::Entry.dns_name()))]
-    Stranger {
-        /// The other process.
+    /// The certificate of the other process contains no role.
+    #[snafu(display("{address}: the certificate contains no DNS name of a role; issue it for {}", Role::Entry.dns_name()))]
+    MissingRole {
+        /// Address of the other process.
         address: SocketAddr,
     },
 }
 
-/// A process that connected to this one.
+/// Established connection from another process.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// What its certificate says it is.
+    /// Role according to its certificate.
     pub role: Role,
     connection: Connection,
 }
 
-/// A process that is connecting to this one.
+/// Incoming connection whose handshake hasn't finished.
 #[derive(Debug)]
 pub struct Incoming {
     incoming: quinn::Incoming,
 }
 
-/// One connection, and who uses it.
+/// Pooled connection and its use.
 #[derive(Debug)]
 struct Slot {
     connection: OnceCell<Connection>,
-    /// Cloned into each stream; the count tells whether any is open.
+    /// Cloned into each stream; the reference count shows whether any stream is open.
     lease: Arc<()>,
-    opened: Mutex<Instant>,
+    last_opened: Mutex<Instant>,
 }
 
 impl Default for Slot {
@@ -108,23 +108,23 @@
         Self {
             connection: OnceCell::new(),
             lease: Arc::default(),
-            opened: Mutex::new(Instant::now()),
+            last_opened: Mutex::new(Instant::now()),
         }
     }
 }
 
 impl Slot {
-    fn note_open(&self) {
-        *self.opened.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+    fn record_use(&self) {
+        *self.last_opened.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
     fn is_unused(&self) -> bool {
-        let opened = *self.opened.lock().unwrap_or_else(PoisonError::into_inner);
-        Arc::strong_count(&self.lease) == 1 && opened.elapsed() > UNUSED_TIMEOUT
+        let last_opened = *self.last_opened.lock().unwrap_or_else(PoisonError::into_inner);
+        Arc::strong_count(&self.lease) == 1 && last_opened.elapsed() > UNUSED_TIMEOUT
     }
 }
 
-/// The socket of a process.
+/// Socket of a process, with a pool of connections to other processes.
 #[derive(Debug)]
 pub struct Endpoint {
     socket: quinn::Endpoint,
@@ -135,15 +135,15 @@
 }
 
 impl Endpoint {
-    /// Opens the socket at `address` with the certificates of `identity`, for a stream a request.
+    /// Opens the socket at `address` with the certificates of `identity`, for peers that open one stream per request.
     pub fn bind(address: SocketAddr, identity: Identity) -> Result<Self, Error> {
         Self::with_streams(address, identity, MAX_STREAMS)
     }
 
-    /// The same for peers that have `streams` streams open at once at most.
-    pub fn with_streams(address: SocketAddr, identity: Identity, streams: u32) -> Result<Self, Error> {
+    /// Opens the socket like [`Endpoint::bind`], for peers that may have at most `max_streams` streams open at once.
+    pub fn with_streams(address: SocketAddr, identity: Identity, max_streams: u32) -> Result<Self, Error> {
         let configs = identity.load()?;
-        let transport = transport(streams);
+        let transport = transport(max_streams);
         let mut server = configs.server;
         server.transport_config(Arc::clone(&transport));
         let endpoint = quinn::Endpoint::server(server, address).context(BindSnafu { address })?;
@@ -158,12 +158,12 @@
         })
     }
 
-    /// Address that the socket has.
+    /// Returns the address that the socket is bound to.
     pub fn local_address(&self) -> Result<SocketAddr, std::io::Error> {
         self.socket.local_addr()
     }
 
-    /// Reads the certificate files again. Connections that stand keep going; new ones use the new certificates.
+    /// Reloads the certificate files. Established connections stay open; new ones use the new certificates.
     pub fn reload(&self) -> Result<(), Error> {
         let configs = self.identity.load()?;
         let (mut server, mut client) = (configs.server, configs.client);
@@ -174,25 +174,25 @@
         Ok(())
     }
 
-    /// The next process that knocks. Its handshake is left to the caller, so that a slow one delays nobody.
+    /// Waits for the next incoming connection. The caller completes the handshake, so that a slow one delays no other.
     pub async fn accept(&self) -> Result<Incoming, Error> {
         let incoming = self.socket.accept().await.context(ClosedSnafu)?;
         Ok(Incoming { incoming })
     }
 
-    /// Opens a stream to the process at `address`, over the connection that stands or a new one.
+    /// Opens a stream to the process at `address` over the pooled connection or, if there is none or it failed, a new one.
     pub async fn open(&self, address: SocketAddr, role: Role) -> Result<Channel, Error> {
         let slot = self.slot(address, role);
         if let Ok(channel) = self.open_on(&slot, address, role).await? {
             return Ok(channel);
         }
-        self.forget(address, role, &slot);
+        self.remove_slot(address, role, &slot);
         let slot = self.slot(address, role);
         let opened = self.open_on(&slot, address, role).await?;
         opened.context(ConnectionSnafu { address })
     }
 
-    /// Opens a stream on the connection in `slot`; the inner error tells that the connection broke meanwhile.
+    /// Opens a stream on the connection in `slot`. The inner error means that an established connection has failed.
     async fn open_on(
         &self,
         slot: &Slot,
@@ -200,13 +200,13 @@
         role: Role,
     ) -> Result<Result<Channel, quinn::ConnectionError>, Error> {
         let lease = Arc::clone(&slot.lease);
-        slot.note_open();
+        slot.record_use();
         let connection = slot.connection.get_or_try_init(|| self.connect(address, role)).await?;
         let opened = connection.open_bi().await;
         Ok(opened.map(|(send, receive)| Channel::new(send, receive, Some(lease))))
     }
 
-    /// Sees to it that a connection to the process at `address` stands, so that a stream to it can be opened at once.
+    /// Establishes a connection to the process at `address` if there is none, so that a stream can be opened without delay.
     pub async fn keep_ready(&self, address: SocketAddr, role: Role) -> Result<(), Error> {
         let slot = self.slot(address, role);
         if slot
@@ -214,18 +214,18 @@
             .get()
             .is_some_and(|connection| connection.close_reason().is_some())
         {
-            self.forget(address, role, &slot);
+            self.remove_slot(address, role, &slot);
         }
         let slot = self.slot(address, role);
-        slot.note_open();
+        slot.record_use();
         slot.connection.get_or_try_init(|| self.connect(address, role)).await?;
         Ok(())
     }
 
-    /// Drops the connection to the process at `address`, so that the next stream is opened over a new one.
+    /// Closes the connection to the process at `address`, so that the next stream is opened over a new one.
     ///
-    /// For a peer that fell silent: it may have been started anew, and the new process knows nothing of the old one's
-    /// connections. The transport itself notices that only after its idle timeout.
+    /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the old one.
+    /// The transport detects that only after its idle timeout.
     pub fn renew(&self, address: SocketAddr, role: Role) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let slot = connections.remove(&(address, role));
@@ -234,10 +234,10 @@
         }
     }
 
-    /// Closes connections without any stream that nobody has used for a while; to be called now and then.
+    /// Closes connections that have no open stream and haven't been used for a while; called periodically.
     ///
-    /// An entry talks to a few agents all the time and to any other once in a while. Kept for ever, those connections'
-    /// keep-alive packets alone would use up a node's bytes.
+    /// An entry uses connections to a few agents all the time and to any other agent only occasionally. If all of them stayed
+    /// open, their keep-alive packets alone would exhaust the bandwidth of a box.
     pub fn close_unused(&self) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         connections.retain(|_, slot| {
@@ -251,7 +251,7 @@
         });
     }
 
-    /// Closes all connections.
+    /// Closes all connections and waits until the peers have been notified.
     pub async fn close(&self) {
         self.socket.close(VarInt::from_u32(0), b"stopping");
         self.socket.wait_idle().await;
@@ -271,29 +271,29 @@
         Arc::clone(connections.entry((address, role)).or_default())
     }
 
-    fn forget(&self, address: SocketAddr, role: Role, broken: &Arc<Slot>) {
+    fn remove_slot(&self, address: SocketAddr, role: Role, failed: &Arc<Slot>) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
-        let same = connections
+        let is_current = connections
             .get(&(address, role))
-            .is_some_and(|slot| Arc::ptr_eq(slot, broken));
-        if same {
+            .is_some_and(|slot| Arc::ptr_eq(slot, failed));
+        if is_current {
             connections.remove(&(address, role));
         }
     }
 }
 
 impl Incoming {
-    /// Finishes the handshake; a process without a valid certificate of the system is refused.
+    /// Completes the handshake; a process without a valid certificate of the system is rejected.
     pub async fn establish(self) -> Result<Peer, Error> {
         let address = self.incoming.remote_address();
         let connection = self.incoming.await.context(ConnectionSnafu { address })?;
-        let role = role_of(&connection).context(StrangerSnafu { address })?;
+        let role = role_of(&connection).context(MissingRoleSnafu { address })?;
         Ok(Peer { role, connection })
     }
 }
 
 impl Peer {
-    /// The next stream that the peer opens.
+    /// Waits for the next stream that the peer opens.
     pub async fn accept(&self) -> Result<Channel, Error> {
         let address = self.connection.remote_address();
         let (send, receive) = self.connection.accept_bi().await.context(ConnectionSnafu { address })?;
@@ -307,11 +307,11 @@
     Role::of(chain.first()?)
 }
 
-fn transport(streams: u32) -> Arc<TransportConfig> {
+fn transport(max_streams: u32) -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     transport.max_idle_timeout(Some(VarInt::from_u32(IDLE_TIMEOUT_MS).into()));
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     transport.initial_rtt(INITIAL_RTT);
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(streams));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(max_streams));
     Arc::new(transport)
 }
--- a/crates/sparscale_wire/src/frame.rs
+++ b/crates/sparscale_wire/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: typed messages, encoded with `postcard` behind a version byte.
+//! Frames: typed messages, encoded with `postcard` after a version byte. The encoding depends on the order of fields and
+//! variants.
 
 use std::fmt;
 
@@ -12,12 +13,12 @@
 
 use crate::peer::{Exchange, GroupLoad, Notices, RankNews, RankOrder};
 
-/// Names one dispatch of one request to one agent; never used twice.
+/// Unique id of one dispatch of one request to one agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Incarnation of the entry that dispatched it.
+    /// Incarnation of the entry that dispatched the request.
     pub entry: u64,
-    /// Counter of that incarnation.
+    /// Number of the dispatch within that incarnation.
     pub counter: u64,
 }
 
@@ -30,167 +31,167 @@
 /// One message on a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Opens a stream: what the sender wants.
+    /// Request that opens a stream.
     Ask(Ask),
-    /// Part of an answer to an attempt.
+    /// Part of a response to an attempt.
     Answer(Answer),
-    /// Answer to [`Ask::Settle`].
+    /// Response to [`Ask::Settle`].
     Settlement(Settlement),
-    /// A load report, on an [`Ask::Watch`] stream or by itself.
+    /// Load report, on an [`Ask::Watch`] stream or on its own.
     Load(Load),
-    /// Answer to [`Ask::Follow`].
+    /// Response to [`Ask::Follow`].
     Relayed(Relayed),
-    /// Answer to [`Ask::Order`].
+    /// Response to [`Ask::Order`].
     Report(switch::Report),
-    /// Answer to [`Ask::Experts`]: tokens that each expert served since the target started.
+    /// Response to [`Ask::Experts`]: number of tokens that each expert has served since the target started.
     Experts(Vec<u64>),
-    /// Answer to [`Ask::Ping`]: the incarnation that answers.
+    /// Response to [`Ask::Ping`]: incarnation of the responding process.
     Pong(u64),
-    /// What a peer believes, on an [`Ask::Exchange`] stream; both sides send it.
+    /// Summary of the sender's observations, on an [`Ask::Exchange`] stream; both sides send it.
     Exchange(Exchange),
-    /// The catalog that the next [`Frame::Exchange`] of this stream speaks of.
+    /// Catalog whose version the next [`Frame::Exchange`] of this stream states.
     Catalog(Box<Document>),
-    /// The roster that the next [`Frame::Exchange`] of this stream speaks of.
+    /// Roster whose version the next [`Frame::Exchange`] of this stream states.
     Roster(Roster),
-    /// Targets that ended under requests, on an [`Ask::Exchange`] stream.
+    /// Targets whose process ended during a request, on an [`Ask::Exchange`] stream.
     Strikes(Vec<Strike>),
-    /// What targets ask of those that send to them, on an [`Ask::Exchange`] stream.
+    /// Limits that targets state for their senders, on an [`Ask::Exchange`] stream.
     Notices(Notices),
-    /// Loads of a group, on an [`Ask::Exchange`] stream.
+    /// Loads of a group's ranks, on an [`Ask::Exchange`] stream.
     Group(GroupLoad),
-    /// An order to a rank, on an [`Ask::Conduct`] stream.
+    /// Message from a group leader to the agent of a rank, on an [`Ask::Conduct`] stream.
     RankOrder(RankOrder),
-    /// What a rank's agent tells its conductor, on an [`Ask::Conduct`] stream.
+    /// Message from the agent of a rank to the group leader, on an [`Ask::Conduct`] stream.
     RankNews(RankNews),
-    /// Answer to [`Ask::Leader`].
+    /// Response to [`Ask::Leader`].
     Leader(Sighting),
 }
 
-/// What the opener of a stream wants.
+/// Request with which a process opens a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Ask {
-    /// Run a request and stream its answer.
+    /// Run a request and stream its response.
     Attempt(Box<Attempt>),
-    /// Stream the answer of an earlier attempt again, from chunk `from` on.
+    /// Stream the response of an earlier attempt again, starting at chunk `from`.
     Resume {
         /// The earlier attempt.
         attempt: AttemptId,
-        /// First chunk that is missing.
+        /// First missing chunk.
         from: u64,
     },
-    /// Say what became of an attempt; if it was not handed on, see that it never will be.
+    /// Report the outcome of an attempt, and prevent its dispatch if it wasn't dispatched yet.
     Settle {
         /// The attempt.
         attempt: AttemptId,
-        /// Incarnation of the agent that it was sent to; any other cannot tell what became of it.
+        /// Incarnation of the agent that the attempt was sent to; no other incarnation knows its outcome.
         incarnation: u64,
     },
-    /// Stop an attempt whose caller went away.
+    /// Cancel an attempt whose caller has disconnected.
     Cancel(AttemptId),
     /// Report load whenever it changes.
     Watch {
-        /// Incarnation of the asking entry.
+        /// Incarnation of the requesting entry.
         entry: u64,
-        /// Shortest time between two reports, in milliseconds.
+        /// Minimum interval between two reports, in milliseconds.
         interval_ms: u64,
     },
-    /// Relay log records from offset `head` on; with `image`, start with the folded state.
+    /// Relay log records, starting at offset `head`; the peer may send the folded state first, as [`Relayed::Image`].
     Follow {
-        /// Offset of the first record that is wanted.
+        /// Offset of the first record to send.
         head: u64,
-        /// Version of the bundle that the asker has in force; 0 for none.
+        /// Version of the bundle that is active in the requesting process; 0 for none.
         version: u64,
     },
     /// Change the expert map.
     Order {
-        /// Group that the order is for.
+        /// Group whose map is changed.
         group: String,
-        /// The order, under its fence.
+        /// Order and its fence.
         order: switch::Order,
     },
-    /// Say how many tokens each expert served.
+    /// Report the number of tokens that each expert has served.
     Experts,
-    /// Say which incarnation answers.
+    /// Report the incarnation of the responding process.
     Ping,
-    /// Tell each other beliefs about the world outside, again and again.
+    /// Exchange observations in both directions, periodically.
     Exchange,
-    /// Take orders about the expert map of a rank from a conductor, and tell it the rank's state and counts.
+    /// Accept orders about the expert map of a rank from the group leader, and report the rank's state and counts to it.
     Conduct {
-        /// Group that the conductor leads.
+        /// Group of the leader.
         group: String,
-        /// Rank that the conductor takes the agent's engine for.
+        /// Rank of the agent's engine according to the leader.
         rank: usize,
-        /// Offset of the claim by which it leads.
+        /// Offset of the leader's claim in the log.
         claim: u64,
     },
-    /// Say when a conductor was heard last.
+    /// Report when the agent last received a message from a leader.
     Leader {
-        /// Its group.
+        /// Group of the leader.
         group: String,
     },
 }
 
-/// What an agent knows of the conductor of its group.
+/// Observation that an agent has of the leader of its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// Claim of the conductor that it heard last; none if it has heard none.
+    /// Claim of the leader from which the agent last received a message; `None` if it hasn't received any.
     pub claim: Option<u64>,
-    /// Time since then, in milliseconds.
+    /// Time since that message, in milliseconds.
     pub heard_ms: u64,
-    /// Time since the agent started, in milliseconds.
+    /// Time for which the agent has been running, in milliseconds.
     pub up_ms: u64,
 }
 
-/// A request on its way to one target.
+/// Dispatch of a request to one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Names this dispatch.
+    /// Id of this dispatch.
     pub id: AttemptId,
-    /// Incarnation of the agent that may run it; 0 for any.
+    /// Incarnation of the agent that may run the request; 0 for any.
     pub incarnation: u64,
-    /// Workspace that pays for it.
+    /// Workspace that the request is charged to.
     pub workspace: String,
-    /// Index of its tier, 0 for the highest.
+    /// Index of the tier; 0 is the highest.
     pub tier: u8,
-    /// Weight of the workspace inside its tier.
+    /// Weight of the workspace within its tier.
     pub weight: u32,
-    /// Time left until the caller gives up, in milliseconds.
+    /// Remaining time until the caller's timeout, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Key under which the agent keeps the outcome for re-sends.
+    /// Idempotency key under which the agent keeps the outcome for retries.
     pub key: Option<BindingKey>,
-    /// How long the agent keeps that outcome, in seconds.
+    /// Time for which the agent keeps that outcome, in seconds.
     pub keep_seconds: u64,
     /// Estimated prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Estimated answer length, in tokens.
+    /// Estimated response length, in tokens.
     pub answer_tokens: u32,
-    /// What to call.
+    /// Call to make.
     pub call: Call,
 }
 
-/// What a target is asked to do.
+/// Call to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// A model answer, as the body of a chat completion request.
+    /// Chat completion by a model.
     Model {
-        /// JSON body.
+        /// JSON body of the chat completion request.
         body: Bytes,
     },
-    /// A call of a plain service.
+    /// Call to a plain service.
     Service {
-        /// Name of the call.
+        /// Name of the called operation.
         name: String,
         /// Media type of the body.
         content_type: String,
-        /// Body as the caller sent it.
+        /// Body as sent by the caller.
         body: Bytes,
     },
 }
 
 impl Call {
-    /// Digest of what is asked for, so that one idempotency key is not used for two requests.
+    /// Digest of the call, by which the use of one idempotency key for two different requests is detected.
     pub fn digest(&self) -> [u8; 32] {
         let mut digest = Sha256::new();
         match self {
@@ -205,171 +206,171 @@
     }
 }
 
-/// Part of an answer.
+/// Part of a response, with the attempt that it belongs to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Attempt that it belongs to; a receiver drops any other.
+    /// Attempt that the part belongs to; a receiver drops parts of any other attempt.
     pub attempt: AttemptId,
-    /// What it says.
+    /// The part itself.
     pub part: Part,
 }
 
-/// Parts of an answer, in the order in which they come.
+/// Parts of a response, in the order in which they are sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Part {
-    /// The target answers; chunks follow.
+    /// Start of the target's response; chunks follow.
     Head(Head),
-    /// A piece of the answer.
+    /// Chunk of the body.
     Chunk(Chunk),
-    /// The answer is whole.
+    /// End of a complete response.
     End {
-        /// Number of chunks that the whole answer has.
+        /// Number of chunks of the complete response.
         chunks: u64,
-        /// Load of the agent now.
+        /// Current load of the agent.
         load: Load,
     },
-    /// The request was not handed on and never will be.
+    /// The request wasn't dispatched to the target and never will be.
     Refused(Refusal),
-    /// The request was handed on and did not end well.
+    /// The request was dispatched to the target and failed.
     Failed(Failure),
 }
 
-/// Start of an answer.
+/// Status and headers of a response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// HTTP status of the target's answer.
+    /// HTTP status of the target's response.
     pub status: u16,
-    /// Media type of the target's answer.
+    /// Media type of the target's response.
     pub content_type: String,
-    /// Incarnation of the agent, needed to resume.
+    /// Incarnation of the agent, needed to resume the stream.
     pub incarnation: u64,
-    /// Load of the agent now.
+    /// Current load of the agent.
     pub load: Load,
 }
 
-/// A piece of an answer.
+/// Chunk of a response body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Number of the chunk, from 0.
+    /// Number of the chunk, starting at 0.
     pub sequence: u64,
-    /// Its bytes.
+    /// Content of the chunk.
     pub data: Bytes,
 }
 
-/// A request that was not handed on; the agent keeps a tombstone so that a late copy is refused too.
+/// Rejection of a request that wasn't dispatched; the agent keeps a tombstone, so that a later copy is rejected too.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the rejection.
     pub reason: RefusalReason,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// Load of the agent now.
+    /// Current load of the agent.
     pub load: Load,
 }
 
-/// Why a request was not handed on.
+/// Reason why a request wasn't dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The agent is stopping or its box is leaving.
+    /// The agent is stopping, or its box is draining.
     Draining,
     /// The queue is full.
     QueueFull,
-    /// The wait would outlast the deadline.
+    /// The expected wait exceeds the deadline.
     TooLate,
-    /// The ledger cannot take another entry without forgetting one.
+    /// The ledger has no space for another attempt.
     LedgerFull,
-    /// Another incarnation of the agent was meant.
+    /// The attempt was sent to another incarnation of the agent.
     OtherIncarnation,
-    /// The attempt was refused before; a tombstone stands.
+    /// The attempt was rejected earlier and has a tombstone.
     Tombstone,
-    /// The target cannot be reached.
+    /// The target can't be reached.
     TargetDown,
     /// The agent has no bundle yet.
     NotReady,
     /// The idempotency key was used for a request with another body.
     KeyReused,
-    /// The target takes no request before the deadline: it limits its rate, wants rest, or leaves.
+    /// The target accepts no request before the deadline, because of its rate limit, a backoff or a drain.
     Closed,
 }
 
-/// A request that was handed on and did not end well.
+/// Failure of a request that was dispatched to the target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
-    /// The target answered with an error of its own after running the request.
+    /// The target ran the request and responded with an error.
     Target {
-        /// What it said.
+        /// Error message of the target.
         message: String,
     },
-    /// Nobody can tell whether it ran.
+    /// The agent can't determine whether the request ran.
     Unknown {
-        /// What is known.
+        /// Description of the failure.
         message: String,
     },
-    /// The same, and the target's process had ended a moment later.
+    /// Like [`Failure::Unknown`], and the target's process has ended.
     Ended {
-        /// What is known.
+        /// Description of the failure.
         message: String,
     },
 }
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It was not handed on, and never will be.
+    /// The attempt wasn't dispatched and never will be.
     NotRun,
-    /// It was handed on; the answer can be resumed.
+    /// The attempt was dispatched and is running; its response can be resumed.
     Running,
-    /// It was handed on and ended; the answer can be resumed for a while.
+    /// The attempt was dispatched and has ended; its response can be resumed until its retention ends.
     Ended,
-    /// This agent cannot tell: it is another incarnation, or has forgotten.
+    /// The agent doesn't know: it is another incarnation, or no longer has the attempt in its ledger.
     Unknown,
 }
 
-/// Load of one target as its agent knows it.
+/// Load of one target as known to its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Load {
     /// Incarnation of the agent.
     pub incarnation: u64,
-    /// Highest counter seen of the entry that gets this report.
+    /// Highest attempt counter received from the entry that gets this report.
     pub seen: u64,
-    /// Requests handed on to the target.
+    /// Requests running at the target.
     pub running: u32,
-    /// Requests that wait at the agent.
+    /// Requests queued at the agent.
     pub queued: u32,
-    /// Those of both that came from the entry that gets this report.
+    /// Running and queued requests sent by the entry that gets this report.
     pub own: u32,
-    /// Prompt tokens that the target still has to prefill.
+    /// Prompt tokens that still wait for prefill at the target.
     pub prefill_tokens: u32,
-    /// Time of the group's latest step, in microseconds.
+    /// Duration of the group's latest step, in microseconds.
     pub step_micros: u32,
-    /// Number of the expert map in use.
+    /// Number of the active expert map.
     pub map: u64,
-    /// Whether the agent refuses new work: it drains, or its target does not listen.
+    /// Whether the agent rejects new requests: it is draining, or its target isn't listening or accepts no requests.
     pub closed: bool,
 }
 
-/// Log records on their way through a peer.
+/// Log records relayed by a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Relayed {
-    /// Records in offset order; snapshots come without their image.
+    /// Records in offset order; snapshot records are sent without their image.
     Records {
         /// Offset of the first record.
         first: u64,
         /// Encoded records.
         records: Vec<Bytes>,
     },
-    /// A part of the encoded folded state.
+    /// Part of the encoded folded state.
     Image {
         /// The bytes of this part.
         part: Bytes,
         /// Whether this is the last part.
         last: bool,
     },
-    /// Nothing new; the peer has folded up to `head` and heard from the log `age_ms` ago.
+    /// No new records; the peer has applied all records up to `head` and last received from the log `age_ms` ago.
     Idle {
-        /// The peer's head.
+        /// Offset up to which the peer has applied records.
         head: u64,
-        /// Milliseconds since the peer, or the peer that it follows, last heard from the log.
+        /// Milliseconds since the peer, or the peer that it follows, last received from the log.
         age_ms: u64,
     },
 }
--- a/crates/sparscale_wire/src/lib.rs
+++ b/crates/sparscale_wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the system's own processes say to each other: frames over quinn streams, with mutual TLS.
+//! Protocol between the processes of the system: frames over QUIC streams (quinn) with mutual TLS.
 
 mod endpoint;
 mod frame;
-mod made;
 mod peer;
+mod self_signed;
 mod stream;
 mod tls;
 
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other about the world outside and about expert maps.
+//! Frames by which processes exchange observations (catalog, roster, limits and loads of targets) and orders about expert maps.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,189 +9,189 @@
 use sparscale_place::barrier::{Answer, Order, Report};
 use sparscale_place::{Map, Patch, Shape};
 
-/// What a process believes, and what the receiver needs to tell how old that is by its own clock.
+/// Summary of a process's observations, with the timestamps by which the receiver computes their age on its own clock.
 ///
-/// A message may lie in a buffer for seconds, while a process stands still. So an age alone says nothing to the
-/// receiver. Each side sends a stamp of its own clock; the other sends the latest one back, with the time it had it:
-/// the message was sent after that.
+/// While a process is frozen, a message may stay in a buffer for seconds, so the receiver can't rely on an age alone.
+/// Each side therefore sends the time of its own clock, and the other side echoes the latest one together with the time
+/// since it was received. This proves to the receiver of an echo that the message was sent after that clock time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Where the sender takes connections from other processes.
+    /// Address at which the sender accepts connections from other processes.
     pub sender: SocketAddr,
-    /// The sender's clock, in milliseconds since it started.
+    /// Time of the sender's clock, in milliseconds since the sender started.
     pub stamp_ms: u64,
-    /// The receiver's latest stamp, as it came back.
+    /// Echo of the receiver's latest clock time.
     pub echo: Option<Echo>,
-    /// The sender's catalog.
+    /// Version of the sender's catalog.
     pub catalog: Option<Known>,
-    /// Whether the receiver is to send its catalog: it told of a newer one than the sender has.
+    /// Whether the receiver must send its catalog, because it announced a newer one than the sender's.
     pub wants_catalog: bool,
-    /// The sender's roster.
+    /// Version of the sender's roster.
     pub roster: Option<KnownRoster>,
-    /// Whether the receiver is to send its roster: it told of one that the sender has not.
+    /// Whether the receiver must send its roster, because it announced one that the sender doesn't have.
     pub wants_roster: bool,
-    /// Age in milliseconds of what the sender knows of the strikes that the store holds; it has told all of that on this stream.
+    /// Age in milliseconds of the sender's copy of the strikes in the store; all of it has been sent on this stream.
     pub strikes_age_ms: Option<u64>,
-    /// Entries that the sender knows, itself included if it is one; empty if there is no news of them.
+    /// Entries that the sender knows, including itself if it is one; empty if they haven't changed.
     pub entries: Vec<SocketAddr>,
 }
 
-/// A stamp that comes back.
+/// Clock time of the receiver, sent back to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The stamp.
+    /// Clock time as received, in milliseconds.
     pub stamp_ms: u64,
-    /// How long the sender of this had it before it sent it back, in milliseconds.
+    /// Time between its receipt and this message, in milliseconds.
     pub held_ms: u64,
 }
 
-/// What targets ask of those that send to them.
+/// Limits that targets state for their senders.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Notices {
-    /// The receiver's latest stamp: it tells how old the message is.
+    /// Echo of the receiver's latest clock time, which bounds the age of this message.
     pub echo: Echo,
-    /// What was learnt since the last message.
+    /// Limits received since the last message.
     pub notices: Vec<Notice>,
 }
 
-/// What one target asks.
+/// Limits stated by one target.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The start of the target that asks it.
+    /// Start of the target that stated them.
     pub start: Start,
-    /// Requests a second that it takes from all entries; none if it limits them no longer.
+    /// Requests per second that the target accepts from all entries together; `None` if it no longer has a rate limit.
     pub per_second: Option<f64>,
-    /// Whether it leaves.
+    /// Whether the target is draining.
     pub leaving: bool,
-    /// Time since it said so when this was sent, in milliseconds.
+    /// Time between the target's statement and this message, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What is known of a belief.
+/// Version of an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// Where in its history it stands.
+    /// Position in the history of its source.
     pub position: Position,
-    /// Age when this was sent, in milliseconds.
+    /// Age of the observation when this message was sent, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What is known of a roster. Its place in the store's history moves with each heartbeat, its digest when it changes.
+/// Version of a roster. Each heartbeat advances its position in the store's history; its digest changes only with its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownRoster {
-    /// Place and age.
+    /// Position and age.
     pub known: Known,
-    /// Digest of the value.
+    /// Digest of the content.
     pub digest: u64,
 }
 
-/// What a conductor tells a rank's agent.
+/// Message from a group leader to the agent of a rank.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RankOrder {
-    /// It is there and leads.
+    /// The leader is alive and still leads the group.
     Heartbeat,
-    /// An order to the agent's own rank.
+    /// Order to the rank of the receiving agent.
     Own {
         /// The order.
         order: Order,
-        /// The map, where the order is to stage one.
+        /// Map to stage, if the order stages one.
         map: Option<MapUpdate>,
     },
-    /// An order to the engine of another rank, on behalf of the conductor.
+    /// Order that the agent sends to the engine of another rank on behalf of the leader.
     Delegation {
         /// The order.
         order: Order,
-        /// The other rank's engine.
+        /// Address of the other rank's engine.
         engine: SocketAddr,
     },
 }
 
-/// A map as it goes to an agent.
+/// Transfer of an expert map to an agent: in full or as a patch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MapUpdate {
-    /// All of it.
+    /// The full map.
     Whole(Arc<Map>),
-    /// What differs from one that the agent has.
+    /// Difference from a map that the agent has.
     Change {
-        /// The one that it has.
+        /// Map to which the patch applies.
         base: Base,
-        /// The difference.
+        /// Changed parts of the map.
         patch: Arc<Patch>,
     },
 }
 
-/// A map that an agent has.
+/// Map that an agent has already received, as the base of a patch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Base {
-    /// The one that every group starts with.
+    /// Initial map of a group with this shape.
     Initial(Shape),
-    /// One that was sent before, by its number.
+    /// Map that was sent earlier, by its number.
     Sent(u64),
 }
 
-/// What a rank's agent tells its conductor.
+/// Message from the agent of a rank to the group leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RankNews {
-    /// The rank's state.
+    /// State of the rank.
     Report {
-        /// State, and answer to an order.
+        /// State, and response to the last order.
         report: Report,
-        /// Its load, if the state could be read.
+        /// Load of the rank, if its state could be read.
         load: Option<RankLoad>,
     },
-    /// Picks of each expert, set by set, since the last such message.
+    /// Expert selection counts since the last such message.
     Picks {
-        /// Epoch in which they were counted.
+        /// Epoch in which the selections were counted.
         epoch: u64,
-        /// Time over which they were counted, in milliseconds.
+        /// Duration over which the selections were counted, in milliseconds.
         span_ms: u64,
-        /// One number for each expert of each set.
+        /// Number of selections of each expert, set by set.
         picks: Vec<u32>,
     },
-    /// The experts that the rank holds.
+    /// Experts that the rank holds.
     Holds(Placement),
-    /// What another rank's engine said to a delegation.
+    /// Response of another rank's engine to a delegated order.
     Delegation {
-        /// Serial of the order.
+        /// Serial number of the order.
         serial: u64,
-        /// What it said.
+        /// Response of the engine.
         answer: Answer,
     },
-    /// A conductor with a higher claim leads this rank.
+    /// A leader with a higher claim has taken over this rank.
     Overtaken {
-        /// Its claim.
+        /// Claim of that leader.
         claim: u64,
     },
 }
 
-/// Experts that one rank holds under one map.
+/// Experts held by one rank under one map.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Epoch in which it holds them.
+    /// Epoch in which the rank holds them.
     pub epoch: u64,
     /// Number of the map.
     pub number: u64,
-    /// Experts of each set.
+    /// Experts held, by set.
     pub sets: Vec<Vec<u16>>,
-    /// Whether the agent has the whole map, of all ranks, so that a change of it is enough.
+    /// Whether the agent has the full map of all ranks, so that the next map can be sent as a patch.
     pub whole: bool,
 }
 
-/// Load of one rank as its engine reports it on its own box: fresh.
+/// Load of one rank as reported by its engine to the agent on the same box; recent, because no other box is involved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RankLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Mark of the engine's start, by which a load is not taken for that of the next one; 0 if it does not tell.
+    /// Marker of the engine's start, so that a load isn't attributed to a later start of the engine; 0 if not reported.
     pub start: u16,
-    /// How many times as long as usual its work takes, in thousandths; 0 if it does not tell.
+    /// Slowdown of the rank in thousandths, where 1000 is nominal; 0 if not reported.
     pub pace_milli: u32,
 }
 
 impl RankLoad {
-    /// How many times as long as usual the rank's work takes.
+    /// Returns the slowdown of the rank as a factor; 1 if it is nominal or not reported.
     pub fn pace(&self) -> f64 {
         if self.pace_milli == 0 {
             1.0
@@ -201,27 +201,27 @@
     }
 }
 
-/// Loads of a group's ranks, as its conductor knows them.
+/// Loads of a group's ranks as known to the group leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupLoad {
     /// Name of the group.
     pub group: String,
-    /// Claim of the conductor, then the number of this message: later ones are larger.
+    /// Claim of the leader and number of this message; a later message compares as larger.
     pub order: (u64, u64),
-    /// Whether the group runs.
+    /// Whether the group is running.
     pub open: bool,
-    /// Mean over the sets of the largest rank load over the mean.
+    /// Skew: the ratio of the largest rank load to the mean rank load, averaged over the sets.
     pub skew: f64,
-    /// Mean time of the latest passes, in microseconds; 0 if none was seen.
+    /// Mean duration of the latest passes, in microseconds; 0 if none was observed.
     pub pass_micros: u64,
-    /// Number of the latest pass that was seen to begin: while it stands still, so does the group, or it has nothing to do.
+    /// Number of the latest pass whose start was observed; while it doesn't increase, the group is stalled or idle.
     pub pass: u64,
-    /// Load of each rank; none where it was not heard lately.
+    /// Load of each rank; `None` for a rank without a recent report.
     pub ranks: Vec<Option<RankLoad>>,
 }
 
 impl GroupLoad {
-    /// The load of a rank whose start has this mark; none if none was told, or that of another start.
+    /// Returns the load of a rank if it was reported by the engine start with this marker. A marker of 0 matches any start.
     pub fn rank(&self, rank: usize, start: u16) -> Option<RankLoad> {
         let load = self.ranks.get(rank).copied().flatten()?;
         (load.start == start || load.start == 0 || start == 0).then_some(load)
--- a/crates/sparscale_wire/src/made.rs
+++ b/crates/sparscale_wire/src/self_signed.rs
@@ -1,4 +1,4 @@
-//! Certificates that a process makes for itself, and the trust that goes with them: anyone on the closed network.
+//! Self-signed certificates for closed networks, and TLS configurations that accept any such certificate.
 
 use std::sync::Arc;
 
@@ -9,70 +9,70 @@
 use rustls::server::danger::{ClientCertVerified, ClientCertVerifier};
 use rustls::{ClientConfig, DigitallySignedStruct, DistinguishedName, ServerConfig, SignatureScheme};
 
-use crate::tls::{Configs, Error, Role, quic_client, quic_server};
+use crate::tls::{Error, QuicConfigs, Role, quic_client, quic_server};
 
-/// Makes a certificate that names `role`, and configurations that accept any other such certificate.
-pub(crate) fn configs(role: Role) -> Result<Configs, Error> {
+/// Generates a self-signed certificate for `role`, and builds configurations that accept any certificate of a peer.
+pub(crate) fn configs(role: Role) -> Result<QuicConfigs, Error> {
     let CertifiedKey { cert, signing_key } =
-        generate_simple_self_signed([role.dns_name().to_owned()]).map_err(|error| failed(&error))?;
+        generate_simple_self_signed([role.dns_name().to_owned()]).map_err(|error| generation_error(&error))?;
     let chain = vec![cert.der().clone()];
     let key = PrivatePkcs8KeyDer::from(signing_key.serialize_der());
     let provider = Arc::new(ring::default_provider());
-    let trust = Arc::new(Trust {
+    let verifier = Arc::new(AcceptAnyCertificate {
         provider: Arc::clone(&provider),
     });
     let server = ServerConfig::builder_with_provider(Arc::clone(&provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| failed(&error))?
-        .with_client_cert_verifier(Arc::clone(&trust) as Arc<dyn ClientCertVerifier>)
+        .map_err(|error| generation_error(&error))?
+        .with_client_cert_verifier(Arc::clone(&verifier) as Arc<dyn ClientCertVerifier>)
         .with_single_cert(chain.clone(), key.clone_key().into())
-        .map_err(|error| failed(&error))?;
+        .map_err(|error| generation_error(&error))?;
     let client = ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| failed(&error))?
+        .map_err(|error| generation_error(&error))?
         .dangerous()
-        .with_custom_certificate_verifier(trust)
+        .with_custom_certificate_verifier(verifier)
         .with_client_auth_cert(chain, key.into())
-        .map_err(|error| failed(&error))?;
-    Ok(Configs {
-        server: quic_server(server).map_err(|error| failed(&error))?,
-        client: quic_client(client).map_err(|error| failed(&error))?,
+        .map_err(|error| generation_error(&error))?;
+    Ok(QuicConfigs {
+        server: quic_server(server).map_err(|error| generation_error(&error))?,
+        client: quic_client(client).map_err(|error| generation_error(&error))?,
     })
 }
 
-fn failed(error: &dyn std::error::Error) -> Error {
-    Error::Make {
+fn generation_error(error: &dyn std::error::Error) -> Error {
+    Error::Generate {
         message: error.to_string(),
     }
 }
 
-/// Accepts every certificate whose holder proves that it has the key.
+/// Verifier that accepts every certificate whose holder proves possession of its key.
 #[derive(Debug)]
-struct Trust {
+struct AcceptAnyCertificate {
     provider: Arc<CryptoProvider>,
 }
 
-impl Trust {
+impl AcceptAnyCertificate {
     fn verify(
         &self,
         message: &[u8],
         certificate: &CertificateDer<'_>,
-        signed: &DigitallySignedStruct,
+        signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
         let algorithms = &self.provider.signature_verification_algorithms;
-        verify_tls13_signature(message, certificate, signed, algorithms)
+        verify_tls13_signature(message, certificate, signature, algorithms)
     }
 
-    fn schemes(&self) -> Vec<SignatureScheme> {
+    fn supported_schemes(&self) -> Vec<SignatureScheme> {
         self.provider.signature_verification_algorithms.supported_schemes()
     }
 
-    fn no_tls12() -> Result<HandshakeSignatureValid, rustls::Error> {
-        Err(rustls::Error::General("only TLS 1.3 is spoken".to_owned()))
+    fn reject_tls12() -> Result<HandshakeSignatureValid, rustls::Error> {
+        Err(rustls::Error::General("only TLS 1.3 is supported".to_owned()))
     }
 }
 
-impl ServerCertVerifier for Trust {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _end_entity: &CertificateDer<'_>,
@@ -90,7 +90,7 @@
         _cert: &CertificateDer<'_>,
         _dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Self::no_tls12()
+        Self::reject_tls12()
     }
 
     fn verify_tls13_signature(
@@ -103,11 +103,11 @@
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.schemes()
+        self.supported_schemes()
     }
 }
 
-impl ClientCertVerifier for Trust {
+impl ClientCertVerifier for AcceptAnyCertificate {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -127,7 +127,7 @@
         _cert: &CertificateDer<'_>,
         _dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Self::no_tls12()
+        Self::reject_tls12()
     }
 
     fn verify_tls13_signature(
@@ -140,6 +140,6 @@
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.schemes()
+        self.supported_schemes()
     }
 }
--- a/crates/sparscale_wire/src/stream.rs
+++ b/crates/sparscale_wire/src/stream.rs
@@ -1,4 +1,4 @@
-//! Frames on one quinn stream.
+//! Sends and receives length-delimited frames on one QUIC stream.
 
 use std::sync::Arc;
 
@@ -11,44 +11,44 @@
 use crate::frame::Frame;
 
 /// Version of the frame format.
-const VERSION: u8 = 1;
-/// Longest frame, in bytes; longer ones are refused before they are read.
-const MAX_FRAME: usize = 2 << 20;
-/// Code with which a receiver stops a stream that it no longer wants.
+const FRAME_VERSION: u8 = 1;
+/// Longest accepted frame; a longer one is rejected before its content is read.
+const MAX_FRAME_BYTES: usize = 2 << 20;
+/// QUIC error code with which a receiver stops a stream that it no longer reads.
 const STOP_CODE: u32 = 1;
 
-/// Why frames cannot go on.
+/// Error of a stream of frames.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The stream broke.
-    #[snafu(display("the stream broke: {source}"))]
-    Broken {
-        /// What the transport said.
+    /// The connection or the stream failed.
+    #[snafu(display("the stream failed: {source}"))]
+    TransportFailed {
+        /// Error of the transport.
         source: std::io::Error,
     },
-    /// The stream ended where a frame was due.
-    #[snafu(display("the stream ended early"))]
+    /// The stream ended where a frame was expected.
+    #[snafu(display("the stream ended where a frame was expected"))]
     Ended,
-    /// The other side speaks another version.
-    #[snafu(display("frame version {version} is not known here; roll out releases one step at a time"))]
+    /// The other side uses another version of the frame format.
+    #[snafu(display("frame version {version} is not supported by this release; roll out releases one step at a time"))]
     Version {
-        /// Version byte found.
+        /// Version byte of the frame.
         version: u8,
     },
-    /// The frame cannot be decoded.
+    /// A frame couldn't be decoded.
     #[snafu(display("a frame cannot be decoded: {source}"))]
     Decode {
-        /// What the decoder said.
+        /// Error of the decoder.
         source: postcard::Error,
     },
-    /// The frame cannot be encoded.
+    /// A frame couldn't be encoded.
     #[snafu(display("a frame cannot be encoded: {source}"))]
     Encode {
-        /// What the encoder said.
+        /// Error of the encoder.
         source: postcard::Error,
     },
-    /// A frame of another kind was due.
-    #[snafu(display("a frame of another kind was due"))]
+    /// The frame isn't of the type that the protocol allows here.
+    #[snafu(display("received a frame of a type that is not allowed on this stream at this point"))]
     Unexpected,
 }
 
@@ -70,7 +70,7 @@
 /// Receives frames.
 #[derive(Debug)]
 pub struct Receiver {
-    /// Shows the endpoint that the connection is in use.
+    /// Shows the endpoint that the connection is in use, as long as it isn't dropped.
     _lease: Option<Arc<()>>,
     frames: FramedRead<RecvStream, LengthDelimitedCodec>,
 }
@@ -93,49 +93,56 @@
     /// Sends one frame.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), Error> {
         let encoded = encode(frame)?;
-        self.frames.send(encoded).await.context(BrokenSnafu)
+        self.frames.send(encoded).await.context(TransportFailedSnafu)
     }
 
-    /// Says that no further frame comes.
+    /// Signals the end of the stream to the receiver.
     pub fn finish(&mut self) {
-        // A stream that is closed already needs no end.
+        // The only error is that the stream is closed already.
         let _closed = self.frames.get_mut().finish();
     }
 
-    /// Waits until the other side has stopped reading or the connection is gone.
+    /// Waits until the other side has stopped reading or the connection has closed.
     pub async fn stopped(&mut self) {
-        // Either result means that nobody reads any more.
+        // Both results mean that the other side reads no more frames.
         let _stopped = self.frames.get_mut().stopped().await;
     }
 }
 
 impl Receiver {
-    /// The next frame; an end of the stream is an error here.
+    /// Receives the next frame; the end of the stream is an error.
     pub async fn receive(&mut self) -> Result<Frame, Error> {
-        let bytes = self.frames.next().await.context(EndedSnafu)?.context(BrokenSnafu)?;
+        let bytes = self
+            .frames
+            .next()
+            .await
+            .context(EndedSnafu)?
+            .context(TransportFailedSnafu)?;
         decode(&bytes)
     }
 
-    /// Tells the sender that nothing more is wanted.
+    /// Asks the sender to send no more frames.
     pub fn stop(&mut self) {
-        // A stream that is closed already needs no stop.
+        // The only error is that the stream is closed already.
         let _closed = self.frames.get_mut().stop(VarInt::from_u32(STOP_CODE));
     }
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder()
+        .max_frame_length(MAX_FRAME_BYTES)
+        .new_codec()
 }
 
 pub(crate) fn encode(frame: &Frame) -> Result<Bytes, Error> {
     let mut buffer = BytesMut::with_capacity(128).writer();
-    buffer.get_mut().put_u8(VERSION);
+    buffer.get_mut().put_u8(FRAME_VERSION);
     postcard::to_io(frame, &mut buffer).context(EncodeSnafu)?;
     Ok(buffer.into_inner().freeze())
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Frame, Error> {
     let (version, content) = bytes.split_first().context(EndedSnafu)?;
-    ensure!(*version == VERSION, VersionSnafu { version: *version });
+    ensure!(*version == FRAME_VERSION, VersionSnafu { version: *version });
     postcard::from_bytes(content).context(DecodeSnafu)
 }
--- a/crates/sparscale_wire/src/tls.rs
+++ b/crates/sparscale_wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS: each process proves its role with a certificate of the fleet's own authority.
+//! Mutual TLS: each process proves its role with a certificate issued by the fleet's own authority.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 use snafu::{ResultExt as _, Snafu};
 
-use crate::made;
+use crate::self_signed;
 
-/// Protocol name in the TLS handshake.
+/// ALPN protocol name.
 const PROTOCOL: &[u8] = b"sparscale/1";
 
-/// What a process is, as its certificate says.
+/// Role of a process according to its certificate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Takes requests from callers.
+    /// Accepts requests from callers.
     Entry,
-    /// Stands beside a target.
+    /// Runs beside a target.
     Agent,
 }
 
 impl Role {
-    /// Every role.
+    /// All roles.
     pub const ALL: [Self; 2] = [Self::Entry, Self::Agent];
 
-    /// DNS name that certificates of this role carry.
+    /// Returns the DNS name in the certificates of this role.
     pub fn dns_name(self) -> &'static str {
         match self {
             Self::Entry => "entry.sparscale.internal",
@@ -47,70 +47,70 @@
     }
 }
 
-/// How a process proves what it is.
+/// Source of the certificate with which a process proves its role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
-    /// With a certificate of the fleet's own authority.
+    /// Certificate files issued by the fleet's own authority.
     Files(Files),
-    /// With a certificate that it made for itself when it started: for closed networks whose operators hand out no
-    /// certificates. Traffic is encrypted; whoever is on the network is believed to be what it says.
+    /// Self-signed certificate, generated at start, for closed networks without a certificate authority. Traffic is encrypted,
+    /// but peers aren't authenticated: any process on the network can claim any role.
     Made(Role),
 }
 
-/// Files that a process proves itself with.
+/// Certificate files of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Files {
     /// PEM file with the certificate chain of this process.
     pub certificate: PathBuf,
-    /// PEM file with its private key.
+    /// PEM file with the private key of this process.
     pub key: PathBuf,
-    /// PEM file with the authority that all processes trust.
+    /// PEM file with the certificate of the authority that all processes trust.
     pub authority: PathBuf,
 }
 
-/// Why certificates cannot be used.
+/// Error of the certificates.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A file cannot be read or holds no PEM of that kind.
+    /// A file is unreadable or doesn't contain the expected PEM section.
     #[snafu(display("{}: {source}; give a readable PEM file", path.display()))]
     Pem {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the parser said.
+        /// Error of the parser.
         source: rustls::pki_types::pem::Error,
     },
-    /// The certificate does not fit the key, or the authority is not usable.
+    /// The certificate doesn't match the key, or the authority is unusable.
     #[snafu(display("certificate {} cannot be used: {message}; issue certificate and key again", path.display()))]
     Unusable {
-        /// The certificate file.
+        /// Path of the certificate file.
         path: PathBuf,
-        /// What the library said.
+        /// Error of the TLS library.
         message: String,
     },
-    /// No certificate could be made.
-    #[snafu(display("no certificate could be made: {message}"))]
-    Make {
-        /// What the library said.
+    /// A self-signed certificate couldn't be generated.
+    #[snafu(display("a self-signed certificate could not be generated: {message}; use certificate files instead"))]
+    Generate {
+        /// Error of the TLS library.
         message: String,
     },
 }
 
-pub(crate) struct Configs {
+pub(crate) struct QuicConfigs {
     pub(crate) server: quinn::ServerConfig,
     pub(crate) client: quinn::ClientConfig,
 }
 
 impl Identity {
-    pub(crate) fn load(&self) -> Result<Configs, Error> {
+    pub(crate) fn load(&self) -> Result<QuicConfigs, Error> {
         match self {
             Self::Files(files) => files.load(),
-            Self::Made(role) => made::configs(*role),
+            Self::Made(role) => self_signed::configs(*role),
         }
     }
 }
 
 impl Files {
-    fn load(&self) -> Result<Configs, Error> {
+    fn load(&self) -> Result<QuicConfigs, Error> {
         let chain = read_chain(&self.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&self.key).context(PemSnafu { path: &self.key })?;
         let mut roots = RootCertStore::empty();
@@ -118,7 +118,7 @@
             roots.add(authority).map_err(|error| self.unusable(&error))?;
         }
         let roots = Arc::new(roots);
-        Ok(Configs {
+        Ok(QuicConfigs {
             server: self.server(chain.clone(), key.clone_key(), Arc::clone(&roots))?,
             client: self.client(chain, key, roots)?,
         })
--- a/crates/sparscale_wire/tests/stream_limit.rs
+++ b/crates/sparscale_wire/tests/stream_limit.rs
@@ -1,4 +1,4 @@
-//! Processes that keep a stream or two set up little for each other: what may come costs memory on each connection.
+//! An endpoint for peers with few streams allows only few: every allowed stream costs memory on each connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,37 +6,37 @@
 
 use sparscale_wire::{Channel, Endpoint, FEW_STREAMS, Identity, Role};
 
-/// Longer than a stream takes to open on loopback.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout for opening a stream; longer than that takes on the loopback interface.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn address() -> SocketAddr {
+fn any_local_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Accepts a connection and keeps it.
-fn accept(server: Arc<Endpoint>) {
+/// Accepts connections and keeps their streams open.
+fn accept_streams(server: Arc<Endpoint>) {
     tokio::spawn(async move {
         while let Ok(incoming) = server.accept().await {
             tokio::spawn(async move {
                 let Ok(peer) = incoming.establish().await else { return };
-                let mut kept = Vec::new();
+                let mut open_channels = Vec::new();
                 while let Ok(channel) = peer.accept().await {
-                    kept.push(channel);
+                    open_channels.push(channel);
                 }
             });
         }
     });
 }
 
-/// Streams that a client can open to `server`, up to one more than a few.
-async fn opened(server: Endpoint) -> usize {
+/// Counts the streams that a client can open to `server`; stops at one more than [`FEW_STREAMS`].
+async fn count_open_streams(server: Endpoint) -> usize {
     let target = server.local_address().expect("an address");
-    accept(Arc::new(server));
-    let client = Endpoint::bind(address(), Identity::Made(Role::Entry)).expect("a free port");
+    accept_streams(Arc::new(server));
+    let client = Endpoint::bind(any_local_address(), Identity::Made(Role::Entry)).expect("a free port");
     let mut channels: Vec<Channel> = Vec::new();
     while channels.len() <= FEW_STREAMS as usize {
         let opening = client.open(target, Role::Agent);
-        let Ok(Ok(channel)) = tokio::time::timeout(PATIENCE, opening).await else {
+        let Ok(Ok(channel)) = tokio::time::timeout(OPEN_TIMEOUT, opening).await else {
             break;
         };
         channels.push(channel);
@@ -45,13 +45,16 @@
 }
 
 #[tokio::test]
-async fn few_streams() {
-    let server = Endpoint::with_streams(address(), Identity::Made(Role::Agent), FEW_STREAMS);
-    assert_eq!(opened(server.expect("a free port")).await, FEW_STREAMS as usize);
+async fn allows_few_streams() {
+    let server = Endpoint::with_streams(any_local_address(), Identity::Made(Role::Agent), FEW_STREAMS);
+    assert_eq!(
+        count_open_streams(server.expect("a free port")).await,
+        FEW_STREAMS as usize
+    );
 }
 
 #[tokio::test]
-async fn stream_each_request() {
-    let server = Endpoint::bind(address(), Identity::Made(Role::Agent));
-    assert!(opened(server.expect("a free port")).await > FEW_STREAMS as usize);
+async fn allows_stream_per_request() {
+    let server = Endpoint::bind(any_local_address(), Identity::Made(Role::Agent));
+    assert!(count_open_streams(server.expect("a free port")).await > FEW_STREAMS as usize);
 }
