--- a/crates/sparscale_settings/src/lib.rs
+++ b/crates/sparscale_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Loads settings files: JSON with comments, unknown keys refused, every problem named with file, line and mend.
+//! Loads settings files: JSON with comments, in which unknown keys are errors.
 //!
-//! Each program describes its file as a raw `serde` type and turns it into a checked type with [`Check`]. All
-//! problems of a file are reported together, so that one run of `settings check` is enough to mend it.
+//! Each program defines its file as a raw `serde` type and converts it to a checked type with [`Check`]. All problems of a
+//! file are reported together, each with file, line and remedy, so that one run of `settings check` is enough to fix it.
 
 mod problem;
 mod watched;
@@ -15,41 +15,41 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt as _, Snafu};
 
-/// A settings file that cannot be used.
+/// Error of a settings file.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The file cannot be read.
+    /// The file couldn't be read.
     #[snafu(display("{}: cannot be read: {source}; give the path of a readable settings file", path.display()))]
     Read {
-        /// The file that was asked for.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The text is not JSON with comments, or a key is unknown, missing or of the wrong type.
-    #[snafu(display("{}:{line}: {message}; mend this line, all keys are listed in docs/OPERATIONS.md", path.display()))]
+    #[snafu(display("{}:{line}: {message}; fix this line, all keys are listed in docs/OPERATIONS.md", path.display()))]
     Parse {
-        /// The file that was read.
+        /// Path of the file.
         path: PathBuf,
-        /// One-based line of the problem.
+        /// Line of the problem, starting at 1.
         line: usize,
-        /// What the parser said.
+        /// Error message of the parser.
         message: String,
     },
-    /// The values do not fit together.
+    /// The file was parsed but contains invalid values.
     #[snafu(display("{problems}"))]
     Values {
-        /// Every problem that was found, in file order of discovery.
+        /// All problems, in the order in which the checks found them.
         problems: Problems,
     },
 }
 
-/// A raw settings document that can be turned into a checked one.
+/// Raw settings that can be converted to a checked type.
 pub trait Check: DeserializeOwned {
-    /// The checked type.
+    /// Type of the checked settings.
     type Checked;
 
-    /// Checks all values and returns every problem at once.
+    /// Checks all values; returns all problems together if there are any.
     fn check(self) -> Result<Self::Checked, Vec<Problem>>;
 }
 
@@ -59,7 +59,7 @@
     parse::<T>(path, &text)
 }
 
-/// Checks settings `text` that was read from `path`.
+/// Parses and checks `text`, which was read from `path`.
 pub fn parse<T: Check>(path: &Path, text: &str) -> Result<T::Checked, Error> {
     let raw: T = document(path, text)?;
     raw.check().map_err(|problems| Error::Values {
@@ -67,7 +67,7 @@
     })
 }
 
-/// Parses JSON with comments without checking its values.
+/// Parses JSON with comments, without checking the values.
 pub fn document<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, Error> {
     serde_json5::from_str(text).map_err(|error| parse_error(path, &error))
 }
@@ -76,7 +76,7 @@
     let serde_json5::Error::Message { msg, location } = error;
     Error::Parse {
         path: path.to_owned(),
-        line: location.as_ref().map_or(1, |place| place.line),
+        line: location.as_ref().map_or(1, |position| position.line),
         message: msg.clone(),
     }
 }
--- a/crates/sparscale_settings/src/problem.rs
+++ b/crates/sparscale_settings/src/problem.rs
@@ -1,21 +1,21 @@
-//! One problem of a document, and the list that a user sees.
+//! Problems of a settings file, and the list of them that is shown to the user.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// One wrong value: where it stands, what is wrong, and how to mend it.
+/// Invalid value: its field, the problem, and the remedy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Path of the field, for example `engine.in_flight`; the last part is looked up in the text.
+    /// Path of the field, for example `engine.in_flight`; its line is found by searching for the path's parts in the text.
     pub field: String,
-    /// What is wrong with the value.
+    /// Problem of the value.
     pub problem: String,
-    /// What to write instead.
+    /// Valid values to write instead.
     pub mend: String,
 }
 
 impl Problem {
-    /// A problem of `field`.
+    /// Creates a problem of `field`.
     pub fn new(field: impl Into<String>, problem: impl Into<String>, mend: impl Into<String>) -> Self {
         Self {
             field: field.into(),
@@ -31,30 +31,30 @@
     }
 }
 
-/// All problems of one file, with the line of each.
+/// All problems of one file, each with its line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problems {
     path: PathBuf,
-    found: Vec<(usize, Problem)>,
+    problems: Vec<(usize, Problem)>,
 }
 
 impl Problems {
     /// Finds the line of each problem in `text`, which was read from `path`.
     pub fn locate(path: &Path, text: &str, problems: Vec<Problem>) -> Self {
-        let found = problems
+        let problems = problems
             .into_iter()
             .map(|problem| (line_of(text, &problem.field), problem))
             .collect();
         Self {
             path: path.to_owned(),
-            found,
+            problems,
         }
     }
 }
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, (line, problem)) in self.found.iter().enumerate() {
+        for (index, (line, problem)) in self.problems.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
@@ -64,20 +64,23 @@
     }
 }
 
-/// The line on which the path's parts are found one after the other, each at or after the part before it.
+/// Returns the line of a field. The parts of its path are searched for in order, each from the line of the previous one on.
 ///
-/// A part in brackets (`workspaces[teal]`) names an entry by its value.
+/// A part in brackets (`workspaces[teal]`) is the name of a list item, which occurs in the text as a value.
 fn line_of(text: &str, field: &str) -> usize {
     let mut line = 0;
     for part in field.split(['.', '[', ']']).filter(|part| !part.is_empty()) {
-        let found = text.lines().skip(line).position(|candidate| mentions(candidate, part));
-        let Some(offset) = found else { break };
+        let offset = text
+            .lines()
+            .skip(line)
+            .position(|candidate| contains_word(candidate, part));
+        let Some(offset) = offset else { break };
         line += offset;
     }
     line + 1
 }
 
-/// The line up to its comment. The slashes of a URL start none: no space stands before them.
+/// Returns the line without its comment. The slashes of a URL don't start a comment, because no space precedes them.
 fn without_comment(line: &str) -> &str {
     if line.trim_start().starts_with("//") {
         return "";
@@ -85,7 +88,8 @@
     line.split(" //").next().unwrap_or(line)
 }
 
-fn mentions(line: &str, word: &str) -> bool {
+/// Returns whether the line contains `word` outside of a comment and not as part of a longer word.
+fn contains_word(line: &str, word: &str) -> bool {
     let code = without_comment(line);
     let is_word = |character: char| character.is_alphanumeric() || character == '_' || character == '-';
     code.match_indices(word).any(|(start, _)| {
--- a/crates/sparscale_settings/src/watched.rs
+++ b/crates/sparscale_settings/src/watched.rs
@@ -1,4 +1,4 @@
-//! A settings file that may change while its process runs.
+//! Compares a settings file with the content that its process was started with, to report what the next start will read.
 
 use std::fs;
 use std::marker::PhantomData;
@@ -9,7 +9,7 @@
 
 use crate::{Check, Error, ReadSnafu, parse};
 
-/// A settings file and its text when it was read.
+/// Settings file, with the text that was first read from it.
 #[derive(Debug)]
 pub struct Watched<T> {
     path: PathBuf,
@@ -17,14 +17,14 @@
     raw: PhantomData<fn() -> T>,
 }
 
-/// What became of the file.
+/// Result of the comparison.
 #[derive(Debug)]
 pub enum Change {
-    /// It is as it was.
+    /// The text is unchanged.
     Same,
-    /// It holds other settings, which can be used.
+    /// The text has changed and contains valid settings.
     Other,
-    /// It cannot be used.
+    /// The file can't be read, or contains invalid settings.
     Unusable(Error),
 }
 
@@ -38,18 +38,18 @@
         Ok((checked, Self { path, text, raw }))
     }
 
-    /// Reads the file again and says what became of it since it was first read, also in the log.
+    /// Reads the file again, and returns and logs how it differs from the text that was first read.
     pub fn look_again(&self) -> Change {
         let change = self.compare();
         let file = self.path.display().to_string();
         let file = file.as_str();
         match &change {
-            Change::Same => log::info!(target: DECISION, decision = "reload", file; "the settings file is as it was"),
+            Change::Same => log::info!(target: DECISION, decision = "reload", file; "the settings file is unchanged"),
             Change::Other => {
-                log::warn!(target: DECISION, decision = "reload", file; "the settings file has changed: the next start takes it");
+                log::warn!(target: DECISION, decision = "reload", file; "the settings file has changed; restart the process to apply it");
             }
             Change::Unusable(error) => {
-                log::error!(target: DECISION, decision = "reload", file, error = error.to_string().as_str(); "the settings file cannot be used: the next start would fail");
+                log::error!(target: DECISION, decision = "reload", file, error = error.to_string().as_str(); "the settings file is invalid and the next start would fail; fix it before a restart");
             }
         }
         change
@@ -57,7 +57,7 @@
 
     fn compare(&self) -> Change {
         match Self::read(&self.path) {
-            Ok((_, read)) if read.text == self.text => Change::Same,
+            Ok((_, current)) if current.text == self.text => Change::Same,
             Ok(_) => Change::Other,
             Err(error) => Change::Unusable(error),
         }
--- a/crates/sparscale_settings/tests/settings_errors.rs
+++ b/crates/sparscale_settings/tests/settings_errors.rs
@@ -1,4 +1,4 @@
-//! Every problem of a settings file is named with file, line and mend.
+//! Every problem of a settings file is reported with file, line and remedy.
 
 use std::path::Path;
 
@@ -31,51 +31,51 @@
     }
 }
 
-fn message(text: &str) -> String {
+fn error_message(text: &str) -> String {
     let parsed = parse::<Raw>(Path::new("box.json"), text);
     parsed.expect_err("the text is wrong").to_string()
 }
 
 #[test]
-fn comments_allowed() {
+fn accepts_comments() {
     let text = "// who this is\n{ name: 'a', limit: 3, }";
     assert_eq!(parse::<Raw>(Path::new("box.json"), text).ok(), Some("a".to_owned()));
 }
 
 #[test]
-fn all_problems_at_once() {
+fn reports_all_problems_together() {
     let text = "{\n  // the limit comes later\n  name: '',\n  limit: 0,\n}";
     assert_eq!(
-        message(text),
+        error_message(text),
         "box.json:3: name: is empty; write a name\nbox.json:4: limit: is 0; use 1 or more"
     );
 }
 
 #[test]
-fn unknown_key() {
+fn rejects_unknown_key() {
     let text = "{\n  name: 'a',\n  limit: 1,\n  limitt: 2,\n}";
-    let message = message(text);
+    let error_message = error_message(text);
     assert!(
-        message.contains("limitt") && message.starts_with("box.json:"),
-        "{message}"
+        error_message.contains("limitt") && error_message.starts_with("box.json:"),
+        "{error_message}"
     );
 }
 
 #[test]
-fn syntax_line() {
-    let message = message("{\n  name: 'a',\n  limit: ,\n}");
-    assert!(message.starts_with("box.json:3:"), "{message}");
+fn reports_line_of_syntax_error() {
+    let error_message = error_message("{\n  name: 'a',\n  limit: ,\n}");
+    assert!(error_message.starts_with("box.json:3:"), "{error_message}");
 }
 
 #[test]
-fn line_behind_url() {
+fn finds_line_after_url() {
     let text = "{\n  // name and limit\n  name: 'http://x', limit: 0, // the limit\n}";
-    assert_eq!(message(text), "box.json:3: limit: is 0; use 1 or more");
+    assert_eq!(error_message(text), "box.json:3: limit: is 0; use 1 or more");
 }
 
-/// A file that changes while its process runs: what the next start would make of it.
+/// A running process reports whether the next start would read unchanged, changed or invalid settings.
 #[test]
-fn looked_at_again() {
+fn reports_change_of_file() {
     let path = std::env::temp_dir().join(format!("sparscale-watched-{}.json", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).expect("a file");
     write("{\"name\": \"a\", \"limit\": 1}");
--- a/crates/sparscale_telemetry/src/exposition.rs
+++ b/crates/sparscale_telemetry/src/exposition.rs
@@ -1,4 +1,4 @@
-//! Tells a process's figures over HTTP.
+//! Serves the metrics of a process over HTTP in the Prometheus text format.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 
 use crate::registry::Registry;
 
-/// Answers every request at `address` with the figures of `registry`; never ends. A process whose address is taken
-/// works on without telling them.
+/// Responds to every request at `address` with the metrics of `registry`; runs until the process ends. If the address
+/// can't be bound, the process runs without exposing its metrics.
 pub async fn expose(registry: Arc<Registry>, address: SocketAddr) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            log::warn!(address = address.to_string().as_str(), error = error.to_string().as_str(); "no figures are told: the address cannot be listened at");
+            log::warn!(address = address.to_string().as_str(), error = error.to_string().as_str(); "metrics are not exposed because the address cannot be bound; choose a free address of this box");
             return;
         }
     };
@@ -37,7 +37,7 @@
             async move { Ok::<_, Infallible>(response(text)) }
         });
         tokio::spawn(async move {
-            // A reader that goes away asks again.
+            // A client whose connection fails sends another request.
             let _ended = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -47,7 +47,7 @@
 
 fn response(text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
-    let plain = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/crates/sparscale_telemetry/src/metrics.rs
+++ b/crates/sparscale_telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over statsd, through `cadence`.
+//! Sends metrics over statsd with `cadence`.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -7,30 +7,30 @@
 use cadence::Timed as _;
 use cadence::{BufferedUdpMetricSink, CountedExt as _, Gauged as _, NopMetricSink, QueuingMetricSink, StatsdClient};
 
-/// Metric lines that wait for the sending thread; more are dropped, so that metrics never slow a request.
-const QUEUE: usize = 4_096;
+/// Maximum number of metric lines queued for the sending thread; more are dropped, so that metrics never delay a request.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Counts and times of one process.
+/// Statsd client of one process.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Sends to `address`, or nowhere; `prefix` names the program.
+    /// Creates a client that sends to `address`, or discards all metrics if there is none; `prefix` is the program's name.
     pub fn new(prefix: &str, address: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(address) = address else {
             return Ok(Self::nowhere(prefix));
         };
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-        let queue = QueuingMetricSink::with_capacity(sink, QUEUE);
+        let queue = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_LINES);
         Ok(Self {
             client: Arc::new(StatsdClient::from_sink(prefix, queue)),
         })
     }
 
-    /// Metrics that are not sent.
+    /// Creates a client that discards all metrics.
     pub fn nowhere(prefix: &str) -> Self {
         Self {
             client: Arc::new(StatsdClient::from_sink(prefix, NopMetricSink)),
@@ -39,19 +39,19 @@
 
     /// Counts one event.
     pub fn count(&self, name: &str) {
-        // A metric that cannot be sent must not fail a request.
+        // A metric that can't be sent must not fail a request.
         let _sent = self.client.incr(name);
     }
 
-    /// Notes how long something took.
-    pub fn time(&self, name: &str, took: Duration) {
-        // A metric that cannot be sent must not fail a request.
-        let _sent = self.client.time(name, took);
+    /// Records a duration.
+    pub fn time(&self, name: &str, duration: Duration) {
+        // A metric that can't be sent must not fail a request.
+        let _sent = self.client.time(name, duration);
     }
 
-    /// Notes a level.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
-        // A metric that cannot be sent must not fail a request.
+        // A metric that can't be sent must not fail a request.
         let _sent = self.client.gauge(name, value);
     }
 }
--- a/crates/sparscale_telemetry/src/registry.rs
+++ b/crates/sparscale_telemetry/src/registry.rs
@@ -1,4 +1,4 @@
-//! A process's own figures: counters, levels and latency histograms, told as text on request.
+//! Registry of a process's metrics (counters, gauges and latency histograms), rendered in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -6,66 +6,66 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Upper bounds of the histograms' buckets, in milliseconds: close around the latency objectives that are in use.
+/// Upper bounds of the histograms' buckets, in milliseconds; denser around the common latency objectives.
 const BUCKETS_MS: [u64; 14] = [1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 1_000, 2_000, 5_000, 10_000];
-/// Series of one family; labels come from the code, not from callers, so this is never reached.
-const MAX_SERIES: usize = 256;
+/// Maximum number of series per family. Labels come from the code, not from callers, so it is never reached.
+const MAX_SERIES_PER_FAMILY: usize = 256;
 
-/// Something that only rises.
+/// Value that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Counts one.
+    /// Adds 1.
     pub fn add_one(&self) {
         self.add(1);
     }
 
-    /// Counts `count`.
+    /// Adds `count`.
     pub fn add(&self, count: u64) {
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// What was counted.
+    /// Returns the current count.
     pub fn value(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A level that rises and falls, as a floating-point number.
+/// Value that increases and decreases, as the bits of a floating-point number.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicU64);
 
 impl Gauge {
-    /// Sets the level.
+    /// Sets the value.
     pub fn set(&self, value: f64) {
         self.0.store(value.to_bits(), Ordering::Relaxed);
     }
 
-    /// The level.
+    /// Returns the current value.
     pub fn value(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
     }
 }
 
-/// Times, by buckets.
+/// Distribution of durations over buckets.
 #[derive(Debug, Default)]
 pub struct Histogram {
     buckets: [AtomicU64; BUCKETS_MS.len()],
     count: AtomicU64,
-    micros: AtomicU64,
+    sum_micros: AtomicU64,
 }
 
 impl Histogram {
-    /// Notes one time.
-    pub fn note(&self, took: Duration) {
-        let micros = took.as_micros() as u64;
+    /// Records one duration.
+    pub fn note(&self, duration: Duration) {
+        let micros = duration.as_micros() as u64;
         let bucket = BUCKETS_MS.iter().position(|bound| micros <= bound * 1_000);
         if let Some(bucket) = bucket {
             self.buckets[bucket].fetch_add(1, Ordering::Relaxed);
         }
         self.count.fetch_add(1, Ordering::Relaxed);
-        self.micros.fetch_add(micros, Ordering::Relaxed);
+        self.sum_micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
@@ -82,14 +82,14 @@
     series: BTreeMap<String, Series>,
 }
 
-/// Something that sets levels before they are told.
-type Refresh = Box<dyn Fn() + Send + Sync>;
+/// Callback that updates gauges before the metrics are rendered.
+type RefreshCallback = Box<dyn Fn() + Send + Sync>;
 
-/// All figures of one process.
+/// All metrics of one process.
 #[derive(Default)]
 pub struct Registry {
     families: Mutex<BTreeMap<&'static str, Family>>,
-    refreshes: Mutex<Vec<Refresh>>,
+    refresh_callbacks: Mutex<Vec<RefreshCallback>>,
 }
 
 impl std::fmt::Debug for Registry {
@@ -99,7 +99,7 @@
 }
 
 impl Registry {
-    /// The counter called `name` with `labels`, made when it is first asked for.
+    /// Returns the counter `name` with `labels`; creates it on the first call.
     pub fn counter(&self, name: &'static str, help: &'static str, labels: &[(&str, &str)]) -> Arc<Counter> {
         match self.series(name, help, labels, || Series::Counter(Arc::default())) {
             Series::Counter(counter) => counter,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The level called `name` with `labels`, made when it is first asked for.
+    /// Returns the gauge `name` with `labels`; creates it on the first call.
     pub fn gauge(&self, name: &'static str, help: &'static str, labels: &[(&str, &str)]) -> Arc<Gauge> {
         match self.series(name, help, labels, || Series::Gauge(Arc::default())) {
             Series::Gauge(gauge) => gauge,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The histogram called `name` with `labels`, made when it is first asked for.
+    /// Returns the histogram `name` with `labels`; creates it on the first call.
     pub fn histogram(&self, name: &'static str, help: &'static str, labels: &[(&str, &str)]) -> Arc<Histogram> {
         match self.series(name, help, labels, || Series::Histogram(Arc::default())) {
             Series::Histogram(histogram) => histogram,
@@ -123,15 +123,20 @@
         }
     }
 
-    /// Has `refresh` called each time before the figures are told: for levels that nobody sets otherwise.
+    /// Registers a callback that is called before each rendering, for gauges that aren't updated elsewhere.
     pub fn before_telling(&self, refresh: impl Fn() + Send + Sync + 'static) {
-        let mut refreshes = self.refreshes.lock().unwrap_or_else(PoisonError::into_inner);
-        refreshes.push(Box::new(refresh));
+        let mut refresh_callbacks = self.refresh_callbacks.lock().unwrap_or_else(PoisonError::into_inner);
+        refresh_callbacks.push(Box::new(refresh));
     }
 
-    /// All figures in the usual text form.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
-        for refresh in self.refreshes.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+        for refresh in self
+            .refresh_callbacks
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .iter()
+        {
             refresh();
         }
         let families = self.families.lock().unwrap_or_else(PoisonError::into_inner);
@@ -147,7 +152,7 @@
         name: &'static str,
         help: &'static str,
         labels: &[(&str, &str)],
-        make: impl FnOnce() -> Series,
+        create: impl FnOnce() -> Series,
     ) -> Series {
         let mut families = self.families.lock().unwrap_or_else(PoisonError::into_inner);
         let family = families.entry(name).or_insert_with(|| Family {
@@ -155,14 +160,14 @@
             series: BTreeMap::new(),
         });
         let labels = label_text(labels);
-        if let Some(known) = family.series.get(&labels) {
-            return known.clone();
+        if let Some(existing) = family.series.get(&labels) {
+            return existing.clone();
         }
-        let fresh = make();
-        if family.series.len() < MAX_SERIES {
-            family.series.insert(labels, fresh.clone());
+        let new_series = create();
+        if family.series.len() < MAX_SERIES_PER_FAMILY {
+            family.series.insert(labels, new_series.clone());
         }
-        fresh
+        new_series
     }
 }
 
@@ -182,12 +187,12 @@
             Some(Series::Histogram(_)) => "histogram",
             None => return,
         };
-        // Writing into memory has no way to fail.
+        // Writing to a string can't fail.
         let _infallible = writeln!(text, "# HELP {name} {}\n# TYPE {name} {kind}", self.help);
         for (labels, series) in &self.series {
             match series {
-                Series::Counter(counter) => line(text, name, labels, &counter.value().to_string()),
-                Series::Gauge(gauge) => line(text, name, labels, &gauge.value().to_string()),
+                Series::Counter(counter) => write_sample(text, name, labels, &counter.value().to_string()),
+                Series::Gauge(gauge) => write_sample(text, name, labels, &gauge.value().to_string()),
                 Series::Histogram(histogram) => histogram.write(name, labels, text),
             }
         }
@@ -197,27 +202,27 @@
 impl Histogram {
     fn write(&self, name: &str, labels: &str, text: &mut String) {
         let comma = if labels.is_empty() { "" } else { "," };
-        let mut sum = 0;
+        let mut cumulative_count = 0;
         for (bucket, bound) in self.buckets.iter().zip(BUCKETS_MS) {
-            sum += bucket.load(Ordering::Relaxed);
+            cumulative_count += bucket.load(Ordering::Relaxed);
             let bound = bound as f64 / 1_000.0;
             let labels = format!("{labels}{comma}le=\"{bound}\"");
-            line(text, &format!("{name}_bucket"), &labels, &sum.to_string());
+            write_sample(text, &format!("{name}_bucket"), &labels, &cumulative_count.to_string());
         }
         let count = self.count.load(Ordering::Relaxed).to_string();
-        line(
+        write_sample(
             text,
             &format!("{name}_bucket"),
             &format!("{labels}{comma}le=\"+Inf\""),
             &count,
         );
-        let seconds = self.micros.load(Ordering::Relaxed) as f64 / 1.0e6;
-        line(text, &format!("{name}_sum"), labels, &seconds.to_string());
-        line(text, &format!("{name}_count"), labels, &count);
+        let seconds = self.sum_micros.load(Ordering::Relaxed) as f64 / 1.0e6;
+        write_sample(text, &format!("{name}_sum"), labels, &seconds.to_string());
+        write_sample(text, &format!("{name}_count"), labels, &count);
     }
 }
 
-fn line(text: &mut String, name: &str, labels: &str, value: &str) {
+fn write_sample(text: &mut String, name: &str, labels: &str, value: &str) {
     let labels = if labels.is_empty() {
         String::new()
     } else {
--- a/crates/sparscale_telemetry/src/stop.rs
+++ b/crates/sparscale_telemetry/src/signals.rs
@@ -1,8 +1,8 @@
-//! Waiting for the end of a process.
+//! Signals that stop a process or make it reload its files.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that a process acts on. One that comes before it is waited for is not lost.
+/// Signals handled by a process. A signal that arrives before the process waits for it isn't lost.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -11,7 +11,7 @@
 }
 
 impl Signals {
-    /// Listens from now on. A program does so first of all: until then, each of these signals ends it.
+    /// Starts to listen. A program must call this first, because until then each of these signals ends the process.
     pub fn listen() -> Result<Self, std::io::Error> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -20,7 +20,7 @@
         })
     }
 
-    /// Waits for SIGTERM or SIGINT; at each SIGHUP it does `reload`.
+    /// Waits for SIGTERM or SIGINT, and calls `reload` at each SIGHUP.
     pub async fn wait_for_stop(&mut self, mut reload: impl FnMut()) {
         loop {
             tokio::select! {
--- a/crates/sparscale_telemetry/src/writer.rs
+++ b/crates/sparscale_telemetry/src/writer.rs
@@ -1,8 +1,8 @@
-//! Writes log lines without ever blocking the work that they tell of.
+//! Writes log lines without blocking the code that logs them.
 //!
-//! Lines wait in memory, and a thread of its own writes them to standard output. Under load, lines of the level `info`
-//! are left out beyond a number a second; warnings and errors, failed requests among them, only when a slow reader of
-//! the output has filled the memory. What was left out is counted and told.
+//! Lines are buffered in memory, and a separate thread writes them to standard output. Lines of the level `info` are dropped
+//! above a rate limit; warnings and errors, such as failed requests, are dropped only if the buffer is full because the
+//! output is read too slowly. Dropped lines are counted, and a log line reports their number.
 
 use std::io::Write as _;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -12,93 +12,97 @@
 use logforth::record::{Level, Record};
 use logforth::{Append, Diagnostic, Error, Layout};
 
-/// Lines of the level `info` that one process writes in a second at most.
-const LINES_PER_SECOND: u32 = 400;
-/// Bytes that wait at most.
-const WAITING_BYTES: usize = 1 << 20;
-/// Pause between two writes, so that many lines share one.
+/// Maximum number of lines of the level `info` per second.
+const MAX_INFO_LINES_PER_SECOND: u32 = 400;
+/// Maximum size of the buffered lines.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
+/// Pause after each write, so that the next write combines many lines.
 const WRITE_PAUSE: Duration = Duration::from_millis(20);
-/// Time that the last lines get when a process ends.
+/// Time for which an ending process waits until its last lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Lines that wait to be written.
+/// Buffered lines and the state of the rate limit.
 #[derive(Debug)]
-struct Waiting {
+struct LogBuffer {
     bytes: Vec<u8>,
+    /// Lines dropped since the last write.
     left_out: u64,
-    second: Instant,
-    in_second: u32,
-    writing: bool,
+    /// Start of the current second of the rate limit.
+    second_start: Instant,
+    /// Lines of the level `info` received in the current second.
+    lines_in_second: u32,
+    /// Whether the thread is writing lines that it has taken from the buffer.
+    is_writing: bool,
 }
 
 #[derive(Debug)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    buffer: Mutex<LogBuffer>,
     changed: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LogBuffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The appender of the one log.
+/// Log appender with a bounded buffer and a rate limit.
 #[derive(Debug)]
-pub(crate) struct Bounded {
+pub(crate) struct BoundedAppender {
     layout: JsonLayout,
     shared: Arc<Shared>,
 }
 
-/// Lets a process wait for its last lines.
+/// Handle by which a process waits until its last lines are written.
 #[derive(Debug, Clone)]
-pub struct Flush {
+pub struct LogFlusher {
     shared: Arc<Shared>,
 }
 
-impl Bounded {
-    /// Starts the thread that writes.
-    pub(crate) fn start() -> std::io::Result<(Self, Flush)> {
+impl BoundedAppender {
+    /// Starts the writing thread.
+    pub(crate) fn start() -> std::io::Result<(Self, LogFlusher)> {
         let shared = Arc::new(Shared {
-            waiting: Mutex::new(Waiting {
+            buffer: Mutex::new(LogBuffer {
                 bytes: Vec::new(),
                 left_out: 0,
-                second: Instant::now(),
-                in_second: 0,
-                writing: false,
+                second_start: Instant::now(),
+                lines_in_second: 0,
+                is_writing: false,
             }),
             changed: Condvar::new(),
         });
-        let writing = Arc::clone(&shared);
+        let writer_shared = Arc::clone(&shared);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(128 << 10)
-            .spawn(move || write(&writing))?;
-        let bounded = Self {
+            .spawn(move || write_lines(&writer_shared))?;
+        let appender = Self {
             layout: JsonLayout::default(),
             shared: Arc::clone(&shared),
         };
-        Ok((bounded, Flush { shared }))
+        Ok((appender, LogFlusher { shared }))
     }
 }
 
-impl Append for Bounded {
+impl Append for BoundedAppender {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let line = self.layout.format(record, diags)?;
-        let mut waiting = self.shared.lock();
-        let spared = record.level() > Level::Info;
-        if !waiting.admit(line.len(), spared, Instant::now()) {
-            waiting.left_out += 1;
+        let mut buffer = self.shared.lock();
+        let is_exempt = record.level() > Level::Info;
+        if !buffer.admit(line.len(), is_exempt, Instant::now()) {
+            buffer.left_out += 1;
             return Ok(());
         }
-        waiting.bytes.extend_from_slice(&line);
-        waiting.bytes.push(b'\n');
+        buffer.bytes.extend_from_slice(&line);
+        buffer.bytes.push(b'\n');
         self.shared.changed.notify_one();
         Ok(())
     }
 
     fn flush(&self) -> Result<(), Error> {
-        Flush {
+        LogFlusher {
             shared: Arc::clone(&self.shared),
         }
         .wait();
@@ -106,40 +110,42 @@
     }
 }
 
-impl Waiting {
-    fn admit(&mut self, length: usize, spared: bool, now: Instant) -> bool {
-        if self.bytes.len() + length > WAITING_BYTES {
+impl LogBuffer {
+    fn admit(&mut self, length: usize, is_exempt: bool, now: Instant) -> bool {
+        if self.bytes.len() + length > MAX_BUFFERED_BYTES {
             return false;
         }
-        if spared {
+        if is_exempt {
             return true;
         }
-        if now.duration_since(self.second) >= Duration::from_secs(1) {
-            self.second = now;
-            self.in_second = 0;
+        if now.duration_since(self.second_start) >= Duration::from_secs(1) {
+            self.second_start = now;
+            self.lines_in_second = 0;
         }
-        self.in_second += 1;
-        self.in_second <= LINES_PER_SECOND
+        self.lines_in_second += 1;
+        self.lines_in_second <= MAX_INFO_LINES_PER_SECOND
     }
 }
 
-impl Flush {
-    /// Waits until everything is written, for a short while.
+impl LogFlusher {
+    /// Waits until all buffered lines are written, but only for a fraction of a second, so that a blocked output doesn't keep
+    /// the process alive.
     pub fn wait(&self) {
-        let until = Instant::now() + FLUSH_TIMEOUT;
-        let mut waiting = self.shared.lock();
-        while (!waiting.bytes.is_empty() || waiting.writing) && Instant::now() < until {
-            let waited = self.shared.changed.wait_timeout(waiting, WRITE_PAUSE);
-            waiting = waited.unwrap_or_else(PoisonError::into_inner).0;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        let mut buffer = self.shared.lock();
+        while (!buffer.bytes.is_empty() || buffer.is_writing) && Instant::now() < deadline {
+            let wait_result = self.shared.changed.wait_timeout(buffer, WRITE_PAUSE);
+            buffer = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
 
-fn write(shared: &Shared) {
+/// Writes buffered lines until the process ends.
+fn write_lines(shared: &Shared) {
     loop {
-        let (bytes, left_out) = next(shared);
+        let (bytes, left_out) = take_lines(shared);
         let mut output = std::io::stdout().lock();
-        // An output that nobody reads any more must not end the process.
+        // A closed output must not end the process.
         let _closed = output.write_all(&bytes);
         if left_out > 0 {
             let _closed = writeln!(
@@ -149,21 +155,18 @@
         }
         let _closed = output.flush();
         drop(output);
-        shared.lock().writing = false;
+        shared.lock().is_writing = false;
         shared.changed.notify_all();
         std::thread::sleep(WRITE_PAUSE);
     }
 }
 
-/// Waits for lines and takes them.
-fn next(shared: &Shared) -> (Vec<u8>, u64) {
-    let mut waiting = shared.lock();
-    while waiting.bytes.is_empty() && waiting.left_out == 0 {
-        waiting = shared.changed.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+/// Waits for lines and takes them from the buffer, with the number of dropped lines.
+fn take_lines(shared: &Shared) -> (Vec<u8>, u64) {
+    let mut buffer = shared.lock();
+    while buffer.bytes.is_empty() && buffer.left_out == 0 {
+        buffer = shared.changed.wait(buffer).unwrap_or_else(PoisonError::into_inner);
     }
-    waiting.writing = true;
-    (
-        std::mem::take(&mut waiting.bytes),
-        std::mem::take(&mut waiting.left_out),
-    )
+    buffer.is_writing = true;
+    (std::mem::take(&mut buffer.bytes), std::mem::take(&mut buffer.left_out))
 }
