--- a/crates/sparscale_agent/src/connection.rs
+++ b/crates/sparscale_agent/src/connection.rs
@@ -46,7 +46,7 @@
         let role = peer.role;
         tokio::spawn(async move {
             if let Err(error) = serve_stream(&context, role, channel).await {
-                log::debug!(error = error.to_string().as_str(); "a stream ended before its last frame");
+                log::debug!(error = error.to_string().as_str(); "a stream ended with an error");
             }
         });
     }
@@ -135,10 +135,10 @@
 /// reported immediately.
 async fn report_load(core: &Core, entry: u64, interval_ms: u64, sender: &mut Sender) -> Result<(), StreamError> {
     let interval = Duration::from_millis(interval_ms.clamp(*LOAD_INTERVAL_MS.start(), *LOAD_INTERVAL_MS.end()));
-    let mut availability = core.subscribe_availability();
+    let mut availability_changes = core.subscribe_availability();
     let mut last = None;
     loop {
-        availability.mark_unchanged();
+        availability_changes.mark_unchanged();
         let load = core.load(entry);
         if last != Some(load) {
             sender.send(&Frame::Load(load)).await?;
@@ -146,7 +146,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            changed = availability.changed() => if changed.is_err() { return Ok(()) },
+            changed = availability_changes.changed() => if changed.is_err() { return Ok(()) },
             () = sender.stopped() => return Ok(()),
         }
     }
--- a/crates/sparscale_agent/src/engine.rs
+++ b/crates/sparscale_agent/src/engine.rs
@@ -68,7 +68,7 @@
 pub struct NumberedMap {
     /// Number of the map in its group.
     pub number: u64,
-    /// Experts by slot and rank.
+    /// Assignment of experts to slots.
     pub map: Map,
 }
 
@@ -93,6 +93,6 @@
     /// Forwards an order together with the maps that it refers to.
     async fn send_order(&self, order: &Order, maps: Vec<NumberedMap>) -> Result<Report, CallError>;
 
-    /// Returns the number of tokens that each expert has served since the target started; empty for a target without experts.
+    /// Returns the number of tokens that each expert has served since the target started; empty if there are no experts.
     async fn expert_tokens(&self) -> Result<Vec<u64>, CallError>;
 }
--- a/crates/sparscale_agent/src/http_engine.rs
+++ b/crates/sparscale_agent/src/http_engine.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Reads the rest of the body after the end marker, because a connection is reused only if its last body was read to the end.
+    /// Reads the body to its end after the end marker, because only then is the connection reused for the next call.
     async fn read_to_end(&mut self) {
         while let Some(Ok(_)) = self.body.frame().await {}
     }
--- a/crates/sparscale_agent/src/order.rs
+++ b/crates/sparscale_agent/src/order.rs
@@ -1,4 +1,5 @@
-//! Forwards orders about the expert map to the target, after a check that no later leader has taken over.
+//! Forwards orders about the expert map to the target. Each order carries a fence, and an order of a placer that another
+//! one has replaced is rejected here, directly before it would reach the target.
 
 use std::sync::Arc;
 
@@ -13,9 +14,10 @@
 
 /// Checks the fence of each order and forwards one order at a time.
 ///
-/// The lock is held until the target has responded, so that no order overtakes another. One race remains: an order that an
-/// earlier incarnation of this agent sent may reach the target after this incarnation has started. A target that checks
-/// fences rejects it. For a target that doesn't, [`sparscale_place::switch::Rank`] rejects orders that don't fit its state.
+/// The lock is held until the target has responded, so that no order overtakes another. One race remains: an order that
+/// an earlier incarnation of this agent sent may reach the target after this incarnation has started. A target that
+/// checks fences rejects it. For a target that doesn't, [`sparscale_place::switch::Rank`] rejects orders that don't fit
+/// its state.
 pub(crate) struct OrderForwarder {
     target: String,
     journal: Arc<Journal>,
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Forwards `order` to the target, or rejects it and reports the higher fence. Returns `None` if this agent can't check the
-    /// order, or the target didn't respond to it.
+    /// Forwards `order` to the target, or rejects it and reports the higher fence. Returns `None` if this agent can't check
+    /// the order or the target didn't respond to it.
     pub(crate) async fn forward(&self, group: &str, order: &Order) -> Option<Report> {
         let mut highest_fence = self.highest_fence.lock().await;
         // The log may contain a higher fence until this agent has read it to its head.
--- a/crates/sparscale_agent/src/program.rs
+++ b/crates/sparscale_agent/src/program.rs
@@ -133,17 +133,17 @@
 
 /// Checks periodically whether the target listens, so that entries don't send requests or bind keys to a terminated one.
 async fn monitor_target(core: Arc<Core>) {
-    let mut availability = core.subscribe_availability();
+    let mut availability_changes = core.subscribe_availability();
     loop {
         core.set_listening(core.engine().is_listening().await);
-        availability.mark_unchanged();
+        availability_changes.mark_unchanged();
         let interval = if core.is_listening() {
             LISTEN_CHECK_INTERVAL
         } else {
             RECOVERY_CHECK_INTERVAL
         };
         // A request that couldn't reach the target ends the wait early.
-        let changed = tokio::time::timeout(interval, availability.changed()).await;
+        let changed = tokio::time::timeout(interval, availability_changes.changed()).await;
         if changed.is_ok() {
             tokio::time::sleep(RECOVERY_CHECK_INTERVAL).await;
         }
--- a/crates/sparscale_agent/src/throttle.rs
+++ b/crates/sparscale_agent/src/throttle.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Discards all limits: the target has restarted and has stated none yet.
+    /// Starts to track a new start of the target, which hasn't stated any limits yet.
     pub(crate) fn reset(&mut self) {
         self.start_count += 1;
         self.tracker.retain(|_| false);
@@ -89,7 +89,7 @@
         Some(self.time_until_open()? + Duration::from_secs_f64(interval_secs * ahead as f64))
     }
 
-    /// Time after which the caller must dispatch again; `None` if another task already waits for that, or the target is draining.
+    /// Time after which the caller must dispatch again; `None` if the target is draining or another task waits already.
     pub(crate) fn schedule_wakeup(&mut self) -> Option<Duration> {
         let time_until_open = self.time_until_open().filter(|_| !self.has_pending_wakeup)?;
         self.has_pending_wakeup = true;
--- a/crates/sparscale_telemetry/src/writer.rs
+++ b/crates/sparscale_telemetry/src/writer.rs
@@ -128,8 +128,8 @@
 }
 
 impl LogFlusher {
-    /// Waits until all buffered lines are written, but only for a fraction of a second, so that a blocked output doesn't keep
-    /// the process alive.
+    /// Waits until all buffered lines are written, but only for a fraction of a second, so that a blocked output doesn't
+    /// keep the process alive.
     pub fn wait(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut buffer = self.shared.lock();
--- a/crates/sparscale_wire/src/endpoint.rs
+++ b/crates/sparscale_wire/src/endpoint.rs
@@ -224,8 +224,8 @@
 
     /// Closes the connection to the process at `address`, so that the next stream is opened over a new one.
     ///
-    /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the old one.
-    /// The transport detects that only after its idle timeout.
+    /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the old
+    /// one. The transport detects that only after its idle timeout.
     pub fn renew(&self, address: SocketAddr, role: Role) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let slot = connections.remove(&(address, role));
@@ -236,8 +236,8 @@
 
     /// Closes connections that have no open stream and haven't been used for a while; called periodically.
     ///
-    /// An entry uses connections to a few agents all the time and to any other agent only occasionally. If all of them stayed
-    /// open, their keep-alive packets alone would exhaust the bandwidth of a box.
+    /// An entry uses connections to a few agents all the time and to any other agent only occasionally. If all of them
+    /// stayed open, their keep-alive packets alone would exhaust the traffic allowance of a box.
     pub fn close_unused(&self) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         connections.retain(|_, slot| {
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -1,4 +1,5 @@
-//! Frames by which processes exchange observations (catalog, roster, limits and loads of targets) and orders about expert maps.
+//! Messages by which processes exchange observations (catalog, roster, limits and loads of targets) and orders about
+//! expert maps.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -76,7 +77,8 @@
     pub age_ms: u64,
 }
 
-/// Version of a roster. Each heartbeat advances its position in the store's history; its digest changes only with its content.
+/// Version of a roster. Each heartbeat advances its position in the store's history; its digest changes only with its
+/// content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownRoster {
     /// Position and age.
--- a/crates/sparscale_wire/src/tls.rs
+++ b/crates/sparscale_wire/src/tls.rs
@@ -52,8 +52,8 @@
 pub enum Identity {
     /// Certificate files issued by the fleet's own authority.
     Files(Files),
-    /// Self-signed certificate, generated at start, for closed networks without a certificate authority. Traffic is encrypted,
-    /// but peers aren't authenticated: any process on the network can claim any role.
+    /// Self-signed certificate, generated at start, for closed networks without a certificate authority. Traffic is
+    /// encrypted, but peers aren't authenticated: any process on the network can claim any role.
     Made(Role),
 }
 
