--- a/crates/sparscale_wire/src/endpoint.rs
+++ b/crates/sparscale_wire/src/endpoint.rs
@@ -30,7 +30,7 @@
 /// allowed stream on each connection, which is 1.4 MB for [`MAX_STREAMS`].
 pub const FEW_STREAMS: u32 = 64;
 
-/// Error of the socket or of a connection.
+/// Error while opening the socket or a connection.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The socket couldn't be opened.
--- a/crates/sparscale_wire/src/stream.rs
+++ b/crates/sparscale_wire/src/stream.rs
@@ -17,7 +17,7 @@
 /// QUIC error code with which a receiver stops a stream that it no longer reads.
 const STOP_CODE: u32 = 1;
 
-/// Error of a stream of frames.
+/// Error while sending or receiving frames.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The connection or the stream failed.
--- a/crates/sparscale_wire/src/tls.rs
+++ b/crates/sparscale_wire/src/tls.rs
@@ -68,7 +68,7 @@
     pub authority: PathBuf,
 }
 
-/// Error of the certificates.
+/// Certificates that can't be loaded or generated.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A file is unreadable or doesn't contain the expected PEM section.
