--- a/crates/sparscale_agent/src/engine.rs
+++ b/crates/sparscale_agent/src/engine.rs
@@ -46,7 +46,7 @@
 
 impl std::fmt::Debug for TargetResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("TargetResponse")
+        f.debug_struct("Started")
             .field("status", &self.status)
             .finish_non_exhaustive()
     }
@@ -78,7 +78,8 @@
     /// Forwards a request to the target.
     async fn call(&self, attempt: &Attempt) -> Result<TargetResponse, CallError>;
 
-    /// Returns whether a process may be listening at the target's address: only a refused connection proves that none is.
+    /// Returns whether a process may be listening at the target's address: only a connection that is refused proves that
+    /// none is.
     async fn is_listening(&self) -> bool;
 
     /// Stops a retryable request.
