--- a/crates/sparscale_bundle/src/bundle.rs
+++ b/crates/sparscale_bundle/src/bundle.rs
@@ -1,4 +1,6 @@
-//! The checked bundle, in hash buckets that versions share.
+//! The checked bundle, whose workspaces are kept in hash buckets.
+//!
+//! Versions share the buckets that do not differ, which keeps copies and small deltas cheap.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,8 +13,8 @@
 use crate::document::{Document, Fleet, KeyHash, Workspace};
 use crate::hash::Hash;
 
-/// Buckets of workspaces; a delta of one workspace hashes one bucket and the list of bucket hashes.
-const BUCKETS: usize = 256;
+/// Number of workspace buckets; a delta to one workspace rehashes one bucket and the list of bucket hashes.
+const BUCKET_COUNT: usize = 256;
 
 #[derive(Clone)]
 struct Bucket {
@@ -20,44 +22,44 @@
     hash: [u8; 32],
 }
 
-/// A checked bundle. Cloning shares everything.
+/// A checked bundle; clones share all content.
 #[derive(Clone)]
 pub struct Bundle {
     version: u64,
     fleet: Arc<Fleet>,
     fleet_hash: [u8; 32],
     buckets: Vec<Arc<Bucket>>,
-    keys: Vec<Arc<BTreeMap<KeyHash, Arc<Workspace>>>>,
+    workspaces_by_key: Vec<Arc<BTreeMap<KeyHash, Arc<Workspace>>>>,
 }
 
 impl Bundle {
-    /// The bundle's version.
+    /// Returns the version of the bundle.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Everything that is not per workspace.
+    /// Returns the fleet section: all content that is not per workspace.
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
 
-    /// The workspace whose caller sent `key`.
+    /// Returns the workspace that the caller key `key` belongs to.
     pub fn authenticate(&self, key: &str) -> Option<Arc<Workspace>> {
         let hash = KeyHash::of(key);
-        self.keys[key_bucket(&hash)].get(&hash).map(Arc::clone)
+        self.workspaces_by_key[key_bucket(&hash)].get(&hash).map(Arc::clone)
     }
 
-    /// The workspace called `name`.
+    /// Returns the workspace called `name`.
     pub fn workspace(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.buckets[name_bucket(name)].workspaces.get(name)
     }
 
-    /// All workspaces, in bucket order.
+    /// Returns all workspaces, in bucket order.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.buckets.iter().flat_map(|bucket| bucket.workspaces.values())
     }
 
-    /// Hash of the content, version included.
+    /// Computes the hash of the content, including the version.
     pub fn hash(&self) -> Hash {
         let mut digest = Sha256::new();
         digest.update(b"sparscale bundle 1");
@@ -69,9 +71,9 @@
         Hash(digest.finalize().into())
     }
 
-    /// The text form, with workspaces in name order.
+    /// Converts to the text form, with the workspaces sorted by name.
     pub fn to_document(&self) -> Document {
-        let mut workspaces: Vec<Workspace> = self.workspaces().map(|found| found.as_ref().clone()).collect();
+        let mut workspaces: Vec<Workspace> = self.workspaces().map(|workspace| workspace.as_ref().clone()).collect();
         workspaces.sort_by(|left, right| left.name.cmp(&right.name));
         Document {
             version: self.version,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The same content under another version.
+    /// Returns the same content under another version.
     #[must_use]
     pub fn with_version(&self, version: u64) -> Self {
         Self {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Replaces the fleet section; all workspaces must still fit it.
+    /// Replaces the fleet section; fails if a workspace does not match the new section.
     pub(crate) fn replace_fleet(&mut self, fleet: Fleet) -> Result<(), Error> {
         check::fleet(&fleet)?;
         for workspace in self.workspaces() {
@@ -104,19 +106,19 @@
         self.fleet = Arc::new(fleet);
     }
 
-    /// Adds `workspace` or replaces the one of that name.
+    /// Adds `workspace` or replaces the workspace of that name; fails if another workspace has one of its keys.
     pub(crate) fn put_workspace(&mut self, workspace: Workspace) -> Result<(), Error> {
         check::workspace(&workspace, &self.fleet)?;
         for hash in &workspace.key_hashes {
-            let holder = self.keys[key_bucket(hash)].get(hash);
+            let holder = self.workspaces_by_key[key_bucket(hash)].get(hash);
             if let Some(holder) = holder.filter(|holder| holder.name != workspace.name) {
-                return Err(check::shared_key(&workspace.name, &holder.name));
+                return Err(check::shared_key_error(&workspace.name, &holder.name));
             }
         }
         self.remove_keys_of(&workspace.name);
         let workspace = Arc::new(workspace);
         for hash in &workspace.key_hashes {
-            Arc::make_mut(&mut self.keys[key_bucket(hash)]).insert(*hash, Arc::clone(&workspace));
+            Arc::make_mut(&mut self.workspaces_by_key[key_bucket(hash)]).insert(*hash, Arc::clone(&workspace));
         }
         self.edit_bucket(&workspace.name, |workspaces| {
             workspaces.insert(workspace.name.clone(), Arc::clone(&workspace));
@@ -124,7 +126,7 @@
         Ok(())
     }
 
-    /// Removes the workspace called `name`, if there is one.
+    /// Removes the workspace called `name`, if it exists.
     pub(crate) fn remove_workspace(&mut self, name: &str) {
         self.remove_keys_of(name);
         self.edit_bucket(name, |workspaces| {
@@ -137,7 +139,7 @@
             return;
         };
         for hash in &workspace.key_hashes {
-            Arc::make_mut(&mut self.keys[key_bucket(hash)]).remove(hash);
+            Arc::make_mut(&mut self.workspaces_by_key[key_bucket(hash)]).remove(hash);
         }
     }
 
@@ -169,16 +171,16 @@
             workspaces: BTreeMap::new(),
             hash: bucket_hash(&BTreeMap::new()),
         });
-        let mut grouped: Vec<BTreeMap<String, Arc<Workspace>>> = vec![BTreeMap::new(); BUCKETS];
-        let mut keys: Vec<BTreeMap<KeyHash, Arc<Workspace>>> = vec![BTreeMap::new(); BUCKETS];
+        let mut workspaces_by_bucket: Vec<BTreeMap<String, Arc<Workspace>>> = vec![BTreeMap::new(); BUCKET_COUNT];
+        let mut workspaces_by_key: Vec<BTreeMap<KeyHash, Arc<Workspace>>> = vec![BTreeMap::new(); BUCKET_COUNT];
         for workspace in document.workspaces {
             let workspace = Arc::new(workspace);
             for hash in &workspace.key_hashes {
-                keys[key_bucket(hash)].insert(*hash, Arc::clone(&workspace));
+                workspaces_by_key[key_bucket(hash)].insert(*hash, Arc::clone(&workspace));
             }
-            grouped[name_bucket(&workspace.name)].insert(workspace.name.clone(), workspace);
+            workspaces_by_bucket[name_bucket(&workspace.name)].insert(workspace.name.clone(), workspace);
         }
-        let share = |workspaces: BTreeMap<String, Arc<Workspace>>| {
+        let into_bucket = |workspaces: BTreeMap<String, Arc<Workspace>>| {
             if workspaces.is_empty() {
                 return Arc::clone(&empty);
             }
@@ -189,8 +191,8 @@
             version: document.version,
             fleet_hash: hash_of(&document.fleet),
             fleet: Arc::new(document.fleet),
-            buckets: grouped.into_iter().map(share).collect(),
-            keys: keys.into_iter().map(Arc::new).collect(),
+            buckets: workspaces_by_bucket.into_iter().map(into_bucket).collect(),
+            workspaces_by_key: workspaces_by_key.into_iter().map(Arc::new).collect(),
         })
     }
 }
@@ -224,9 +226,9 @@
     digest.finalize().into()
 }
 
-/// Hash of the `postcard` form, which has one encoding for each value.
+/// Hashes the `postcard` encoding, which is the same for equal values.
 fn hash_of<T: Serialize>(value: &T) -> [u8; 32] {
-    // Serialising plain data into memory has no way to fail; an empty form would show as a hash mismatch.
+    // Serializing plain data into memory cannot fail; an empty encoding would be detected as a hash mismatch.
     let encoded = postcard::to_stdvec(value).unwrap_or_default();
     Sha256::digest(encoded).into()
 }
--- a/crates/sparscale_bundle/src/check.rs
+++ b/crates/sparscale_bundle/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle's values: every problem is named with its field and its mend.
+//! Validates the values of a bundle; each problem is reported with its field and a remedy.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,10 +8,10 @@
 use crate::document::{Document, Fleet, Workspace};
 use crate::sign;
 
-/// A bundle whose values do not fit together.
+/// A bundle with invalid or inconsistent values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// Every problem that was found.
+    /// All problems in the bundle.
     pub problems: Vec<Problem>,
 }
 
@@ -30,85 +30,89 @@
     }
 }
 
-/// Checks a whole document.
+/// Checks a complete document.
 pub(crate) fn document(document: &Document) -> Result<(), Error> {
-    let mut found = Vec::new();
-    fleet_problems(&document.fleet, &mut found);
-    let tiers = names(document.fleet.tiers.iter().map(|tier| &tier.name));
-    unique(
+    let mut problems = Vec::new();
+    fleet_problems(&document.fleet, &mut problems);
+    let tiers = name_set(document.fleet.tiers.iter().map(|tier| &tier.name));
+    check_names(
         "workspaces",
-        document.workspaces.iter().map(|entry| &entry.name),
-        &mut found,
+        document.workspaces.iter().map(|item| &item.name),
+        &mut problems,
     );
-    let mut keys = BTreeSet::new();
+    let mut known_keys = BTreeSet::new();
     for workspace in &document.workspaces {
-        workspace_problems(workspace, &tiers, &mut found);
+        workspace_problems(workspace, &tiers, &mut problems);
         for hash in &workspace.key_hashes {
-            if !keys.insert(*hash) {
-                let place = format!("workspaces[{}].key_hashes", workspace.name);
-                found.push(Problem::new(
-                    place,
-                    "a key hash stands twice",
-                    "give each caller key to one workspace",
+            if !known_keys.insert(*hash) {
+                let field = format!("workspaces[{}].key_hashes", workspace.name);
+                problems.push(Problem::new(
+                    field,
+                    "a key hash is listed twice",
+                    "assign each caller key to one workspace",
                 ));
             }
         }
     }
     if document.version == 0 {
-        found.push(Problem::new("version", "is 0", "count versions from 1"));
+        problems.push(Problem::new("version", "is 0", "count versions from 1"));
     }
-    finish(found)
+    into_result(problems)
 }
 
-/// Checks the fleet section alone.
+/// Checks the fleet section without the workspaces.
 pub(crate) fn fleet(fleet: &Fleet) -> Result<(), Error> {
-    let mut found = Vec::new();
-    fleet_problems(fleet, &mut found);
-    finish(found)
+    let mut problems = Vec::new();
+    fleet_problems(fleet, &mut problems);
+    into_result(problems)
 }
 
 /// Checks one workspace against `fleet`.
 pub(crate) fn workspace(workspace: &Workspace, fleet: &Fleet) -> Result<(), Error> {
-    let mut found = Vec::new();
-    let tiers = names(fleet.tiers.iter().map(|tier| &tier.name));
-    workspace_problems(workspace, &tiers, &mut found);
-    finish(found)
+    let mut problems = Vec::new();
+    let tiers = name_set(fleet.tiers.iter().map(|tier| &tier.name));
+    workspace_problems(workspace, &tiers, &mut problems);
+    into_result(problems)
 }
 
-/// The error of a key that two workspaces would share.
-pub(crate) fn shared_key(name: &str, holder: &str) -> Error {
-    let place = format!("workspaces[{name}].key_hashes");
-    let problem = format!("a key hash belongs to workspace {holder} already");
+/// Creates the error for a key hash that two workspaces would share.
+pub(crate) fn shared_key_error(name: &str, holder: &str) -> Error {
+    let field = format!("workspaces[{name}].key_hashes");
+    let problem = format!("a key hash already belongs to workspace {holder}");
     Error::from(vec![Problem::new(
-        place,
+        field,
         problem,
-        "give each caller key to one workspace",
+        "assign each caller key to one workspace",
     )])
 }
 
-fn finish(found: Vec<Problem>) -> Result<(), Error> {
-    if found.is_empty() {
+fn into_result(problems: Vec<Problem>) -> Result<(), Error> {
+    if problems.is_empty() {
         Ok(())
     } else {
-        Err(Error::from(found))
+        Err(Error::from(problems))
     }
 }
 
-fn names<'a>(entries: impl Iterator<Item = &'a String>) -> BTreeSet<&'a str> {
-    entries.map(String::as_str).collect()
+fn name_set<'a>(names: impl Iterator<Item = &'a String>) -> BTreeSet<&'a str> {
+    names.map(String::as_str).collect()
 }
 
-fn unique<'a>(section: &str, entries: impl Iterator<Item = &'a String>, found: &mut Vec<Problem>) {
+fn check_names<'a>(section: &str, names: impl Iterator<Item = &'a String>, problems: &mut Vec<Problem>) {
     let mut seen = BTreeSet::new();
-    for name in entries {
+    for name in names {
         if !is_name(name) {
-            let mend = "use 1 to 64 letters, digits, dots, dashes or underscores";
-            found.push(Problem::new(format!("{section}[{name}].name"), "is not a name", mend));
+            let remedy = "use 1 to 64 letters, digits, dots, dashes or underscores";
+            problems.push(Problem::new(
+                format!("{section}[{name}].name"),
+                "is not a valid name",
+                remedy,
+            ));
         }
         if !seen.insert(name) {
-            found.push(Problem::new(
+            problems.push(Problem::new(
                 format!("{section}[{name}]"),
-                "stands twice",
+                "is listed twice",
                 "remove one entry",
             ));
         }
@@ -116,140 +120,140 @@
 }
 
 fn is_name(name: &str) -> bool {
-    let allowed = |character: char| character.is_ascii_alphanumeric() || "._-".contains(character);
-    (1..=64).contains(&name.len()) && name.chars().all(allowed)
+    let is_allowed = |character: char| character.is_ascii_alphanumeric() || "._-".contains(character);
+    (1..=64).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
-fn known(place: String, name: &str, kind: &str, all: &BTreeSet<&str>, found: &mut Vec<Problem>) {
-    if all.contains(name) {
+fn require_known(field: String, name: &str, kind: &str, known_names: &BTreeSet<&str>, problems: &mut Vec<Problem>) {
+    if known_names.contains(name) {
         return;
     }
-    let listed: Vec<&str> = all.iter().copied().take(8).collect();
-    let mend = format!("use one of: {}", listed.join(", "));
-    found.push(Problem::new(place, format!("names no {kind}: {name}"), mend));
+    let examples: Vec<&str> = known_names.iter().copied().take(8).collect();
+    let remedy = format!("use one of: {}", examples.join(", "));
+    problems.push(Problem::new(field, format!("unknown {kind}: {name}"), remedy));
 }
 
-fn at_least_one(place: &str, value: u64, found: &mut Vec<Problem>) {
+fn require_positive(field: &str, value: u64, problems: &mut Vec<Problem>) {
     if value == 0 {
-        found.push(Problem::new(place, "is 0", "use 1 or more"));
+        problems.push(Problem::new(field, "is 0", "use 1 or more"));
     }
 }
 
-fn workspace_problems(workspace: &Workspace, tiers: &BTreeSet<&str>, found: &mut Vec<Problem>) {
-    let place = |field: &str| format!("workspaces[{}].{field}", workspace.name);
-    known(place("tier"), &workspace.tier, "tier", tiers, found);
-    at_least_one(&place("weight"), u64::from(workspace.weight), found);
-    at_least_one(&place("in_flight"), u64::from(workspace.in_flight), found);
+fn workspace_problems(workspace: &Workspace, tiers: &BTreeSet<&str>, problems: &mut Vec<Problem>) {
+    let field = |field: &str| format!("workspaces[{}].{field}", workspace.name);
+    require_known(field("tier"), &workspace.tier, "tier", tiers, problems);
+    require_positive(&field("weight"), u64::from(workspace.weight), problems);
+    require_positive(&field("in_flight"), u64::from(workspace.in_flight), problems);
     if workspace.key_hashes.is_empty() {
-        found.push(Problem::new(
-            place("key_hashes"),
+        problems.push(Problem::new(
+            field("key_hashes"),
             "is empty",
             "add the SHA-256 of a caller key",
         ));
     }
 }
 
-fn fleet_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
-    unique("operators", fleet.operators.iter().map(|entry| &entry.name), found);
-    unique("halls", fleet.halls.iter().map(|entry| &entry.name), found);
-    unique("tiers", fleet.tiers.iter().map(|entry| &entry.name), found);
-    unique("models", fleet.models.iter().map(|entry| &entry.name), found);
-    unique("services", fleet.services.iter().map(|entry| &entry.name), found);
-    unique("groups", fleet.groups.iter().map(|entry| &entry.name), found);
-    unique("targets", fleet.targets.iter().map(|entry| &entry.name), found);
-    operator_problems(fleet, found);
-    target_problems(fleet, found);
-    group_problems(fleet, found);
-    service_problems(fleet, found);
-    placement_problems(fleet, found);
-    limit_problems(fleet, found);
+fn fleet_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
+    check_names("operators", fleet.operators.iter().map(|item| &item.name), problems);
+    check_names("halls", fleet.halls.iter().map(|item| &item.name), problems);
+    check_names("tiers", fleet.tiers.iter().map(|item| &item.name), problems);
+    check_names("models", fleet.models.iter().map(|item| &item.name), problems);
+    check_names("services", fleet.services.iter().map(|item| &item.name), problems);
+    check_names("groups", fleet.groups.iter().map(|item| &item.name), problems);
+    check_names("targets", fleet.targets.iter().map(|item| &item.name), problems);
+    operator_problems(fleet, problems);
+    target_problems(fleet, problems);
+    group_problems(fleet, problems);
+    service_problems(fleet, problems);
+    placement_problems(fleet, problems);
+    limit_problems(fleet, problems);
     if fleet.tiers.is_empty() {
-        found.push(Problem::new("tiers", "is empty", "name at least one tier"));
+        problems.push(Problem::new("tiers", "is empty", "add at least one tier"));
     }
 }
 
-fn operator_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
+fn operator_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
     if fleet.operators.len() < 2 {
-        found.push(Problem::new(
+        problems.push(Problem::new(
             "operators",
             "has fewer than two entries",
-            "approval needs a second operator",
+            "add a second operator; approval requires one",
         ));
     }
     for operator in &fleet.operators {
         if sign::public_key(&operator.key).is_none() {
-            let place = format!("operators[{}].key", operator.name);
-            found.push(Problem::new(
-                place,
-                "is no ed25519 key",
-                "paste the 64 digits that `sparscale key new` prints",
+            let field = format!("operators[{}].key", operator.name);
+            problems.push(Problem::new(
+                field,
+                "is not an ed25519 public key",
+                "paste the 64 hexadecimal digits that `sparscale key new` prints",
             ));
         }
     }
 }
 
-fn target_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
-    let halls = names(fleet.halls.iter().map(|hall| &hall.name));
+fn target_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
+    let halls = name_set(fleet.halls.iter().map(|hall| &hall.name));
     for target in &fleet.targets {
-        known(
+        require_known(
             format!("targets[{}].hall", target.name),
             &target.hall,
             "hall",
             &halls,
-            found,
+            problems,
         );
     }
 }
 
-fn group_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
-    let models = names(fleet.models.iter().map(|model| &model.name));
-    let targets = names(fleet.targets.iter().map(|target| &target.name));
-    let mut used = BTreeSet::new();
+fn group_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
+    let models = name_set(fleet.models.iter().map(|model| &model.name));
+    let targets = name_set(fleet.targets.iter().map(|target| &target.name));
+    let mut assigned_targets = BTreeSet::new();
     for group in &fleet.groups {
-        let place = |field: &str| format!("groups[{}].{field}", group.name);
-        known(place("model"), &group.model, "model", &models, found);
+        let field = |field: &str| format!("groups[{}].{field}", group.name);
+        require_known(field("model"), &group.model, "model", &models, problems);
         for rank in &group.ranks {
-            known(place("ranks"), rank, "target", &targets, found);
-            if !used.insert(rank.as_str()) {
-                let problem = format!("target {rank} is a rank already");
-                found.push(Problem::new(place("ranks"), problem, "give each target one rank"));
+            require_known(field("ranks"), rank, "target", &targets, problems);
+            if !assigned_targets.insert(rank.as_str()) {
+                let problem = format!("target {rank} already is a rank of a group");
+                problems.push(Problem::new(field("ranks"), problem, "assign each target to one rank"));
             }
         }
-        at_least_one(&place("layers"), u64::from(group.layers), found);
-        at_least_one(&place("experts"), u64::from(group.experts), found);
-        let room = u64::from(group.slots) * group.ranks.len() as u64;
-        if room < u64::from(group.experts) {
-            let problem = format!("{room} slots hold fewer than {} experts", group.experts);
-            found.push(Problem::new(place("slots"), problem, "raise slots or add ranks"));
+        require_positive(&field("layers"), u64::from(group.layers), problems);
+        require_positive(&field("experts"), u64::from(group.experts), problems);
+        let total_slots = u64::from(group.slots) * group.ranks.len() as u64;
+        if total_slots < u64::from(group.experts) {
+            let problem = format!("{total_slots} slots cannot hold {} experts", group.experts);
+            problems.push(Problem::new(field("slots"), problem, "raise slots or add ranks"));
         }
     }
 }
 
-fn service_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
-    let targets = names(fleet.targets.iter().map(|target| &target.name));
+fn service_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
+    let targets = name_set(fleet.targets.iter().map(|target| &target.name));
     let ranks: BTreeSet<&str> = fleet
         .groups
         .iter()
         .flat_map(|group| group.ranks.iter().map(String::as_str))
         .collect();
     for service in &fleet.services {
-        let place = |field: &str| format!("services[{}].{field}", service.name);
-        unique(&place("calls"), service.calls.iter().map(|call| &call.name), found);
+        let field = |field: &str| format!("services[{}].{field}", service.name);
+        check_names(&field("calls"), service.calls.iter().map(|call| &call.name), problems);
         for target in &service.targets {
-            known(place("targets"), target, "target", &targets, found);
+            require_known(field("targets"), target, "target", &targets, problems);
             if ranks.contains(target.as_str()) {
                 let problem = format!("target {target} is a rank of a group");
-                found.push(Problem::new(
-                    place("targets"),
+                problems.push(Problem::new(
+                    field("targets"),
                     problem,
-                    "give the service a target of its own",
+                    "assign a target to the service that is not a rank",
                 ));
             }
         }
     }
 }
 
-fn placement_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
+fn placement_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
     let placement = &fleet.placement;
     let positive = [
         ("placement.half_life_seconds", placement.half_life_seconds),
@@ -258,43 +262,47 @@
             placement.weight_store_bytes_per_second,
         ),
     ];
-    for (place, value) in positive {
+    for (field, value) in positive {
         if !(value.is_finite() && value > 0.0) {
-            found.push(Problem::new(place, "is not a number above 0", "use a positive number"));
+            problems.push(Problem::new(field, "is not a positive number", "use a positive number"));
         }
     }
     let weights = [
         ("placement.weight_skew", placement.weight_skew),
         ("placement.weight_move", placement.weight_move),
     ];
-    for (place, value) in weights {
+    for (field, value) in weights {
         if !(value.is_finite() && value >= 0.0) {
-            found.push(Problem::new(
-                place,
+            problems.push(Problem::new(
+                field,
                 "is not a number of 0 or more",
                 "use 0 or a positive number",
             ));
         }
     }
-    for span in &placement.quiet_hours {
-        if span.from > 23 || span.to > 24 {
-            let mend = "use hours from 0 to 24 in UTC";
-            found.push(Problem::new("placement.quiet_hours", "is not a span of hours", mend));
+    for hours in &placement.quiet_hours {
+        if hours.from > 23 || hours.to > 24 {
+            let remedy = "use hours from 0 to 24 in UTC";
+            problems.push(Problem::new(
+                "placement.quiet_hours",
+                "is not a valid range of hours",
+                remedy,
+            ));
         }
     }
 }
 
-fn limit_problems(fleet: &Fleet, found: &mut Vec<Problem>) {
+fn limit_problems(fleet: &Fleet, problems: &mut Vec<Problem>) {
     let limits = &fleet.limits;
-    at_least_one(
+    require_positive(
         "limits.in_flight_per_target",
         u64::from(limits.in_flight_per_target),
-        found,
+        problems,
     );
-    at_least_one("limits.deadline_ms", limits.deadline_ms, found);
-    at_least_one("limits.candidates", u64::from(limits.candidates), found);
+    require_positive("limits.deadline_ms", limits.deadline_ms, problems);
+    require_positive("limits.candidates", u64::from(limits.candidates), problems);
     if limits.floor_one_in < 2 {
-        found.push(Problem::new(
+        problems.push(Problem::new(
             "limits.floor_one_in",
             "is below 2",
             "use 2 or more: 20 gives one in twenty",
--- a/crates/sparscale_bundle/src/document.rs
+++ b/crates/sparscale_bundle/src/document.rs
@@ -1,39 +1,39 @@
-//! The text form of a bundle: plain data, not yet checked.
+//! Text form of a bundle: plain data that has not been checked.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A whole bundle as operators write it.
+/// A complete bundle as operators write it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Version of this bundle; each version is used once and versions only rise.
+    /// Version of the bundle; each version is used once and must be higher than the active one.
     pub version: u64,
-    /// Everything that is not per workspace.
+    /// All content that is not per workspace.
     pub fleet: Fleet,
-    /// The customers, each with its keys, tier and limits.
+    /// Workspaces (customers), each with its keys, tier and limits.
     pub workspaces: Vec<Workspace>,
 }
 
-/// The part of a bundle that describes machines, models and policy.
+/// Section of a bundle that describes boxes, models and policy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Operators who may publish, approve and roll.
     pub operators: Vec<Operator>,
-    /// Halls, with the region that each stands in.
+    /// Halls, each with its region.
     pub halls: Vec<Hall>,
     /// Priority tiers, highest first.
     pub tiers: Vec<Tier>,
     /// Model versions that are served.
     pub models: Vec<Model>,
-    /// Plain services that stand beside the models.
+    /// Plain services, which do not belong to a model.
     pub services: Vec<Service>,
     /// Groups of ranks.
     pub groups: Vec<Group>,
-    /// Back ends, each with its hall.
+    /// Targets, each with its hall.
     pub targets: Vec<Target>,
     /// Weights and limits of expert placement.
     pub placement: Placement,
@@ -42,7 +42,7 @@
 }
 
 impl Fleet {
-    /// The group called `name`.
+    /// Returns the group called `name`.
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.iter().find(|group| group.name == name)
     }
@@ -58,13 +58,13 @@
     pub key: String,
 }
 
-/// A hall: boxes that share power, switches and fate.
+/// A hall: boxes that share power and network and so may fail together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
     /// Unique name.
     pub name: String,
-    /// Region that the hall stands in.
+    /// Region of the hall.
     pub region: String,
 }
 
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Name that callers send.
+    /// Name that callers use in requests.
     pub name: String,
     /// Version of the weights.
     pub version: String,
@@ -90,11 +90,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name that callers send.
+    /// Name that callers use in requests.
     pub name: String,
     /// Names of the targets that run it.
     pub targets: Vec<String>,
-    /// Calls that callers may make.
+    /// Calls that callers may send.
     pub calls: Vec<Call>,
 }
 
@@ -102,13 +102,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// Name of the call, the last part of the caller's path.
+    /// Name of the call, the last segment of the request path.
     pub name: String,
-    /// Whether the call may run more than once.
+    /// Whether the call may be executed more than once, so that it may be retried.
     pub repeatable: bool,
 }
 
-/// A group of ranks that advance in lock-step.
+/// A group of ranks that execute steps in lockstep.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
@@ -118,11 +118,11 @@
     pub model: String,
     /// Target of each rank, in rank order.
     pub ranks: Vec<String>,
-    /// Mixture-of-experts layers.
+    /// Number of mixture-of-experts layers.
     pub layers: u32,
-    /// Logical experts in each layer.
+    /// Number of logical experts per layer.
     pub experts: u32,
-    /// Expert replicas that fit on one rank, in each layer.
+    /// Number of expert replicas per layer that one rank can hold.
     pub slots: u32,
     /// Size of one expert's weights in one layer, in bytes.
     pub expert_bytes: u64,
@@ -132,39 +132,39 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Unique name; the box list tells at which address it runs.
+    /// Unique name; the box list gives the target's address.
     pub name: String,
-    /// Hall that the target stands in.
+    /// Hall of the target.
     pub hall: String,
-    /// Whether the target itself refuses orders below the highest fence it has seen.
+    /// Whether the target itself rejects orders with a fence below the highest one that it has received.
     pub checks_fence: bool,
 }
 
-/// How experts are placed.
+/// Weights and limits of expert placement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
-    /// Cost of one unit of step-time skew (largest rank load over the mean, less one).
+    /// Cost of one unit of step-time skew (largest rank load divided by the mean, minus 1).
     pub weight_skew: f64,
-    /// Cost of one second of loading at the weight store's rate.
+    /// Cost of loading weights for one second at the weight store's rate.
     pub weight_move: f64,
-    /// Expert replicas that one change of a map may load.
+    /// Maximum number of expert replicas that one map switch may load.
     pub move_budget: u32,
-    /// Hours of the day, in UTC, in which no expert moves.
+    /// Hours of the day, in UTC, in which no expert is moved.
     pub quiet_hours: Vec<QuietHours>,
-    /// Half-life of the expert counts, in seconds.
+    /// Half-life of the expert selection counts, in seconds.
     pub half_life_seconds: f64,
-    /// Bytes a second that one group may draw from the weight store.
+    /// Maximum bytes per second that one group may load from the weight store.
     pub weight_store_bytes_per_second: f64,
 }
 
-/// A span of hours, `from` included, `to` excluded; it may pass midnight.
+/// A range of hours, including `from` and excluding `to`; it may span midnight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuietHours {
-    /// First hour, 0 to 23.
+    /// First hour of the range, 0 to 23.
     pub from: u32,
-    /// Hour after the last, 0 to 24.
+    /// Hour after the end of the range, 0 to 24.
     pub to: u32,
 }
 
@@ -172,31 +172,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests that one target runs at once.
+    /// Maximum number of requests in flight per target.
     pub in_flight_per_target: u32,
-    /// Requests that wait at one agent.
+    /// Maximum number of requests queued at the agent of one target.
     pub queue_per_target: u32,
-    /// One in this many dispatches goes to the lowest waiting tier.
+    /// One in this many dispatches goes to the lowest tier with queued requests.
     pub floor_one_in: u32,
-    /// Time that a request has, in milliseconds, when the caller names none.
+    /// Deadline of a request for which the caller sets none, in milliseconds after its arrival.
     pub deadline_ms: u64,
-    /// Retries per hundred first attempts that one entry may spend.
+    /// Maximum number of retries per 100 first attempts at one entry.
     pub retry_percent: u32,
-    /// Targets that one entry considers for a request.
+    /// Number of targets that an entry considers per request.
     pub candidates: u32,
 }
 
-/// SHA-256 of a workspace's bearer key.
+/// SHA-256 hash of a caller key, which callers of a workspace send as bearer token.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of `key` as a caller sends it.
+    /// Computes the hash of `key` as sent by a caller.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// The raw digest.
+    /// Returns the raw digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
@@ -220,7 +220,7 @@
     }
 }
 
-/// A customer.
+/// A workspace: one customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
@@ -228,10 +228,10 @@
     pub name: String,
     /// Name of its priority tier.
     pub tier: String,
-    /// Share of its tier, relative to the tier's other workspaces.
+    /// Relative share among the workspaces of its tier.
     pub weight: u32,
-    /// Hashes of the keys that its callers may send.
+    /// Hashes of the keys of its callers.
     pub key_hashes: Vec<KeyHash>,
-    /// Requests that it may have in progress at one entry.
+    /// Maximum number of its requests in flight at one entry.
     pub in_flight: u32,
 }
--- a/crates/sparscale_bundle/src/hash.rs
+++ b/crates/sparscale_bundle/src/hash.rs
@@ -1,15 +1,15 @@
-//! Hash of a bundle.
+//! Hash that identifies the content of a bundle.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Hash of a whole bundle's content.
+/// SHA-256 hash of a bundle's content, including its version.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hash(pub(crate) [u8; 32]);
 
 impl Hash {
-    /// The raw digest.
+    /// Returns the raw digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
--- a/crates/sparscale_bundle/src/lib.rs
+++ b/crates/sparscale_bundle/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration bundle: what operators publish, approve and roll.
+//! The configuration bundle that operators publish, approve and roll.
 //!
-//! A [`Document`] is the text form. A [`Bundle`] is checked, and keeps its workspaces in hash buckets that are
-//! shared between versions, so that a delta of one workspace costs the same at ten workspaces and at ten thousand.
+//! A [`Document`] is the unchecked text form. A [`Bundle`] is checked and keeps its workspaces in hash buckets that
+//! versions share, so that a delta to one workspace costs about the same with 10 workspaces and with 10,000.
 
 mod bundle;
 mod check;
--- a/crates/sparscale_bundle/src/sign.rs
+++ b/crates/sparscale_bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! Operators' signatures over what they publish, approve and roll.
+//! Ed25519 signatures of operators on the versions that they publish, approve and roll.
 
 use ed25519_dalek::{Signer as _, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
@@ -7,29 +7,29 @@
 use crate::document::Operator;
 use crate::hash::Hash;
 
-/// What an operator says by signing.
+/// Action that an operator authorizes with a signature.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Act {
-    /// This is the content of that version.
+    /// Publishes the content of a version.
     Publish,
-    /// A second operator agrees to that content.
+    /// Approves the content as a second operator.
     Approve,
-    /// That version shall be in force.
+    /// Activates the version.
     Roll,
 }
 
 /// The statement that is signed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// What is said.
+    /// Action that is authorized.
     pub act: Act,
-    /// Who says it.
+    /// Name of the operator who signs.
     pub author: String,
-    /// Version that it is about.
+    /// Version that the action applies to.
     pub version: u64,
     /// Version that it replaces.
     pub base: u64,
-    /// Hash of the version's whole content.
+    /// Hash of the version's complete content.
     pub hash: Hash,
 }
 
@@ -37,66 +37,66 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature(ed25519_dalek::Signature);
 
-/// A signature that does not hold.
+/// An invalid signature.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The author is not among the operators.
-    #[snafu(display("{author} is not an operator; add the key to the bundle in force first"))]
-    Stranger {
-        /// Name on the statement.
+    #[snafu(display("{author} is not an operator of the active bundle; add the operator's key to a bundle first"))]
+    UnknownOperator {
+        /// Author of the statement.
         author: String,
     },
-    /// The signature does not fit the statement.
-    #[snafu(display("the signature of {author} does not fit; sign with the key that the bundle lists"))]
-    Mismatch {
-        /// Name on the statement.
+    /// The signature does not match the statement and the author's key.
+    #[snafu(display("signature of {author} is invalid; sign with the key that the bundle lists for {author}"))]
+    InvalidSignature {
+        /// Author of the statement.
         author: String,
     },
 }
 
-/// A new key pair; the secret half stays with the operator.
+/// Generates a random key pair; the secret key must stay with the operator.
 pub fn new_key() -> SigningKey {
     SigningKey::from_bytes(&rand::random())
 }
 
-/// The secret key written as 64 hexadecimal digits in `text`.
+/// Parses a secret key from 64 hexadecimal digits.
 pub fn secret_key(text: &str) -> Option<SigningKey> {
     let mut bytes = [0; 32];
     hex::decode_to_slice(text.trim(), &mut bytes).ok()?;
     Some(SigningKey::from_bytes(&bytes))
 }
 
-/// The public key written as 64 hexadecimal digits in `text`.
+/// Parses a public key from 64 hexadecimal digits.
 pub fn public_key(text: &str) -> Option<VerifyingKey> {
     let mut bytes = [0; 32];
     hex::decode_to_slice(text.trim(), &mut bytes).ok()?;
     VerifyingKey::from_bytes(&bytes).ok()
 }
 
-/// The public half of `key` as operators list it.
+/// Encodes the public key of `key` as 64 hexadecimal digits, the form used in settings and bundles.
 pub fn public_text(key: &SigningKey) -> String {
     hex::encode(key.verifying_key().as_bytes())
 }
 
-/// Signs `statement`.
+/// Signs `statement` with `key`.
 pub fn sign(statement: &Statement, key: &SigningKey) -> Signature {
-    Signature(key.sign(&message(statement)))
+    Signature(key.sign(&signed_message(statement)))
 }
 
-/// Checks `signature` over `statement` with the key that `operators` list for its author.
+/// Verifies `signature` over `statement` with the key of its author in `operators`.
 pub fn verify(statement: &Statement, signature: &Signature, operators: &[Operator]) -> Result<(), Error> {
     let author = &statement.author;
-    let listed = operators.iter().find(|operator| operator.name == *author);
-    let key = listed.and_then(|operator| public_key(&operator.key));
+    let operator = operators.iter().find(|operator| operator.name == *author);
+    let key = operator.and_then(|operator| public_key(&operator.key));
     let Some(key) = key else {
-        return StrangerSnafu { author }.fail();
+        return UnknownOperatorSnafu { author }.fail();
     };
-    key.verify_strict(&message(statement), &signature.0)
-        .map_err(|_mismatch| Error::Mismatch { author: author.clone() })
+    key.verify_strict(&signed_message(statement), &signature.0)
+        .map_err(|_invalid| Error::InvalidSignature { author: author.clone() })
 }
 
-fn message(statement: &Statement) -> Vec<u8> {
-    // Serialising plain data into memory has no way to fail; an empty message verifies for nobody's statement.
+fn signed_message(statement: &Statement) -> Vec<u8> {
+    // Serializing plain data into memory cannot fail; a signature over an empty statement authorizes nothing.
     let encoded = postcard::to_stdvec(statement).unwrap_or_default();
     [b"sparscale statement 1".as_slice(), &encoded].concat()
 }
--- a/crates/sparscale_bundle/tests/bundle_delta.rs
+++ b/crates/sparscale_bundle/tests/bundle_delta.rs
@@ -1,4 +1,4 @@
-//! Deltas lead to the same bundle as the whole text, and wrong bundles are refused with place and mend.
+//! A delta produces the same bundle as the complete text, and invalid bundles are rejected with every problem listed.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_bundle::{
@@ -62,10 +62,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Pair(Vec<Workspace>, Vec<Workspace>);
+struct TwoVersions(Vec<Workspace>, Vec<Workspace>);
 
 fn workspaces(g: &mut Gen) -> Vec<Workspace> {
-    let mut found: Vec<Workspace> = Vec::new();
+    let mut generated: Vec<Workspace> = Vec::new();
     for name in 0..20 {
         if bool::arbitrary(g) {
             // A key may move from one workspace to another between versions.
@@ -74,25 +74,25 @@
             } else {
                 name + 20 + u8::arbitrary(g) % 4 * 20
             };
-            found.push(workspace(name, u8::arbitrary(g) % 4, key));
+            generated.push(workspace(name, u8::arbitrary(g) % 4, key));
         }
     }
-    found
+    generated
 }
 
-impl Arbitrary for Pair {
+impl Arbitrary for TwoVersions {
     fn arbitrary(g: &mut Gen) -> Self {
         Self(workspaces(g), workspaces(g))
     }
 }
 
 #[test]
-fn delta_equals_whole() {
-    fn equal(pair: Pair) -> bool {
-        let first = document(1, pair.0);
+fn delta_equals_complete_bundle() {
+    fn is_equal(versions: TwoVersions) -> bool {
+        let first = document(1, versions.0);
         let second = Document {
             version: 2,
-            workspaces: pair.1,
+            workspaces: versions.1,
             ..first.clone()
         };
         let old = Bundle::try_from(first).expect("valid");
@@ -100,28 +100,28 @@
         let applied = Delta::between(&old, &new).apply(&old, 2).expect("applies");
         let same_keys = (0..120).all(|key| {
             let key = format!("key-{key}");
-            applied.authenticate(&key).map(|found| found.name.clone())
-                == new.authenticate(&key).map(|found| found.name.clone())
+            applied.authenticate(&key).map(|workspace| workspace.name.clone())
+                == new.authenticate(&key).map(|workspace| workspace.name.clone())
         });
         applied.hash() == new.hash() && applied.to_document() == new.to_document() && same_keys
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 41))
         .tests(500)
-        .quickcheck(equal as fn(Pair) -> bool);
+        .quickcheck(is_equal as fn(TwoVersions) -> bool);
 }
 
 #[test]
-fn problems_named() {
-    let mut wrong = document(0, vec![workspace(1, 0, 1), workspace(2, 0, 1)]);
-    wrong.workspaces[1].tier = "bronze".to_owned();
-    wrong.fleet.limits.floor_one_in = 1;
-    let error = Bundle::try_from(wrong).expect_err("four problems");
+fn every_problem_is_listed() {
+    let mut invalid = document(0, vec![workspace(1, 0, 1), workspace(2, 0, 1)]);
+    invalid.workspaces[1].tier = "bronze".to_owned();
+    invalid.fleet.limits.floor_one_in = 1;
+    let error = Bundle::try_from(invalid).expect_err("four problems");
     let text = error.to_string();
     for expected in [
         "version: is 0",
-        "names no tier: bronze",
-        "a key hash stands twice",
+        "unknown tier: bronze",
+        "a key hash is listed twice",
         "floor_one_in",
     ] {
         assert!(text.contains(expected), "{expected} is missing in:\n{text}");
@@ -129,10 +129,13 @@
 }
 
 #[test]
-fn shared_key_refused() {
+fn shared_key_is_rejected() {
     let old = Bundle::try_from(document(1, vec![workspace(1, 0, 1)])).expect("valid");
     let delta = Delta {
         changes: vec![sparscale_bundle::Change::PutWorkspace(workspace(2, 0, 1))],
     };
-    assert!(delta.apply(&old, 2).is_err(), "one key must not name two workspaces");
+    assert!(
+        delta.apply(&old, 2).is_err(),
+        "one key must not belong to two workspaces"
+    );
 }
--- a/crates/sparscale_cli/src/bundle.rs
+++ b/crates/sparscale_cli/src/bundle.rs
@@ -1,4 +1,4 @@
-//! `sparscale bundle …`: check, publish, approve, roll, status, history.
+//! `sparscale bundle …`: checks bundle files, publishes, approves and rolls versions, and shows status and history.
 
 use std::fs;
 use std::path::Path;
@@ -17,7 +17,7 @@
 use crate::operator::Settings;
 use crate::report::{Exit, Report};
 
-/// What became of an operator's record.
+/// Result of submitting an operator's record.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
 enum Outcome {
@@ -30,12 +30,12 @@
 #[derive(Serialize)]
 struct Status {
     head: u64,
-    in_force: Option<InForce>,
-    waiting: Vec<Waiting>,
+    in_force: Option<ActiveVersion>,
+    waiting: Vec<PendingVersion>,
 }
 
 #[derive(Serialize)]
-struct InForce {
+struct ActiveVersion {
     version: u64,
     hash: String,
     published_by: String,
@@ -46,7 +46,7 @@
 }
 
 #[derive(Serialize)]
-struct Waiting {
+struct PendingVersion {
     version: u64,
     base: u64,
     hash: String,
@@ -56,20 +56,20 @@
 }
 
 #[derive(Serialize)]
-struct Step {
+struct HistoryEntry {
     offset: u64,
     what: String,
     verdict: String,
 }
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     result: &'static str,
     version: u64,
     hash: String,
 }
 
-/// Reads and checks a bundle file.
+/// Reads and checks the bundle file at `path`.
 pub(crate) fn load(path: &Path) -> Result<Bundle, Error> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let document: Document = sparscale_settings::document(path, &text)?;
@@ -85,7 +85,7 @@
     let version = bundle.version();
     let text = format!("{}: version {version} is a valid bundle\nhash {hash}", path.display());
     let result = "valid";
-    Ok(Report::new(Exit::Success, text, &Checked { result, version, hash }))
+    Ok(Report::new(Exit::Success, text, &CheckReport { result, version, hash }))
 }
 
 pub(crate) async fn publish(settings: &Settings, path: &Path) -> Result<Report, Error> {
@@ -114,10 +114,12 @@
 
 pub(crate) async fn approve(settings: &Settings, version: u64, hash: Option<&str>) -> Result<Report, Error> {
     let mut writer = settings.writer().await?;
-    let proposal = proposal(&writer, version)?;
-    let found = proposal.bundle.hash();
-    if let Some(expected) = hash.filter(|expected| *expected != found.to_string()) {
-        let because = format!("version {version} has hash {found}, not {expected}; look at it again before you sign");
+    let proposal = find_proposal(&writer, version)?;
+    let published_hash = proposal.bundle.hash();
+    if let Some(expected) = hash.filter(|expected| *expected != published_hash.to_string()) {
+        let because = format!(
+            "version {version} has hash {published_hash}, not {expected}; review the version again before you sign it"
+        );
         return Ok(report(
             &Outcome::Refused {
                 because,
@@ -131,17 +133,17 @@
         author: settings.name().to_owned(),
         version,
         base: proposal.base,
-        hash: found,
-        signature: settings.sign(Act::Approve, version, proposal.base, found)?,
+        hash: published_hash,
+        signature: settings.sign(Act::Approve, version, proposal.base, published_hash)?,
     };
     let record = Record::new(Body::Approve(approve));
-    let outcome = submit(&mut writer, settings, &record, version, found.to_string()).await;
+    let outcome = submit(&mut writer, settings, &record, version, published_hash.to_string()).await;
     Ok(report(&outcome, "approved", "roll it"))
 }
 
 pub(crate) async fn roll(settings: &Settings, version: u64) -> Result<Report, Error> {
     let mut writer = settings.writer().await?;
-    let proposal = proposal(&writer, version)?;
+    let proposal = find_proposal(&writer, version)?;
     let hash = proposal.bundle.hash();
     let roll = Roll {
         author: settings.name().to_owned(),
@@ -155,7 +157,7 @@
     Ok(report(
         &outcome,
         "rolled",
-        "it comes in force everywhere within seconds",
+        "it becomes active everywhere within seconds",
     ))
 }
 
@@ -167,24 +169,24 @@
 
 pub(crate) async fn history(settings: &Settings) -> Result<Report, Error> {
     let mut writer = settings.fresh_writer();
-    let mut steps = Vec::new();
+    let mut entries = Vec::new();
     writer
-        .catch_up_judging(|offset, data, verdict| {
-            if let Some(what) = operators_step(data) {
+        .catch_up_with_verdicts(|offset, data, verdict| {
+            if let Some(what) = describe_operator_action(data) {
                 let verdict = verdict_text(verdict);
-                steps.push(Step { offset, what, verdict });
+                entries.push(HistoryEntry { offset, what, verdict });
             }
         })
         .await?;
-    let lines = steps
+    let lines = entries
         .iter()
-        .map(|step| format!("{:>8}  {}  {}", step.offset, step.what, step.verdict));
+        .map(|entry| format!("{:>8}  {}  {}", entry.offset, entry.what, entry.verdict));
     let text = lines.collect::<Vec<_>>().join("\n");
-    Ok(Report::new(Exit::Success, text, &steps))
+    Ok(Report::new(Exit::Success, text, &entries))
 }
 
 async fn submit(writer: &mut Writer, settings: &Settings, record: &Record, version: u64, hash: String) -> Outcome {
-    let deadline = Instant::now() + settings.patience();
+    let deadline = Instant::now() + settings.submit_timeout();
     match writer.submit(record, deadline).await {
         Settled::Judged(Receipt {
             offset,
@@ -202,11 +204,11 @@
     }
 }
 
-fn report(outcome: &Outcome, done: &str, next: &str) -> Report {
+fn report(outcome: &Outcome, action: &str, next_step: &str) -> Report {
     let (exit, text) = match outcome {
         Outcome::Accepted { version, hash, offset } => (
             Exit::Success,
-            format!("accepted: version {version} {done} at offset {offset}; {next}\nhash {hash}"),
+            format!("accepted: version {version} {action} at offset {offset}; {next_step}\nhash {hash}"),
         ),
         Outcome::Refused { because, .. } => (Exit::Refused, format!("refused because {because}")),
         Outcome::Unknown { trouble, .. } => {
@@ -221,13 +223,13 @@
     Report::new(exit, text, outcome)
 }
 
-fn proposal(writer: &Writer, version: u64) -> Result<Proposal, Error> {
-    let found = writer.reader().state().proposals().get(&version);
-    found.cloned().context(NoProposalSnafu { version })
+fn find_proposal(writer: &Writer, version: u64) -> Result<Proposal, Error> {
+    let proposal = writer.reader().state().proposals().get(&version);
+    proposal.cloned().context(NoProposalSnafu { version })
 }
 
 fn status_of(state: &State) -> Status {
-    let in_force = state.in_force().map(|certificate| InForce {
+    let in_force = state.in_force().map(|certificate| ActiveVersion {
         version: certificate.bundle.version(),
         hash: certificate.bundle.hash().to_string(),
         published_by: certificate.publisher.clone(),
@@ -236,7 +238,7 @@
         offset: certificate.offset,
         workspaces: certificate.bundle.workspaces().count(),
     });
-    let waiting = state.proposals().iter().map(|(version, proposal)| Waiting {
+    let pending = state.proposals().iter().map(|(version, proposal)| PendingVersion {
         version: *version,
         base: proposal.base,
         hash: proposal.bundle.hash().to_string(),
@@ -247,7 +249,7 @@
     Status {
         head: state.head(),
         in_force,
-        waiting: waiting.collect(),
+        waiting: pending.collect(),
     }
 }
 
@@ -255,18 +257,18 @@
     fn text(&self) -> String {
         let mut lines = Vec::new();
         match &self.in_force {
-            Some(found) => lines.push(format!(
+            Some(active) => lines.push(format!(
                 "in force: version {} (hash {}), published by {}, approved by {}, rolled by {} at offset {}, {} workspaces",
-                found.version, found.hash, found.published_by, found.approved_by, found.rolled_by, found.offset, found.workspaces
+                active.version, active.hash, active.published_by, active.approved_by, active.rolled_by, active.offset, active.workspaces
             )),
             None => lines.push("in force: nothing".to_owned()),
         }
-        for waiting in &self.waiting {
-            let approved = waiting.approved_by.as_ref();
-            let approved = approved.map_or("not approved".to_owned(), |name| format!("approved by {name}"));
+        for pending in &self.waiting {
+            let approver = pending.approved_by.as_ref();
+            let approval = approver.map_or("not approved".to_owned(), |name| format!("approved by {name}"));
             lines.push(format!(
-                "waiting: version {} on base {} (hash {}), published by {} at offset {}, {approved}",
-                waiting.version, waiting.base, waiting.hash, waiting.published_by, waiting.offset
+                "waiting: version {} on base {} (hash {}), published by {} at offset {}, {approval}",
+                pending.version, pending.base, pending.hash, pending.published_by, pending.offset
             ));
         }
         lines.push(format!("log head: {}", self.head));
@@ -274,7 +276,7 @@
     }
 }
 
-fn operators_step(data: &[u8]) -> Option<String> {
+fn describe_operator_action(data: &[u8]) -> Option<String> {
     let record = Record::decode(data).ok()?;
     match record.body {
         Body::Publish(publish) => Some(format!(
--- a/crates/sparscale_cli/src/command.rs
+++ b/crates/sparscale_cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line and dispatch to the commands.
 
 use std::path::{Path, PathBuf};
 
@@ -10,10 +10,10 @@
 use crate::report::{Exit, Report};
 use crate::{bundle, explain, key, settings};
 
-/// The command and its subcommands.
+/// Builds the command with its subcommands.
 pub fn command() -> Command {
     Command::new("sparscale")
-        .about("Publishes, approves and rolls bundles, and explains decisions")
+        .about("Publishes, approves and rolls bundles, and explains decisions about requests")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .arg(
@@ -21,16 +21,16 @@
                 .long("json")
                 .global(true)
                 .action(ArgAction::SetTrue)
-                .help("Print one line of JSON"),
+                .help("Print the result as one line of JSON"),
         )
         .subcommand(bundle_command())
         .subcommand(
             Command::new("explain")
-                .about("Shows the decisions about one request")
+                .about("Shows the decisions about one request in time order")
                 .arg(
                     Arg::new("id")
                         .required(true)
-                        .help("Id of a request, or of an attempt, from a log line or an answer"),
+                        .help("Id of a request or of an attempt, from a log line or a response"),
                 )
                 .arg(
                     Arg::new("files")
@@ -43,7 +43,7 @@
         .subcommand(
             Command::new("settings")
                 .subcommand_required(true)
-                .about("Settings files")
+                .about("Commands for settings files")
                 .subcommand(
                     Command::new("check")
                         .about("Checks a settings file")
@@ -58,10 +58,10 @@
         .subcommand(
             Command::new("key")
                 .subcommand_required(true)
-                .about("Keys")
+                .about("Commands for operator keys and caller keys")
                 .subcommand(
                     Command::new("new")
-                        .about("Writes a new operator's key")
+                        .about("Creates an operator's key file and prints the public key")
                         .arg(file_argument()),
                 )
                 .subcommand(
@@ -72,14 +72,14 @@
         )
         .subcommand(
             Command::new("completion")
-                .about("Prints a completion script")
+                .about("Prints a shell completion script")
                 .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell))),
         )
 }
 
 fn bundle_command() -> Command {
     Command::new("bundle")
-        .about("Bundles, from a file to in force")
+        .about("Commands to check, publish, approve and roll bundles")
         .subcommand_required(true)
         .subcommand(Command::new("check").about("Checks a bundle file").arg(file_argument()))
         .subcommand(
@@ -95,24 +95,24 @@
                 .arg(
                     Arg::new("hash")
                         .long("hash")
-                        .help("Refuse unless the version has this hash"),
+                        .help("Approve only if the version has this hash"),
                 )
                 .arg(settings_argument()),
         )
         .subcommand(
             Command::new("roll")
-                .about("Puts an approved version in force")
+                .about("Activates an approved version")
                 .arg(version_argument())
                 .arg(settings_argument()),
         )
         .subcommand(
             Command::new("status")
-                .about("Shows what is in force and what waits")
+                .about("Shows the active version and the pending ones")
                 .arg(settings_argument()),
         )
         .subcommand(
             Command::new("history")
-                .about("Lists what operators did")
+                .about("Lists the operators' actions in the log")
                 .arg(settings_argument()),
         )
 }
@@ -126,7 +126,7 @@
         .long("settings")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("Operator's settings file, JSON with comments")
+        .help("Settings file of the operator, JSON with comments")
 }
 
 fn version_argument() -> Arg {
@@ -164,7 +164,7 @@
             (_, matches) => Ok(key::hash(text(matches, "key")?)),
         },
         Some(("completion", matches)) => Ok(completion(matches)),
-        _ => Err(usage("give a command; --help lists them")),
+        _ => Err(usage_error("missing command; --help lists the commands")),
     }
 }
 
@@ -197,27 +197,27 @@
 fn subcommand(matches: &ArgMatches) -> Result<(&str, &ArgMatches), Error> {
     matches
         .subcommand()
-        .ok_or_else(|| usage("give a subcommand; --help lists them"))
+        .ok_or_else(|| usage_error("missing subcommand; --help lists the subcommands"))
 }
 
 fn file<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a Path, Error> {
     let path = matches.get_one::<PathBuf>(name).map(PathBuf::as_path);
-    path.ok_or_else(|| usage(&format!("give {name}")))
+    path.ok_or_else(|| usage_error(&format!("missing argument: {name}")))
 }
 
 fn text<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a str, Error> {
     let value = matches.get_one::<String>(name).map(String::as_str);
-    value.ok_or_else(|| usage(&format!("give {name}")))
+    value.ok_or_else(|| usage_error(&format!("missing argument: {name}")))
 }
 
 fn version(matches: &ArgMatches) -> Result<u64, Error> {
     matches
         .get_one("version")
         .copied()
-        .ok_or_else(|| usage("give a version"))
+        .ok_or_else(|| usage_error("missing argument: version"))
 }
 
-fn usage(message: &str) -> Error {
+fn usage_error(message: &str) -> Error {
     Error::Usage {
         message: message.to_owned(),
     }
--- a/crates/sparscale_cli/src/error.rs
+++ b/crates/sparscale_cli/src/error.rs
@@ -1,61 +1,61 @@
-//! What stops a command before it has a result.
+//! Errors that stop a command before it has a result.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 use sparscale_journal::CatchUpError;
 
-/// Why a command cannot be carried out.
+/// Reason why a command cannot be executed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
-    /// A settings or bundle file cannot be used.
+    /// A settings or bundle file is invalid.
     #[snafu(display("{source}"), context(false))]
     Document {
-        /// What is wrong with it.
+        /// Problems of the file.
         source: sparscale_settings::Error,
     },
     /// A file cannot be read.
-    #[snafu(display("{}: {source}; give the path of a readable file", path.display()))]
+    #[snafu(display("{}: {source}; specify the path of a readable file", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A file cannot be written.
-    #[snafu(display("{}: {source}; give a path that can be written", path.display()))]
+    #[snafu(display("{}: {source}; specify a writable path", path.display()))]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A key file holds no key.
-    #[snafu(display("{}: holds no key; write one with `sparscale key new`", path.display()))]
+    /// A key file does not contain a valid key.
+    #[snafu(display("{}: contains no valid secret key; create one with `sparscale key new`", path.display()))]
     Key {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The log cannot be folded.
+    /// The log cannot be read or folded.
     #[snafu(
-        display("the log: {source}; try again, `sparscale bundle status` tells when it answers"),
+        display("log cannot be read: {source}; retry later, once `sparscale bundle status` succeeds"),
         context(false)
     )]
     Log {
-        /// What went wrong.
+        /// Error of the log or the fold.
         source: CatchUpError,
     },
-    /// The version does not wait.
-    #[snafu(display("no version {version} waits to be rolled; `sparscale bundle status` lists those that do"))]
+    /// The version is not pending.
+    #[snafu(display("version {version} is not pending; `sparscale bundle status` lists the pending versions"))]
     NoProposal {
-        /// The version that was named.
+        /// Version given on the command line.
         version: u64,
     },
-    /// The arguments do not fit together.
+    /// Arguments are missing.
     #[snafu(display("{message}"))]
     Usage {
-        /// What is missing.
+        /// Missing arguments.
         message: String,
     },
 }
--- a/crates/sparscale_cli/src/explain.rs
+++ b/crates/sparscale_cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `sparscale explain`: the decision lines about one request, from log files or standard input, in time order.
+//! `sparscale explain`: shows the log lines about one request, from log files or standard input, in time order.
 
 use std::fs;
 use std::io::Read as _;
@@ -12,7 +12,7 @@
 
 /// One line of the structured log.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     timestamp: String,
     message: String,
     #[serde(default)]
@@ -29,19 +29,19 @@
 
 /// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
-/// Fields that name the request that a line is about.
+/// Log keys whose values identify the request of a line.
 const ID_FIELDS: [&str; 2] = ["attempt", "request"];
 
-/// Finds all lines about the request or attempt `id` in `files`.
+/// Reports all log lines about the request or attempt `id` in `files`.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<Report, Error> {
     let mut decisions = Vec::new();
     for path in files {
         let text = read(path)?;
-        decisions.extend(text.lines().filter_map(|line| decision(line, id, path)));
+        decisions.extend(text.lines().filter_map(|line| parse_decision(line, id, path)));
     }
     decisions.sort_by(|left, right| left.timestamp.cmp(&right.timestamp));
     if decisions.is_empty() {
-        let text = format!("no line about {id}; give the log files of all entries and agents");
+        let text = format!("no log line mentions {id}; pass the log files of all entries and agents");
         return Ok(Report::new(Exit::Refused, text, &decisions));
     }
     let lines: Vec<String> = decisions.iter().map(Decision::text).collect();
@@ -57,19 +57,19 @@
     Ok(text)
 }
 
-/// A line that is about `id`. What a collector of logs put before the line's own text is passed over.
-fn decision(line: &str, id: &str, path: &Path) -> Option<Decision> {
-    let begin = line.find('{')?;
-    let line: Line = serde_json::from_str(&line[begin..]).ok()?;
-    let mut ids = ID_FIELDS.iter().filter_map(|field| line.kvs.get(*field)?.as_str());
-    if !ids.any(|named| named == id) {
+/// Parses `line` if it is about `id`; text that a log collector put before the JSON object is skipped.
+fn parse_decision(line: &str, id: &str, path: &Path) -> Option<Decision> {
+    let json_start = line.find('{')?;
+    let log_line: LogLine = serde_json::from_str(&line[json_start..]).ok()?;
+    let mut ids = ID_FIELDS.iter().filter_map(|field| log_line.kvs.get(*field)?.as_str());
+    if !ids.any(|logged_id| logged_id == id) {
         return None;
     }
     Some(Decision {
-        timestamp: line.timestamp,
+        timestamp: log_line.timestamp,
         file: path.display().to_string(),
-        message: line.message,
-        fields: line.kvs,
+        message: log_line.message,
+        fields: log_line.kvs,
     })
 }
 
--- a/crates/sparscale_cli/src/key.rs
+++ b/crates/sparscale_cli/src/key.rs
@@ -1,4 +1,4 @@
-//! `sparscale key …`: operators' keys and callers' key hashes.
+//! `sparscale key …`: generates operator keys and hashes caller keys.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -13,30 +13,34 @@
 use crate::report::{Exit, Report};
 
 #[derive(Serialize)]
-struct NewKey {
+struct NewKeyReport {
     public_key: String,
 }
 
 #[derive(Serialize)]
-struct Hashed {
+struct KeyHashReport {
     key_hash: KeyHash,
 }
 
-/// Writes a new secret key to `path`, readable by its owner alone, and prints the public key.
+/// Writes a new secret key to `path`, readable only by its owner, and reports the public key.
 pub(crate) fn new(path: &Path) -> Result<Report, Error> {
     let key = sign::new_key();
     let mut options = OpenOptions::new();
-    // An existing key is never overwritten.
+    // `create_new` prevents that an existing key is overwritten.
     options.write(true).create_new(true).mode(0o600);
     let mut file = options.open(path).context(WriteSnafu { path })?;
     writeln!(file, "{}", hex::encode(key.to_bytes())).context(WriteSnafu { path })?;
     let public_key = sign::public_text(&key);
-    Ok(Report::new(Exit::Success, public_key.clone(), &NewKey { public_key }))
+    Ok(Report::new(
+        Exit::Success,
+        public_key.clone(),
+        &NewKeyReport { public_key },
+    ))
 }
 
-/// Prints the hash of a caller's key, as a bundle lists it.
+/// Reports the hash of a caller's key in the form that a bundle lists.
 pub(crate) fn hash(key: &str) -> Report {
     let key_hash = KeyHash::of(key);
     let text = hex::encode(key_hash.as_bytes());
-    Report::new(Exit::Success, text, &Hashed { key_hash })
+    Report::new(Exit::Success, text, &KeyHashReport { key_hash })
 }
--- a/crates/sparscale_cli/src/lib.rs
+++ b/crates/sparscale_cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' program: bundles from a file to in force, and answers to "why".
+//! The operators' command line: publishes and activates bundles, manages keys, and explains decisions about requests.
 
 mod bundle;
 mod command;
--- a/crates/sparscale_cli/src/main.rs
+++ b/crates/sparscale_cli/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one operators' command.
+//! Entry point of the `sparscale` command.
 
 use std::process::ExitCode;
 
--- a/crates/sparscale_cli/src/operator.rs
+++ b/crates/sparscale_cli/src/operator.rs
@@ -1,4 +1,4 @@
-//! Settings of an operator's shell.
+//! Settings of an operator, and access to the log and the signing key that they name.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 use crate::error::{Error, KeySnafu, ReadSnafu};
 
-/// Time that one call of the log may take.
+/// Timeout of one call to the log.
 const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The settings file as written.
@@ -25,11 +25,11 @@
     log: String,
     /// Name of this operator.
     operator: String,
-    /// File with this operator's secret key.
+    /// Path of the file with this operator's secret key.
     key_file: PathBuf,
-    /// Operators who may sign the first bundle, as in the settings of every process.
+    /// Operators who may sign the first bundle; the same list as in the settings of every process.
     operators: Vec<Operator>,
-    /// Seconds for which an append is tried.
+    /// Time for which an append is attempted, in seconds.
     patience_seconds: u64,
 }
 
@@ -47,17 +47,17 @@
         if !self.log.starts_with("http://") {
             problems.push(Problem::new(
                 "log",
-                "is no http:// URL",
-                "write for example http://10.0.0.1:7000",
+                "is not an http:// URL",
+                "use a URL such as http://10.0.0.1:7000",
             ));
         }
         for operator in &self.operators {
             if sign::public_key(&operator.key).is_none() {
-                let mend = "paste the 64 digits that `sparscale key new` prints";
+                let remedy = "paste the 64 hexadecimal digits that `sparscale key new` prints";
                 problems.push(Problem::new(
                     format!("operators[{}].key", operator.name),
-                    "is no ed25519 key",
-                    mend,
+                    "is not an ed25519 public key",
+                    remedy,
                 ));
             }
         }
@@ -65,7 +65,7 @@
             problems.push(Problem::new(
                 "operators",
                 "has fewer than two entries",
-                "approval needs a second operator",
+                "add a second operator; approval requires one",
             ));
         }
         if !(1..=600).contains(&self.patience_seconds) {
@@ -88,24 +88,24 @@
         &self.raw.operator
     }
 
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn submit_timeout(&self) -> Duration {
         Duration::from_secs(self.raw.patience_seconds)
     }
 
-    /// A writer that has folded the log to its head.
+    /// Creates a writer that has folded the log up to its end.
     pub(crate) async fn writer(&self) -> Result<Writer, Error> {
         let mut writer = self.fresh_writer();
         writer.catch_up().await?;
         Ok(writer)
     }
 
-    /// A writer that has folded nothing yet.
+    /// Creates a writer that has not folded any record.
     pub(crate) fn fresh_writer(&self) -> Writer {
         let log = Arc::new(HttpLog::new(&self.raw.log, LOG_TIMEOUT));
         Writer::new(log, Reader::new(self.raw.operators.clone()))
     }
 
-    /// Signs as this operator.
+    /// Signs a statement with the key of this operator.
     pub(crate) fn sign(&self, act: Act, version: u64, base: u64, hash: Hash) -> Result<Signature, Error> {
         let path = &self.raw.key_file;
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
--- a/crates/sparscale_cli/src/report.rs
+++ b/crates/sparscale_cli/src/report.rs
@@ -1,21 +1,21 @@
-//! Results as operators and pipelines see them.
+//! Results of commands: text for operators, JSON and exit codes for scripts.
 
 use std::process::ExitCode;
 
 use serde::Serialize;
 
-/// Exit codes that a pipeline can tell apart.
+/// Result categories of a command; each has its own exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Success,
-    /// The log has the record and the fold refused it.
+    /// The request was rejected, in general by the fold after the record was appended.
     Refused,
-    /// Nobody can tell yet whether the record took effect.
+    /// It is not known yet whether the record took effect.
     Unknown,
-    /// The log did not take the record.
+    /// The log does not have the record, or could not be read.
     NotAppended,
-    /// The input is wrong; nothing was sent.
+    /// The input is invalid; no record was sent.
     Input,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A result with its text for people.
+/// Result of a command as exit category, text and JSON.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub(crate) exit: Exit,
@@ -44,12 +44,12 @@
         Self {
             exit,
             text: text.into(),
-            // A value that cannot be shown as JSON is shown as none; the text still tells.
+            // A value that cannot be converted becomes `null`; the text still shows the result.
             json: serde_json::to_value(value).unwrap_or_default(),
         }
     }
 
-    /// Prints the result: text, or one line of JSON.
+    /// Prints the result as text or as one line of JSON.
     pub(crate) fn print(&self, as_json: bool) -> Exit {
         if as_json {
             println!("{}", self.json);
--- a/crates/sparscale_cli/src/settings.rs
+++ b/crates/sparscale_cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! `sparscale settings check`: checks a settings file without starting anything.
+//! `sparscale settings check`: checks a settings file without starting the program.
 
 use std::path::Path;
 
@@ -9,11 +9,11 @@
 use crate::report::{Exit, Report};
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     result: &'static str,
 }
 
-/// Checks the settings file of `program` at `path`.
+/// Checks the settings file at `path` as the program `program` would.
 pub(crate) fn check(program: &str, path: &Path) -> Result<Report, Error> {
     match program {
         "entry" => drop(sparscale_settings::load::<sparscale_entry::Raw>(path)?),
@@ -21,5 +21,5 @@
         _ => drop(sparscale_settings::load::<operator::Raw>(path)?),
     }
     let text = format!("{}: valid settings of {program}", path.display());
-    Ok(Report::new(Exit::Success, text, &Checked { result: "valid" }))
+    Ok(Report::new(Exit::Success, text, &CheckReport { result: "valid" }))
 }
--- a/crates/sparscale_cli/tests/explain_request.rs
+++ b/crates/sparscale_cli/tests/explain_request.rs
@@ -1,4 +1,4 @@
-//! `sparscale explain` finds the lines of one request, wherever a collector of logs has put them.
+//! `sparscale explain` finds the lines about one request, also behind the prefix that a log collector adds.
 
 use std::io::Write as _;
 use std::process::{Command, Output, Stdio};
@@ -18,18 +18,20 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program");
-    let mut input = program.stdin.take().expect("a pipe");
-    input.write_all(LOG.as_bytes()).expect("a reader");
+        .expect("the program starts");
+    let mut input = program.stdin.take().expect("standard input is a pipe");
+    input
+        .write_all(LOG.as_bytes())
+        .expect("the program reads standard input");
     drop(input);
-    program.wait_with_output().expect("an end")
+    program.wait_with_output().expect("the program ends")
 }
 
 #[test]
-fn story_in_order() {
+fn decisions_are_in_time_order() {
     let output = explain("9c41");
     assert!(output.status.success());
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("output is UTF-8");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
     assert!(lines[0].contains("handed on"), "{text}");
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn unknown_request() {
+fn unknown_request_fails() {
     let output = explain("0000");
     assert!(!output.status.success());
 }
--- a/crates/sparscale_control/src/boxes.rs
+++ b/crates/sparscale_control/src/boxes.rs
@@ -1,4 +1,6 @@
-//! The platform's list of live and leaving boxes. It lags, so it is only ever a hint.
+//! Reads the platform's list of live and leaving boxes.
+//!
+//! The list lags behind, so callers must treat it as a hint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,89 +19,89 @@
 
 use crate::topology::Node;
 
-/// Longest list that is read, in bytes.
-const MAX_LIST: usize = 16 << 20;
-/// Time that one read may take.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of the list.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// Timeout of one read.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a box runs.
+/// Process that a box runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes requests from callers.
+    /// An entry, which takes requests from callers.
     Entry,
-    /// Runs a target, with an agent beside it.
+    /// A target with its agent.
     Target,
 }
 
-/// Whether a box stays.
+/// Whether a box is about to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It stays.
+    /// In service, without a planned removal.
     Live,
-    /// It will be taken away soon.
+    /// About to be removed.
     Leaving,
 }
 
-/// One box of the list.
+/// One box in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct Listed {
+pub struct ListedBox {
     /// Name of the target, or of the entry.
     pub name: String,
-    /// What it runs.
+    /// Process that the box runs.
     pub role: Role,
-    /// Hall that it stands in.
+    /// Hall of the box.
     pub hall: String,
-    /// Address of the system's process there.
+    /// Address of the sparscale process on the box.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Whether the box is about to be removed.
     pub standing: Standing,
 }
 
-/// The list as last read.
+/// The box list as last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 pub struct Listing {
-    /// All boxes.
-    pub boxes: Vec<Listed>,
+    /// All boxes of the platform.
+    pub boxes: Vec<ListedBox>,
 }
 
-/// A list that cannot be read; what was read before stays in use.
+/// The box list cannot be read; the previous list remains in use.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("the box list cannot be read: {message}"))]
+#[snafu(display("box list cannot be read: {message}"))]
 pub struct Error {
     message: String,
 }
 
-/// The platform's list.
+/// Source of the box list.
 #[async_trait]
 pub trait Boxes: Send + Sync + 'static {
-    /// Reads the list; none if it has not changed since the last read.
+    /// Reads the list; returns `None` if it has not changed since the last read.
     async fn read(&mut self) -> Result<Option<Listing>, Error>;
 }
 
-/// A list that speaks HTTP, with conditional requests so that an unchanged list costs a few bytes.
+/// Reads the box list over HTTP, with conditional requests so that an unchanged list is not transferred again.
 #[derive(Debug)]
 pub struct HttpBoxes {
     client: Client<HttpConnector, Empty<Bytes>>,
     address: String,
-    tag: Option<http::HeaderValue>,
+    etag: Option<http::HeaderValue>,
 }
 
 impl HttpBoxes {
-    /// A client of the list at `base`, for example `http://127.0.0.1:7001`.
+    /// Creates a client of the list at `base`, for example `http://127.0.0.1:7001`.
     pub fn new(base: &str) -> Self {
         Self {
             client: Client::builder(TokioExecutor::new()).build_http(),
             address: format!("{}/v1/boxes", base.trim_end_matches('/')),
-            tag: None,
+            etag: None,
         }
     }
 
     async fn exchange(&mut self) -> Result<Option<Listing>, Error> {
         let mut request = http::Request::get(&self.address);
-        if let Some(tag) = &self.tag {
-            request = request.header(header::IF_NONE_MATCH, tag);
+        if let Some(etag) = &self.etag {
+            request = request.header(header::IF_NONE_MATCH, etag);
         }
         let request = request.body(Empty::new()).map_err(error)?;
         let response = self.client.request(request).await.map_err(error)?;
@@ -109,13 +111,13 @@
         if !response.status().is_success() {
             return Err(error(response.status()));
         }
-        let tag = response.headers().get(header::ETAG).cloned();
-        let body = Limited::new(response.into_body(), MAX_LIST)
+        let etag = response.headers().get(header::ETAG).cloned();
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
             .collect()
             .await
             .map_err(error)?;
         let listing = serde_json::from_slice(&body.to_bytes()).map_err(error)?;
-        self.tag = tag;
+        self.etag = etag;
         Ok(Some(listing))
     }
 }
@@ -123,8 +125,8 @@
 #[async_trait]
 impl Boxes for HttpBoxes {
     async fn read(&mut self) -> Result<Option<Listing>, Error> {
-        let read = tokio::time::timeout(TIMEOUT, self.exchange()).await;
-        read.map_err(|_elapsed| error("it took too long"))?
+        let read = tokio::time::timeout(READ_TIMEOUT, self.exchange()).await;
+        read.map_err(|_elapsed| error("timed out"))?
     }
 }
 
@@ -135,14 +137,14 @@
 }
 
 impl Listing {
-    /// The processes of the system on boxes that stay.
+    /// Returns the sparscale processes on live boxes.
     pub fn live(&self) -> Vec<Node> {
         let live = self.boxes.iter().filter(|listed| listed.standing == Standing::Live);
-        live.map(Listed::node).collect()
+        live.map(ListedBox::node).collect()
     }
 }
 
-impl Listed {
+impl ListedBox {
     fn node(&self) -> Node {
         Node {
             name: self.name.clone(),
@@ -156,7 +158,7 @@
     }
 }
 
-/// Reads `boxes` every `interval` and shows each change in the returned channel, for as long as somebody looks.
+/// Reads `boxes` every `interval` and publishes each change in the returned channel until all receivers are dropped.
 pub fn watch_boxes(mut boxes: Box<dyn Boxes>, interval: Duration) -> watch::Receiver<Arc<Listing>> {
     let (sender, receiver) = watch::channel(Arc::default());
     tokio::spawn(async move {
@@ -166,7 +168,9 @@
                     sender.send_replace(Arc::new(listing));
                 }
                 Ok(None) => {}
-                Err(error) => log::warn!(error = error.to_string().as_str(); "the last known box list stays in use"),
+                Err(error) => {
+                    log::warn!(error = error.to_string().as_str(); "box list cannot be read; the previous list remains in use")
+                }
             }
             tokio::time::sleep(interval).await;
         }
--- a/crates/sparscale_control/src/follower.rs
+++ b/crates/sparscale_control/src/follower.rs
@@ -1,4 +1,6 @@
-//! Follows the log from the best source that answers, and never goes back.
+//! Keeps a [`Journal`] current from the best available source: the log or a peer.
+//!
+//! A source that fails or falls behind is replaced by the next one; records that were folded are never undone.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,38 +18,38 @@
 use crate::journal::Journal;
 use crate::topology::{self, Source};
 
-/// Records asked for in one read.
-const READ_LIMIT: usize = 1_000;
-/// Time that a read waits at the log for something new.
-const LONG_POLL: Duration = Duration::from_secs(5);
-/// A peer that is silent for longer is left.
-const PEER_SILENCE: Duration = Duration::from_secs(5);
-/// A source that has not heard from the log for longer is left for a better one.
-const STALE: Duration = Duration::from_secs(6);
-/// Time after which a source that is not the best one is left, to try the best one again.
-const SECOND_BEST: Duration = Duration::from_secs(5);
-/// Pause after all sources failed, doubled up to [`MAX_PAUSE`], with jitter.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(2);
-/// Longest folded state that is taken from a peer, in bytes.
-const MAX_IMAGE: usize = 64 << 20;
-/// Time that the append of a snapshot may take.
+/// Maximum number of records per read.
+const MAX_READ_RECORDS: usize = 1_000;
+/// Time for which a read waits at the log for new records.
+const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
+/// Time without a message after which a peer is abandoned.
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time without contact to the log after which a peer is abandoned.
+const MAX_LOG_AGE: Duration = Duration::from_secs(6);
+/// Time after which a fallback source is abandoned so that the best source is attempted again.
+const FALLBACK_DURATION: Duration = Duration::from_secs(5);
+/// Delay before the sources are attempted again, with jitter; doubled up to [`MAX_RETRY_DELAY`] while no record arrives.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Maximum size of a folded state received from a peer.
+const MAX_IMAGE_BYTES: usize = 64 << 20;
+/// Timeout of the append of a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings of a follower.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this process in the live list.
+    /// Name of this process in the box list.
     pub name: String,
-    /// Hall that this process stands in.
+    /// Hall of this process.
     pub hall: String,
-    /// Records after which the state is appended again; well below the log's retention.
+    /// Number of records between two snapshots; must be well below the log's retention.
     pub snapshot_every: u64,
 }
 
-/// Why a source was left.
+/// Reason why a source was abandoned.
 #[derive(Debug, Snafu)]
-enum Left {
+enum EndReason {
     #[snafu(display("{source}"), context(false))]
     Log { source: LogError },
     #[snafu(display("{source}"), context(false))]
@@ -56,14 +58,14 @@
     Connect { source: EndpointError },
     #[snafu(display("{source}"), context(false))]
     Stream { source: StreamError },
-    #[snafu(display("the peer is silent"))]
-    Silent,
-    #[snafu(display("the peer has not heard from the log for {age_ms} ms"))]
-    Stale { age_ms: u64 },
-    #[snafu(display("the image is longer than {MAX_IMAGE} bytes"))]
-    LongImage,
-    #[snafu(display("a better source may answer again"))]
-    SecondBest,
+    #[snafu(display("peer is unresponsive"))]
+    PeerTimeout,
+    #[snafu(display("last contact of the peer with the log was {age_ms} ms ago"))]
+    StalePeer { age_ms: u64 },
+    #[snafu(display("image of the peer exceeds {MAX_IMAGE_BYTES} bytes"))]
+    ImageTooLarge,
+    #[snafu(display("a preferred source may be available again"))]
+    FallbackExpired,
 }
 
 /// Keeps a [`Journal`] up to date.
@@ -77,7 +79,7 @@
 }
 
 impl Follower {
-    /// A follower that feeds `journal`.
+    /// Creates a follower that keeps `journal` current.
     pub fn new(
         settings: Settings,
         journal: Arc<Journal>,
@@ -93,22 +95,26 @@
         }
     }
 
-    /// Follows until the task is dropped.
+    /// Follows the sources until the task is dropped.
     pub async fn run(self) {
-        let mut pause = FIRST_PAUSE;
+        let mut delay = INITIAL_RETRY_DELAY;
         loop {
-            let before = self.journal.head();
+            let old_head = self.journal.head();
             for (index, source) in self.sources().into_iter().enumerate() {
-                let left = self.follow(source, index).await;
-                log::info!(source:? = source, left = left.to_string().as_str(), head = self.journal.head(); "left a source");
-                if matches!(left, Left::SecondBest) {
+                let reason = self.follow(source, index).await;
+                log::info!(source:? = source, left = reason.to_string().as_str(), head = self.journal.head(); "abandoned a source of log records");
+                if matches!(reason, EndReason::FallbackExpired) {
                     break;
                 }
             }
-            let moved = self.journal.head() > before;
-            pause = if moved { FIRST_PAUSE } else { (pause * 2).min(MAX_PAUSE) };
+            let has_advanced = self.journal.head() > old_head;
+            delay = if has_advanced {
+                INITIAL_RETRY_DELAY
+            } else {
+                (delay * 2).min(MAX_RETRY_DELAY)
+            };
             let jitter = rand::rng().random_range(0.5..1.0);
-            tokio::time::sleep(pause.mul_f64(jitter)).await;
+            tokio::time::sleep(delay.mul_f64(jitter)).await;
         }
     }
 
@@ -117,41 +123,41 @@
         topology::sources(&self.settings.name, &self.settings.hall, &live)
     }
 
-    async fn follow(&self, source: Source, index: usize) -> Left {
-        let until = (index > 0).then(|| Instant::now() + SECOND_BEST);
-        let followed = match source {
-            Source::Log => self.follow_log(until).await,
+    async fn follow(&self, source: Source, index: usize) -> EndReason {
+        let deadline = (index > 0).then(|| Instant::now() + FALLBACK_DURATION);
+        let result = match source {
+            Source::Log => self.follow_log(deadline).await,
             Source::Peer { address, role } => match self.endpoint.open(address, role).await {
-                Ok(channel) => self.follow_peer(channel, until).await,
+                Ok(channel) => self.follow_peer(channel, deadline).await,
                 Err(error) => Err(error.into()),
             },
         };
-        match followed {
-            Ok(()) => Left::SecondBest,
-            Err(left) => left,
+        match result {
+            Ok(()) => EndReason::FallbackExpired,
+            Err(reason) => reason,
         }
     }
 
-    async fn follow_log(&self, until: Option<Instant>) -> Result<(), Left> {
-        while !has_passed(until) {
+    async fn follow_log(&self, deadline: Option<Instant>) -> Result<(), EndReason> {
+        while !has_passed(deadline) {
             let from = self.journal.head();
             let wait = if self.journal.has_caught_up() {
-                LONG_POLL
+                LONG_POLL_WAIT
             } else {
                 Duration::ZERO
             };
-            let batch = self.journal.log().read(from, READ_LIMIT, wait).await?;
+            let batch = self.journal.log().read(from, MAX_READ_RECORDS, wait).await?;
             self.journal.fold(&batch)?;
             self.check_log_end(batch.next);
             if self.journal.head() >= batch.next {
-                self.journal.heard_from_log(Duration::ZERO);
+                self.journal.record_log_contact(Duration::ZERO);
                 self.snapshot_if_due();
             }
         }
         Ok(())
     }
 
-    async fn follow_peer(&self, mut channel: Channel, until: Option<Instant>) -> Result<(), Left> {
+    async fn follow_peer(&self, mut channel: Channel, deadline: Option<Instant>) -> Result<(), EndReason> {
         let version = self
             .journal
             .in_force()
@@ -159,16 +165,16 @@
         let head = self.journal.head();
         channel.sender.send(&Frame::Ask(Ask::Follow { head, version })).await?;
         let mut image = Vec::new();
-        while !has_passed(until) {
-            let frame = tokio::time::timeout(PEER_SILENCE, channel.receiver.receive()).await;
-            let frame = frame.map_err(|_elapsed| Left::Silent)??;
+        while !has_passed(deadline) {
+            let frame = tokio::time::timeout(PEER_TIMEOUT, channel.receiver.receive()).await;
+            let frame = frame.map_err(|_elapsed| EndReason::PeerTimeout)??;
             match frame {
                 Frame::Relayed(Relayed::Records { first, records }) => self.fold_relayed(first, records)?,
-                Frame::Relayed(Relayed::Idle { age_ms, .. }) => self.note_age(age_ms)?,
+                Frame::Relayed(Relayed::Idle { age_ms, .. }) => self.record_log_age(age_ms)?,
                 Frame::Relayed(Relayed::Image { part, last }) => {
                     image.extend_from_slice(&part);
-                    if image.len() > MAX_IMAGE {
-                        return LongImageSnafu.fail();
+                    if image.len() > MAX_IMAGE_BYTES {
+                        return ImageTooLargeSnafu.fail();
                     }
                     if last {
                         self.adopt(&std::mem::take(&mut image))?;
@@ -180,19 +186,19 @@
         Ok(())
     }
 
-    fn adopt(&self, image: &[u8]) -> Result<(), Left> {
+    fn adopt(&self, image: &[u8]) -> Result<(), EndReason> {
         match self.journal.adopt(image) {
-            // Another source was faster; the records that follow still fit.
+            // Another source has delivered newer records; the records that follow the image still apply.
             Err(ReaderError::Older { .. }) => Ok(()),
             adopted => Ok(adopted?),
         }
     }
 
-    fn fold_relayed(&self, first: u64, records: Vec<bytes::Bytes>) -> Result<(), Left> {
+    fn fold_relayed(&self, first: u64, records: Vec<bytes::Bytes>) -> Result<(), EndReason> {
         let next = first + records.len() as u64;
         let numbered = (first..next).zip(records);
         let batch = Batch {
-            // The peer has everything from here on; an older head is a peer's mistake and shows as a hole.
+            // The peer has all records from `first`; if `first` is above the head, the fold stops at the gap.
             earliest: 0,
             next,
             entries: numbered.map(|(offset, data)| Entry { offset, data }).collect(),
@@ -200,65 +206,65 @@
         Ok(self.journal.fold(&batch)?)
     }
 
-    fn note_age(&self, age_ms: u64) -> Result<(), Left> {
+    fn record_log_age(&self, age_ms: u64) -> Result<(), EndReason> {
         let age = Duration::from_millis(age_ms);
-        if age > STALE {
-            return StaleSnafu { age_ms }.fail();
+        if age > MAX_LOG_AGE {
+            return StalePeerSnafu { age_ms }.fail();
         }
-        self.journal.heard_from_log(age);
+        self.journal.record_log_contact(age);
         Ok(())
     }
 
-    /// Appends the state again when enough records have come since the last snapshot.
+    /// Appends a snapshot of the state when enough records follow the last one.
     ///
-    /// Whoever reads the log may do it; a random head start keeps them from doing it together.
+    /// Every process that reads the log may do so; a random margin keeps them from appending at the same time.
     fn snapshot_if_due(&self) {
-        let since = self.journal.with_state(|state| state.head() - state.snapshot_at());
-        if since < self.settings.snapshot_every {
+        let records_since = self.journal.with_state(|state| state.head() - state.snapshot_head());
+        if records_since < self.settings.snapshot_every {
             return;
         }
-        let overdue = since - self.settings.snapshot_every;
-        let patience = rand::rng().random_range(0..=self.settings.snapshot_every / 8);
-        if overdue < patience {
+        let overdue = records_since - self.settings.snapshot_every;
+        let margin = rand::rng().random_range(0..=self.settings.snapshot_every / 8);
+        if overdue < margin {
             return;
         }
         if self.appending_snapshot.swap(true, Ordering::Relaxed) {
             return;
         }
-        // The verdict arrives through this very follower, so the append goes on beside it.
+        // This follower delivers the verdict on the append, so the append must not block it.
         tokio::spawn(append_snapshot(
             Arc::clone(&self.journal),
             Arc::clone(&self.appending_snapshot),
         ));
     }
 
-    /// A log that ends before this process's head has lost records; what was folded stays in force.
+    /// Raises an alarm if the log ends before this process's head and so has lost records; the folded state is kept.
     fn check_log_end(&self, next: u64) {
         let head = self.journal.head();
         if next < head {
-            log::error!(target: ALARM, alarm = "log_went_back", head, next; "the log ends before what it held earlier");
+            log::error!(target: ALARM, alarm = "log_went_back", head, next; "log has lost records that this process has folded; the folded state is kept");
         }
     }
 }
 
 async fn append_snapshot(journal: Arc<Journal>, appending: Arc<AtomicBool>) {
     let (chain, image) = journal.with_state(|state| (state.chain(), state.image()));
-    let at = image.head();
+    let head = image.head();
     let snapshot = Snapshot {
-        at,
+        head,
         chain,
         image: image.encode(),
     };
-    let submitted = journal.submit(Body::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
+    let result = journal.submit(Body::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
     appending.store(false, Ordering::Relaxed);
-    match submitted {
-        Ok(_) => log::info!(at; "appended the folded state"),
+    match result {
+        Ok(_) => log::info!(at = head; "appended a snapshot of the folded state"),
         Err(error) => {
-            log::error!(target: ALARM, alarm = "snapshot_failed", at, error = error.to_string().as_str(); "the state could not be appended again");
+            log::error!(target: ALARM, alarm = "snapshot_failed", at = head, error = error.to_string().as_str(); "snapshot of the folded state could not be appended");
         }
     }
 }
 
-fn has_passed(until: Option<Instant>) -> bool {
-    until.is_some_and(|until| Instant::now() >= until)
+fn has_passed(deadline: Option<Instant>) -> bool {
+    deadline.is_some_and(|deadline| Instant::now() >= deadline)
 }
--- a/crates/sparscale_control/src/journal.rs
+++ b/crates/sparscale_control/src/journal.rs
@@ -1,4 +1,4 @@
-//! The log as one process knows it: the folded state, a short memory of records for peers, and appends.
+//! The log as one process knows it: the folded state, recent records for peers, and appends.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError, RwLock};
@@ -8,39 +8,39 @@
 use snafu::{ResultExt as _, Snafu};
 use sparscale_bundle::Operator;
 use sparscale_journal::{
-    Alarm, Batch, Body, Budget, Certificate, Entry, Id, Image, Kind, Log, LogError, Outcome, Reader, ReaderError,
-    Receipt, Record, State, without_image,
+    Alarm, Batch, Body, Budget, Certificate, Entry, Image, Log, LogError, Outcome, Reader, ReaderError, Receipt,
+    Record, RecordId, RecordKind, State, without_image,
 };
 use sparscale_telemetry::ALARM;
 use sparscale_wire::Relayed;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Records that a process keeps for peers that lag behind; a peer further back gets the folded state.
-const RELAY_RECORDS: usize = 512;
-/// Bytes of such records.
-const RELAY_BYTES: usize = 1 << 20;
-/// Pause before an append is tried again, doubled up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum number of records kept for peers that lag behind; a peer further behind receives the folded state.
+const MAX_RELAY_RECORDS: usize = 512;
+/// Maximum total size of the records kept for peers.
+const MAX_RELAY_BYTES: usize = 1 << 20;
+/// Delay before the first retry of an append, doubled for each further one up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a record was not judged.
+/// A submitted record that has no verdict.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SubmitError {
-    /// The fleet has used up its appends of this kind.
-    #[snafu(display("the append budget is used up; come back in {} ms", retry_after.as_millis()))]
+    /// The fleet has reached the append limit for records of this kind.
+    #[snafu(display("append limit for this kind of record is reached; retry in {} ms", retry_after.as_millis()))]
     Budget {
-        /// When to come back.
+        /// Delay after which to retry.
         retry_after: Duration,
     },
-    /// The log never took the record.
-    #[snafu(display("the log did not take the record: {source}"))]
+    /// The log does not have the record.
+    #[snafu(display("record was not appended to the log: {source}"))]
     NotAppended {
-        /// What it said.
+        /// Error of the log.
         source: LogError,
     },
-    /// The record may or may not be in the log.
-    #[snafu(display("no proof within the deadline that the record is in the log, or is not"))]
+    /// The timeout passed before it was known whether the log has the record.
+    #[snafu(display("timed out before it was known whether the record is in the log"))]
     Unknown,
 }
 
@@ -48,18 +48,18 @@
 pub struct Journal {
     log: Arc<dyn Log>,
     reader: RwLock<Reader>,
-    relay: Mutex<Relay>,
-    waiters: Mutex<HashMap<Id, oneshot::Sender<Receipt>>>,
+    relay: Mutex<RelayBuffer>,
+    waiters: Mutex<HashMap<RecordId, oneshot::Sender<Receipt>>>,
     budget: Mutex<Budget>,
     heads: watch::Sender<u64>,
-    heard: Mutex<Option<Instant>>,
-    /// End of the log when this process first asked.
-    first_end: OnceLock<u64>,
-    started: Instant,
+    last_log_contact: Mutex<Option<Instant>>,
+    /// End of the log when this process first queried it.
+    initial_log_end: OnceLock<u64>,
+    started_at: Instant,
 }
 
 #[derive(Debug, Default)]
-struct Relay {
+struct RelayBuffer {
     entries: VecDeque<Entry>,
     bytes: usize,
 }
@@ -73,117 +73,118 @@
 }
 
 impl Journal {
-    /// A journal that has seen nothing yet; `genesis` may sign the first bundle.
-    pub fn new(log: Arc<dyn Log>, genesis: Vec<Operator>) -> Self {
+    /// Creates an empty journal; `initial_operators` may sign the first bundle.
+    pub fn new(log: Arc<dyn Log>, initial_operators: Vec<Operator>) -> Self {
         let (heads, _) = watch::channel(0);
         Self {
             log,
-            reader: RwLock::new(Reader::new(genesis)),
+            reader: RwLock::new(Reader::new(initial_operators)),
             relay: Mutex::default(),
             waiters: Mutex::default(),
             budget: Mutex::default(),
             heads,
-            heard: Mutex::default(),
-            first_end: OnceLock::new(),
-            started: Instant::now(),
+            last_log_contact: Mutex::default(),
+            initial_log_end: OnceLock::new(),
+            started_at: Instant::now(),
         }
     }
 
-    /// The platform's log itself.
+    /// Returns the client of the platform's log.
     pub fn log(&self) -> &Arc<dyn Log> {
         &self.log
     }
 
-    /// Looks at the folded state.
-    pub fn with_state<T>(&self, look: impl FnOnce(&State) -> T) -> T {
+    /// Calls `read` with the folded state.
+    pub fn with_state<T>(&self, read: impl FnOnce(&State) -> T) -> T {
         let reader = self.reader.read().unwrap_or_else(PoisonError::into_inner);
-        look(reader.state())
+        read(reader.state())
     }
 
-    /// The bundle in force.
+    /// Returns the certificate of the active bundle.
     pub fn in_force(&self) -> Option<Arc<Certificate>> {
         self.with_state(|state| state.in_force().cloned())
     }
 
-    /// Offset of the next record to fold.
+    /// Returns the offset of the next record to fold.
     pub fn head(&self) -> u64 {
         self.with_state(State::head)
     }
 
-    /// Shows each new head.
+    /// Subscribes to changes of the head.
     pub fn heads(&self) -> watch::Receiver<u64> {
         self.heads.subscribe()
     }
 
-    /// Time since the log was heard, directly or through peers.
-    pub fn age(&self) -> Duration {
-        let heard = lock(&self.heard).unwrap_or(self.started);
-        heard.elapsed()
+    /// Returns the time since the last contact with the log, directly or through peers.
+    pub fn log_age(&self) -> Duration {
+        let last_log_contact = lock(&self.last_log_contact).unwrap_or(self.started_at);
+        last_log_contact.elapsed()
     }
 
-    /// Whether the log was folded to its head at least once since this process started.
+    /// Returns whether this process has reached the end of the log at least once.
     pub fn has_caught_up(&self) -> bool {
-        lock(&self.heard).is_some()
+        lock(&self.last_log_contact).is_some()
     }
 
-    /// Whether everything that was in the log when this process first asked is folded here.
+    /// Returns whether all records that the log held when this process first queried it are folded.
     ///
-    /// Asks the log itself, once: what peers say of its head may be as old as a pause of theirs or of this process.
+    /// Queries the log itself, once: the head that peers report may be outdated by as long as they, or this process, were
+    /// frozen.
     pub async fn confirm_head(&self) -> bool {
-        let known = self.first_end.get().copied();
-        let end = match known {
+        let known_end = self.initial_log_end.get().copied();
+        let end = match known_end {
             Some(end) => end,
             None => match self.log.read(self.head(), 1, Duration::ZERO).await {
-                Ok(batch) => *self.first_end.get_or_init(|| batch.next),
+                Ok(batch) => *self.initial_log_end.get_or_init(|| batch.next),
                 Err(_) => return false,
             },
         };
         self.head() >= end
     }
 
-    pub(crate) fn heard_from_log(&self, age: Duration) {
+    pub(crate) fn record_log_contact(&self, age: Duration) {
         let at = Instant::now().checked_sub(age);
-        let mut heard = lock(&self.heard);
-        *heard = (*heard).max(at);
+        let mut last_log_contact = lock(&self.last_log_contact);
+        *last_log_contact = (*last_log_contact).max(at);
     }
 
-    /// Folds `batch` and wakes whoever waits for its records.
+    /// Folds `batch` and delivers the receipts of its records to the submitters that wait for them.
     pub(crate) fn fold(&self, batch: &Batch) -> Result<(), ReaderError> {
         let mut receipts = Vec::new();
-        let new = {
+        let new_entries = {
             let mut reader = self.reader.write().unwrap_or_else(PoisonError::into_inner);
-            let judged = |offset: u64, outcome: &Outcome| receipts.push((offset, outcome.clone()));
-            reader.fold(batch, judged, raise_alarm)?
+            let on_outcome = |offset: u64, outcome: &Outcome| receipts.push((offset, outcome.clone()));
+            reader.fold(batch, on_outcome, raise_alarm)?
         };
-        if new.is_empty() && batch.earliest <= self.head() {
+        if new_entries.is_empty() && batch.earliest <= self.head() {
             return Ok(());
         }
-        self.remember(new);
+        self.record_entries(new_entries);
         for (offset, outcome) in receipts {
-            self.wake(offset, outcome);
+            self.notify_waiter(offset, outcome);
         }
         self.heads.send_replace(self.head());
         Ok(())
     }
 
-    /// Takes over a peer's state.
+    /// Replaces the state with a peer's image if that is newer and trusted.
     pub(crate) fn adopt(&self, image: &[u8]) -> Result<(), ReaderError> {
         self.reader
             .write()
             .unwrap_or_else(PoisonError::into_inner)
             .adopt(image)?;
-        // Records kept for peers would leave a hole before the new head.
-        *lock(&self.relay) = Relay::default();
+        // The records kept for peers end before the new head and would leave a gap.
+        *lock(&self.relay) = RelayBuffer::default();
         self.heads.send_replace(self.head());
         Ok(())
     }
 
-    /// The folded state, encoded for a peer or a snapshot.
+    /// Returns an image of the folded state for a peer or a snapshot.
     pub(crate) fn image(&self) -> Image {
         self.with_state(State::image)
     }
 
-    /// Records from offset `head` on, if this process still has them all.
+    /// Returns the records from offset `head` on; `None` if some are no longer kept or there are none.
     pub(crate) fn records_from(&self, head: u64) -> Option<Relayed> {
         let relay = lock(&self.relay);
         let first = relay.entries.front()?.offset;
@@ -197,17 +198,17 @@
         (!records.is_empty()).then_some(Relayed::Records { first: head, records })
     }
 
-    /// Appends a record and waits until its verdict is known here.
+    /// Appends a record and waits until this process has folded it and knows its verdict.
     ///
-    /// The same record is appended again after a lost answer: the fold counts its id once.
+    /// After a lost response the same record is appended again; the fold applies its id only once.
     pub async fn submit(&self, body: Body, timeout: Duration) -> Result<Receipt, SubmitError> {
-        self.admit(Kind::of(&body))?;
+        self.admit(RecordKind::of(&body))?;
         let record = Record::new(body);
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiters).insert(record.id, sender);
-        let judged = tokio::time::timeout(timeout, self.append_until_judged(&record, receiver)).await;
+        let receipt = tokio::time::timeout(timeout, self.append_until_judged(&record, receiver)).await;
         lock(&self.waiters).remove(&record.id);
-        judged.unwrap_or(Err(SubmitError::Unknown))
+        receipt.unwrap_or(Err(SubmitError::Unknown))
     }
 
     async fn append_until_judged(
@@ -216,7 +217,7 @@
         mut receiver: oneshot::Receiver<Receipt>,
     ) -> Result<Receipt, SubmitError> {
         let data = Bytes::from(record.encode());
-        let mut pause = FIRST_PAUSE;
+        let mut delay = INITIAL_RETRY_DELAY;
         let mut maybe_appended = false;
         loop {
             match self.log.append(data.clone()).await {
@@ -226,31 +227,31 @@
                 }
                 Err(_) => maybe_appended = true,
             }
-            match tokio::time::timeout(pause, &mut receiver).await {
+            match tokio::time::timeout(delay, &mut receiver).await {
                 Ok(receipt) => return receipt.map_err(|_dropped| SubmitError::Unknown),
-                Err(_elapsed) => pause = (pause * 2).min(MAX_PAUSE),
+                Err(_elapsed) => delay = (delay * 2).min(MAX_RETRY_DELAY),
             }
         }
     }
 
-    fn admit(&self, kind: Kind) -> Result<(), SubmitError> {
-        let now = self.started.elapsed();
+    fn admit(&self, kind: RecordKind) -> Result<(), SubmitError> {
+        let now = self.started_at.elapsed();
         let admitted = lock(&self.budget).admit(kind, now);
         admitted.map_err(|retry_after| SubmitError::Budget { retry_after })
     }
 
-    fn remember(&self, entries: Vec<Entry>) {
-        let now = self.started.elapsed();
+    fn record_entries(&self, entries: Vec<Entry>) {
+        let now = self.started_at.elapsed();
         let mut relay = lock(&self.relay);
         for entry in entries {
             if let Ok(record) = Record::decode(&entry.data) {
-                lock(&self.budget).note(Kind::of(&record.body), now);
+                lock(&self.budget).record(RecordKind::of(&record.body), now);
             }
             let entry = without_image(&entry);
             relay.bytes += entry.data.len();
             relay.entries.push_back(entry);
         }
-        while relay.entries.len() > RELAY_RECORDS || relay.bytes > RELAY_BYTES {
+        while relay.entries.len() > MAX_RELAY_RECORDS || relay.bytes > MAX_RELAY_BYTES {
             let Some(oldest) = relay.entries.pop_front() else {
                 return;
             };
@@ -258,12 +259,12 @@
         }
     }
 
-    fn wake(&self, offset: u64, outcome: Outcome) {
+    fn notify_waiter(&self, offset: u64, outcome: Outcome) {
         let waiter = outcome.id.and_then(|id| lock(&self.waiters).remove(&id));
         if let Some(waiter) = waiter {
             let verdict = outcome.verdict;
-            // Whoever waited may have given up.
-            let _gone = waiter.send(Receipt { offset, verdict });
+            // The submitter may have timed out and dropped the receiver.
+            let _dropped = waiter.send(Receipt { offset, verdict });
         }
     }
 }
@@ -275,10 +276,10 @@
 fn raise_alarm(alarm: Alarm) {
     match alarm {
         Alarm::Damaged { offset, message } => {
-            log::error!(target: ALARM, alarm = "record_damaged", offset, message = message.as_str(); "a record was skipped");
+            log::error!(target: ALARM, alarm = "record_damaged", offset, message = message.as_str(); "skipped a record that cannot be decoded");
         }
         Alarm::SnapshotDiffers { offset } => {
-            log::error!(target: ALARM, alarm = "snapshot_differs", offset; "a snapshot differs from this fold");
+            log::error!(target: ALARM, alarm = "snapshot_differs", offset; "chain digest of a snapshot differs from that of this process; the log may have been restored from an older copy");
         }
     }
 }
--- a/crates/sparscale_control/src/lib.rs
+++ b/crates/sparscale_control/src/lib.rs
@@ -1,7 +1,8 @@
-//! What every process does to know what the log says: follow it, directly or through peers, and relay it.
+//! Keeps the folded log current in every process: follows the log, directly or through peers, and relays its records.
 //!
-//! No role is fixed. A few processes in each hall read the log, chosen by rendezvous hash over the live list; the
-//! rest follow them in a tree. A wrong list costs time, never agreement: every process folds the same records.
+//! A few processes of each hall, chosen by a hash of their names in the box list, read the log; the others follow them
+//! in a tree, which bounds the load on the log. An outdated list delays records but cannot break agreement, because
+//! every process folds the same records.
 
 mod boxes;
 mod follower;
@@ -10,7 +11,7 @@
 mod relay;
 mod topology;
 
-pub use boxes::{Boxes, Error as BoxesError, HttpBoxes, Listed, Listing, Role, Standing, watch_boxes};
+pub use boxes::{Boxes, Error as BoxesError, HttpBoxes, ListedBox, Listing, Role, Standing, watch_boxes};
 pub use follower::{Follower, Settings};
 pub use journal::{Journal, SubmitError};
 pub use relay::serve as serve_follower;
--- a/crates/sparscale_control/src/process.rs
+++ b/crates/sparscale_control/src/process.rs
@@ -1,4 +1,4 @@
-//! The settings that every process has, and what it is built from: socket, journal, follower.
+//! Settings and parts that all processes share: socket, journal, follower and box list.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,78 +18,78 @@
 use crate::follower::{self, Follower};
 use crate::journal::Journal;
 
-/// Time that one call of the log may take.
+/// Timeout of one call to the log.
 const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of a settings file that all processes share, as written.
+/// Settings that all processes share, as written in the file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Raw {
     /// Name of this process in the box list.
     pub name: String,
-    /// Hall that it stands in.
+    /// Hall of this process.
     pub hall: String,
-    /// Address of its socket towards other processes, UDP.
+    /// UDP address of its socket for other processes.
     pub listen: SocketAddr,
-    /// PEM files of its certificate, its key and the authority that all processes trust.
+    /// PEM file with the certificate of this process.
     pub certificate: PathBuf,
-    /// See `certificate`.
+    /// PEM file with the private key of this process.
     pub key: PathBuf,
-    /// See `certificate`.
+    /// PEM file with the certificate authority that all processes trust.
     pub authority: PathBuf,
     /// Base URL of the platform's log.
     pub log: String,
     /// Base URL of the platform's box list.
     pub boxes: String,
-    /// Milliseconds between two reads of the box list.
+    /// Interval between two reads of the box list, in milliseconds.
     pub boxes_interval_ms: u64,
-    /// Operators who may sign the first bundle, and any bundle taken from a peer while the log is down.
+    /// Operators who may sign the first bundle, and the bundle in a peer's state while the log is unavailable.
     pub operators: Vec<Operator>,
-    /// Records after which the folded state is appended again.
+    /// Number of records between two snapshots of the folded state.
     pub snapshot_every: u64,
-    /// Address of a statsd server, UDP.
+    /// UDP address of a statsd server.
     pub metrics: Option<SocketAddr>,
 }
 
 /// Checked settings of a process.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The values as written.
+    /// The checked values.
     pub raw: Raw,
 }
 
-/// A process that cannot start.
+/// Reason why a process cannot start.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The socket or the certificates cannot be used.
     #[snafu(display("{source}"), context(false))]
     Endpoint {
-        /// What is wrong.
+        /// Error of the socket or the certificates.
         source: EndpointError,
     },
-    /// Metrics cannot be sent.
+    /// The metrics socket cannot be opened.
     #[snafu(
-        display("metrics: {source}; give a reachable UDP address or remove the key"),
+        display("metrics: {source}; set a reachable UDP address or remove the key"),
         context(false)
     )]
     Metrics {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What every process is built from.
+/// Parts that every process has.
 #[derive(Debug, Clone)]
 pub struct Process {
-    /// Socket towards other processes.
+    /// Socket for other processes.
     pub endpoint: Arc<Endpoint>,
     /// The log as this process knows it.
     pub journal: Arc<Journal>,
     /// The box list as last read.
     pub boxes: watch::Receiver<Arc<Listing>>,
-    /// Where counts and times go.
+    /// Sink for counts and times.
     pub metrics: Metrics,
-    /// Unique number of this run of the process; rises from run to run on one box.
+    /// Unique number of this run of the process; increases with each run on the same box.
     pub incarnation: u64,
 }
 
@@ -100,11 +100,7 @@
         let mut problems = Vec::new();
         for (field, value) in [("name", &raw.name), ("hall", &raw.hall)] {
             if value.is_empty() {
-                problems.push(Problem::new(
-                    field,
-                    "is empty",
-                    "write the name that the box list shows",
-                ));
+                problems.push(Problem::new(field, "is empty", "set the name given in the box list"));
             }
         }
         for (field, value) in [("log", &raw.log), ("boxes", &raw.boxes)] {
@@ -114,22 +110,22 @@
             problems.push(Problem::new("boxes_interval_ms", "is 0", "use 100 or more"));
         }
         if raw.snapshot_every < 16 {
-            let mend = "use 16 or more, and well below what the log retains";
-            problems.push(Problem::new("snapshot_every", "is below 16", mend));
+            let remedy = "use 16 or more, but well below the number of records that the log retains";
+            problems.push(Problem::new("snapshot_every", "is below 16", remedy));
         }
         for operator in &raw.operators {
             if sign::public_key(&operator.key).is_none() {
-                let mend = "paste the 64 digits that `sparscale key new` prints";
+                let remedy = "paste the 64 hexadecimal digits that `sparscale key new` prints";
                 problems.push(Problem::new(
                     format!("operators[{}].key", operator.name),
-                    "is no ed25519 key",
-                    mend,
+                    "is not an ed25519 public key",
+                    remedy,
                 ));
             }
         }
         if raw.operators.len() < 2 {
-            let mend = "approval needs a second operator";
-            problems.push(Problem::new("operators", "has fewer than two entries", mend));
+            let remedy = "add a second operator; approval requires one";
+            problems.push(Problem::new("operators", "has fewer than two entries", remedy));
         }
         if problems.is_empty() {
             Ok(Self { raw })
@@ -139,19 +135,19 @@
     }
 }
 
-/// Adds a problem if `value` is no base URL that this system can call.
+/// Adds a problem if `value` is not an `http://` URL.
 pub fn check_url(field: &str, value: &str, problems: &mut Vec<Problem>) {
     if !value.starts_with("http://") {
         problems.push(Problem::new(
             field,
-            "is no http:// URL",
-            "write for example http://10.0.0.1:7000",
+            "is not an http:// URL",
+            "use a URL such as http://10.0.0.1:7000",
         ));
     }
 }
 
 impl Settings {
-    /// Opens the socket and starts to follow log and box list.
+    /// Opens the socket and starts to follow the log and the box list.
     pub fn start(&self, program: &str) -> Result<Process, Error> {
         let raw = &self.raw;
         let identity = Identity::Files(Files {
@@ -186,13 +182,13 @@
     }
 }
 
-/// Microseconds since 1970 above random low bits: unique, and higher than an earlier run's on any sane clock.
+/// Combines microseconds since 1970 with random low bits: unique, and higher than in an earlier run unless the clock was set back.
 fn new_incarnation() -> u64 {
-    let since = std::time::SystemTime::now()
+    let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let random: u64 = rand::random::<u64>() & 0x3ff;
-    ((since.as_micros() as u64) << 10) | random
+    ((since_epoch.as_micros() as u64) << 10) | random
 }
 
 async fn log_bundles(journal: Arc<Journal>) {
@@ -205,21 +201,21 @@
         if certificate.bundle.version() > version {
             version = certificate.bundle.version();
             let hash = certificate.bundle.hash().to_string();
-            log::info!(target: sparscale_telemetry::DECISION, decision = "bundle", version, hash = hash.as_str(), offset = certificate.offset; "bundle in force");
+            log::info!(target: sparscale_telemetry::DECISION, decision = "bundle", version, hash = hash.as_str(), offset = certificate.offset; "activated a bundle");
         }
     }
 }
 
-/// Waits for SIGTERM or SIGINT; SIGHUP reads the certificates again without closing connections.
+/// Waits for SIGTERM or SIGINT; SIGHUP reloads the certificates without closing connections.
 pub async fn wait_for_stop(endpoint: &Endpoint, signals: &mut sparscale_telemetry::Signals) {
-    signals.wait_for_stop(|| reload(endpoint)).await;
+    signals.wait_for_stop(|| reload_certificates(endpoint)).await;
 }
 
-fn reload(endpoint: &Endpoint) {
+fn reload_certificates(endpoint: &Endpoint) {
     match endpoint.reload() {
         Ok(()) => log::info!("certificates read again"),
         Err(error) => {
-            log::error!(target: ALARM, alarm = "certificate_unusable", error = error.to_string().as_str(); "the old certificates stay in use");
+            log::error!(target: ALARM, alarm = "certificate_unusable", error = error.to_string().as_str(); "certificates could not be reloaded; the previous ones remain in use");
         }
     }
 }
--- a/crates/sparscale_journal/src/budget.rs
+++ b/crates/sparscale_journal/src/budget.rs
@@ -1,16 +1,16 @@
-//! The append budget of the log, in one place.
+//! Rate limits for appends to the log, per kind of record.
 //!
-//! The log takes about a hundred appends a second from everyone. Each process sees every record, so each can count
-//! what the whole fleet has appended lately and hold its own records back; nothing has to be shared out.
+//! The log accepts about 100 appends per second in total. Each process reads every record, so it can count the recent
+//! appends of the whole fleet and delay its own; the processes need not divide the limit among themselves.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::record::Body;
 
-/// What a record is for, as far as the budget is concerned.
+/// Kind of record; each has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum RecordKind {
     /// Publish, approve and roll.
     Operator,
     /// Claims of duties.
@@ -21,12 +21,12 @@
     Bind,
     /// Snapshots.
     Snapshot,
-    /// Targets that ended under requests.
+    /// Targets that terminated while they processed requests.
     Strike,
 }
 
-impl Kind {
-    /// Every kind.
+impl RecordKind {
+    /// All kinds.
     pub const ALL: [Self; 6] = [
         Self::Operator,
         Self::Claim,
@@ -36,18 +36,18 @@
         Self::Strike,
     ];
 
-    /// Appends that the whole fleet may make in [`WINDOW`]; together they stay under half of the log's rate.
+    /// Returns how many appends the whole fleet may make per [`WINDOW`]; all kinds together use less than half of the log's rate.
     pub fn fleet_limit(self) -> usize {
         match self {
             Self::Operator | Self::Claim => 100,
             Self::Map | Self::Strike => 50,
-            // 4 a second: the fold's 16,384 bindings then last over an hour.
+            // At 4 per second, the 16,384 bindings that the fold keeps cover more than an hour.
             Self::Bind => 40,
             Self::Snapshot => 5,
         }
     }
 
-    /// The kind of `body`.
+    /// Returns the kind of `body`.
     pub fn of(body: &Body) -> Self {
         match body {
             Body::Publish(_) | Body::Approve(_) | Body::Roll(_) => Self::Operator,
@@ -60,42 +60,42 @@
     }
 }
 
-/// Span over which appends are counted.
+/// Sliding window over which appends are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Counts the fleet's appends of the last ten seconds, those of this process included.
+/// Counts the fleet's appends within the last 10 seconds, including those of this process.
 #[derive(Debug, Default)]
 pub struct Budget {
-    seen: [VecDeque<Duration>; Kind::ALL.len()],
+    append_times: [VecDeque<Duration>; RecordKind::ALL.len()],
 }
 
 impl Budget {
-    /// Notes a record of `kind` that was read from the log, or that this process is about to append.
-    pub fn note(&mut self, kind: Kind, now: Duration) {
-        let seen = &mut self.seen[kind as usize];
-        seen.push_back(now);
-        expire(seen, now);
-        // Counting beyond the limit changes no decision.
-        while seen.len() > kind.fleet_limit() {
-            seen.pop_front();
+    /// Records an append of `kind`, either read from the log or about to be made by this process.
+    pub fn record(&mut self, kind: RecordKind, now: Duration) {
+        let append_times = &mut self.append_times[kind as usize];
+        append_times.push_back(now);
+        drop_expired(append_times, now);
+        // Appends beyond the limit do not change any decision, so they need no memory.
+        while append_times.len() > kind.fleet_limit() {
+            append_times.pop_front();
         }
     }
 
-    /// Whether a record of `kind` may be appended; if not, when to come back.
-    pub fn admit(&mut self, kind: Kind, now: Duration) -> Result<(), Duration> {
-        let seen = &mut self.seen[kind as usize];
-        expire(seen, now);
-        if seen.len() < kind.fleet_limit() {
-            self.note(kind, now);
+    /// Admits and records an append of `kind`, or returns the delay after which to retry.
+    pub fn admit(&mut self, kind: RecordKind, now: Duration) -> Result<(), Duration> {
+        let append_times = &mut self.append_times[kind as usize];
+        drop_expired(append_times, now);
+        if append_times.len() < kind.fleet_limit() {
+            self.record(kind, now);
             return Ok(());
         }
-        let oldest = seen.front().copied().unwrap_or(now);
+        let oldest = append_times.front().copied().unwrap_or(now);
         Err((oldest + WINDOW).saturating_sub(now))
     }
 }
 
-fn expire(seen: &mut VecDeque<Duration>, now: Duration) {
-    while seen.front().is_some_and(|at| *at + WINDOW <= now) {
-        seen.pop_front();
+fn drop_expired(append_times: &mut VecDeque<Duration>, now: Duration) {
+    while append_times.front().is_some_and(|at| *at + WINDOW <= now) {
+        append_times.pop_front();
     }
 }
--- a/crates/sparscale_journal/src/fold.rs
+++ b/crates/sparscale_journal/src/fold.rs
@@ -1,4 +1,6 @@
-//! The fold: one deterministic step from state and record to state and verdict.
+//! The fold: applies one record to the state and returns a verdict.
+//!
+//! It is deterministic, so processes that have folded the same records agree on the state and on every verdict.
 
 use std::sync::Arc;
 
@@ -10,62 +12,65 @@
 use sparscale_quarantine::Strike;
 
 use crate::record::{
-    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, Id, MapChange, Publish, Record, Roll, Snapshot,
+    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, MapChange, Publish, Record, RecordId, Roll,
+    Snapshot,
+};
+use crate::state::{
+    Holder, MAX_REMEMBERED_BINDINGS, MAX_REMEMBERED_IDS, MAX_REMEMBERED_STRIKES, PlacedMap, Proposal, State,
 };
-use crate::state::{Holder, PlacedMap, Proposal, REMEMBERED_BINDINGS, REMEMBERED_IDS, REMEMBERED_STRIKES, State};
 
-/// Proposals that may wait at one time; more are refused until one is rolled.
+/// Maximum number of pending proposals; further ones are rejected until one is rolled.
 const MAX_PROPOSALS: usize = 32;
 
-/// What the fold made of one record.
+/// Result of folding one record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Id of the record; none if it was damaged.
-    pub id: Option<Id>,
-    /// What became of it.
+    /// Id of the record; `None` if it cannot be decoded.
+    pub id: Option<RecordId>,
+    /// Effect of the record.
     pub verdict: Verdict,
 }
 
-/// What became of a record.
+/// Effect of a record on the state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// It took effect.
+    /// The record took effect.
     Accepted,
-    /// Its id was counted before; no second effect.
+    /// A record with this id was folded before; it has no second effect.
     Duplicate,
-    /// It has no effect.
+    /// The record was rejected and has no effect.
     Refused(Refusal),
-    /// It cannot be decoded; it has no effect and readers raise an alarm.
+    /// The record cannot be decoded and has no effect; readers raise an alarm.
     Damaged(String),
-    /// A snapshot whose digest differs from this reader's own fold.
+    /// The record is a snapshot whose chain digest differs from that of this reader.
     SnapshotDiffers,
 }
 
-/// Why a record has no effect, naming the record that won where there was a race.
+/// Reason for the rejection of a record; in a race it names the record that won.
 #[derive(Debug, Clone, PartialEq, Snafu, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The signature does not hold.
+    /// The signature is invalid.
     #[snafu(display("{message}"))]
     Signature {
-        /// What the check said.
+        /// Error of the signature check.
         message: String,
     },
-    /// The base is not the version in force.
+    /// The base is not the active version.
     #[snafu(display(
-        "base {base} is not in force: {author} rolled version {version} at offset {offset}; publish again on that base"
+        "base {base} is not the active version: {author} rolled version {version} at offset {offset}; publish again on base {version}"
     ))]
     StaleBase {
         /// Base of the record.
         base: u64,
-        /// Version in force.
+        /// Active version.
         version: u64,
-        /// Operator who rolled it.
+        /// Operator who rolled the active version.
         author: String,
         /// Offset of that roll.
         offset: u64,
     },
-    /// There is no bundle in force that a base could name.
-    #[snafu(display("base {base} is not in force: nothing is; publish a whole bundle with base 0"))]
+    /// The record names a base but no bundle is active.
+    #[snafu(display("base {base} is not active, no bundle is; publish a complete bundle with base 0"))]
     NoBase {
         /// Base of the record.
         base: u64,
@@ -75,42 +80,44 @@
     VersionTaken {
         /// Version of the record.
         version: u64,
-        /// Operator who was first.
+        /// Operator who published it.
         author: String,
-        /// Offset of that publish record.
+        /// Offset of that publication.
         offset: u64,
     },
-    /// The version does not rise.
+    /// The version is not higher than the active one.
     #[snafu(display(
-        "version {version} does not rise above version {in_force}, rolled by {author} at offset {offset}"
+        "version {version} is not higher than version {in_force}, rolled by {author} at offset {offset}; publish a higher version"
     ))]
     NotNewer {
         /// Version of the record.
         version: u64,
-        /// Version in force.
+        /// Active version.
         in_force: u64,
-        /// Operator who rolled it.
+        /// Operator who rolled the active version.
         author: String,
         /// Offset of that roll.
         offset: u64,
     },
-    /// No such version waits.
-    #[snafu(display("no version {version} waits to be rolled; publish it first"))]
+    /// No proposal has this version.
+    #[snafu(display("version {version} is not pending; publish it first"))]
     NoProposal {
         /// Version of the record.
         version: u64,
     },
-    /// The hash is not the one that was published.
-    #[snafu(display("version {version} has hash {published}, not {given}; look at it again before you sign"))]
+    /// The hash differs from the published one.
+    #[snafu(display(
+        "version {version} has hash {published}, not {given}; review the version again before you sign it"
+    ))]
     OtherContent {
         /// Version of the record.
         version: u64,
-        /// Hash that was published.
+        /// Published hash.
         published: Hash,
-        /// Hash that was signed.
+        /// Signed hash.
         given: Hash,
     },
-    /// The publisher approved their own version.
+    /// The publisher tried to approve their own version.
     #[snafu(display("{author} published version {version} and cannot approve it; ask another operator"))]
     SelfApproval {
         /// Publisher.
@@ -119,7 +126,7 @@
         version: u64,
     },
     /// The version was approved before.
-    #[snafu(display("version {version} was approved by {author} already; roll it"))]
+    #[snafu(display("version {version} was already approved by {author}; roll it"))]
     ApprovedBefore {
         /// Version of the record.
         version: u64,
@@ -133,46 +140,46 @@
         version: u64,
     },
     /// The content is not a valid bundle.
-    #[snafu(display("the content is no valid bundle: {message}"))]
+    #[snafu(display("content is not a valid bundle: {message}"))]
     Content {
-        /// What the check said.
+        /// Error of the bundle check.
         message: String,
     },
-    /// Too many versions wait.
-    #[snafu(display("{MAX_PROPOSALS} versions wait already; roll one first"))]
+    /// Too many versions are pending.
+    #[snafu(display("{MAX_PROPOSALS} versions are already pending; roll one first"))]
     TooMany,
-    /// Another process took the duty first.
-    #[snafu(display("{node} holds the duty with fence {fence}; wait until it is silent"))]
+    /// Another process claimed the duty first.
+    #[snafu(display("{node} holds the duty with fence {fence}; claim it only after {node} has become unresponsive"))]
     DutyTaken {
-        /// Process that was first.
+        /// Process that holds the duty.
         node: String,
-        /// Its fence.
+        /// Fence of that process.
         fence: u64,
     },
-    /// The placer does not hold the group's duty any more.
-    #[snafu(display("fence {fence} was overtaken by fence {holder}; stop acting as placer"))]
+    /// The placer no longer holds the group's duty.
+    #[snafu(display("fence {fence} was superseded by fence {holder}; stop acting as placer"))]
     OldFence {
         /// Fence of the record.
         fence: u64,
-        /// Fence of the present holder.
+        /// Fence of the current holder.
         holder: u64,
     },
     /// The map's base is not the latest map.
-    #[snafu(display("map base {base} is not the latest map {latest}; decide again on that one"))]
+    #[snafu(display("map base {base} is not the latest map {latest}; compute a new map from map {latest}"))]
     MapBase {
         /// Base of the record.
         base: u64,
         /// Number of the latest map.
         latest: u64,
     },
-    /// The map does not fit the group.
-    #[snafu(display("the map does not fit group {group}; decide again on the bundle in force"))]
+    /// The map's dimensions differ from those of the group.
+    #[snafu(display("map does not match the dimensions of group {group}; compute a new map from the active bundle"))]
     MapShape {
         /// Name of the group.
         group: String,
     },
-    /// The key is bound already.
-    #[snafu(display("the key is bound to target {target}, incarnation {incarnation}; ask there"))]
+    /// The key is already bound.
+    #[snafu(display("idempotency key is bound to target {target}, incarnation {incarnation}; query that target"))]
     Bound {
         /// Target that the key is bound to.
         target: String,
@@ -182,9 +189,9 @@
 }
 
 impl State {
-    /// Folds the record `bytes` found at `offset`. An offset below the head was folded before and changes nothing.
+    /// Folds the encoded record `bytes` at `offset`; an offset below the head was folded before and changes nothing.
     ///
-    /// The caller must not skip offsets; [`crate::Reader`] sees to that.
+    /// The caller must not skip offsets; [`crate::Reader`] ensures this.
     pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> Outcome {
         if offset < self.head {
             return Outcome {
@@ -207,10 +214,10 @@
     }
 
     fn apply_record(&mut self, offset: u64, record: &Record) -> Outcome {
-        let verdict = if self.seen.contains(&record.id) {
+        let verdict = if self.known_ids.contains(&record.id) {
             Verdict::Duplicate
         } else {
-            self.remember(record.id);
+            self.remember_id(record.id);
             self.judge(offset, &record.body)
         };
         self.advance(offset, Some(record.id), verdict == Verdict::Accepted);
@@ -229,7 +236,7 @@
             Body::Map(change) => self.change_map(offset, change),
             Body::Bind(binding) => self.bind(binding),
             Body::Strike(strike) => {
-                self.strike(*strike);
+                self.record_strike(*strike);
                 Ok(())
             }
             Body::Snapshot(snapshot) => return self.check_snapshot(snapshot),
@@ -237,18 +244,18 @@
         result.map_or_else(Verdict::Refused, |()| Verdict::Accepted)
     }
 
-    fn remember(&mut self, id: Id) {
-        self.seen.insert(id);
-        self.recent.push_back(id);
-        if self.recent.len() <= REMEMBERED_IDS {
+    fn remember_id(&mut self, id: RecordId) {
+        self.known_ids.insert(id);
+        self.recent_ids.push_back(id);
+        if self.recent_ids.len() <= MAX_REMEMBERED_IDS {
             return;
         }
-        if let Some(oldest) = self.recent.pop_front() {
-            self.seen.remove(&oldest);
+        if let Some(oldest) = self.recent_ids.pop_front() {
+            self.known_ids.remove(&oldest);
         }
     }
 
-    fn advance(&mut self, offset: u64, id: Option<Id>, accepted: bool) {
+    fn advance(&mut self, offset: u64, id: Option<RecordId>, accepted: bool) {
         let mut digest = Sha256::new();
         digest.update(self.chain);
         digest.update(offset.to_be_bytes());
@@ -256,7 +263,7 @@
         digest.update([u8::from(accepted)]);
         self.chain = digest.finalize().into();
         self.head = offset + 1;
-        self.remember_chain();
+        self.record_chain_digest();
     }
 
     fn publish(&mut self, offset: u64, publish: &Publish) -> Result<(), Refusal> {
@@ -284,12 +291,12 @@
             Content::Delta(delta) => {
                 let base = self.in_force.as_ref().context(NoBaseSnafu { base: publish.base })?;
                 let applied = delta.apply(&base.bundle, publish.version);
-                applied.map_err(|error| refused_content(error.to_string()))?
+                applied.map_err(|error| content_refusal(error.to_string()))?
             }
         };
         if bundle.version() != publish.version || bundle.hash() != publish.hash {
-            return Err(refused_content(
-                "its hash or version is not the one that was signed".to_owned(),
+            return Err(content_refusal(
+                "hash or version differs from the signed one".to_owned(),
             ));
         }
         Ok(bundle)
@@ -299,7 +306,7 @@
         self.verify(&approve.statement(), &approve.signature)?;
         let version = approve.version;
         let proposal = self.proposals.get_mut(&version).context(NoProposalSnafu { version })?;
-        require_content(version, proposal.bundle.hash(), approve.hash)?;
+        require_same_hash(version, proposal.bundle.hash(), approve.hash)?;
         if proposal.author == approve.author {
             let author = &approve.author;
             return SelfApprovalSnafu { author, version }.fail();
@@ -319,33 +326,33 @@
         self.require_newer(version)?;
         self.require_base(roll.base)?;
         let proposal = self.proposals.get(&version).context(NoProposalSnafu { version })?;
-        require_content(version, proposal.bundle.hash(), roll.hash)?;
+        require_same_hash(version, proposal.bundle.hash(), roll.hash)?;
         ensure!(proposal.base == roll.base, NoProposalSnafu { version });
         let approval = proposal.approval.clone().context(NotApprovedSnafu { version })?;
         let certificate = proposal.certificate(roll, approval, offset);
-        self.keep_fitting_maps(certificate.bundle.fleet());
+        self.retain_fitting_maps(certificate.bundle.fleet());
         self.in_force = Some(Arc::new(certificate));
-        // Every other proposal names a base that is in force no more.
+        // All other proposals have a base that is no longer active.
         self.proposals.clear();
         Ok(())
     }
 
-    /// Drops the maps of groups whose ranks or dimensions changed: such a group starts from its initial map.
-    fn keep_fitting_maps(&mut self, fleet: &Fleet) {
-        let before = self
+    /// Removes the maps of groups whose ranks or dimensions changed; such a group starts from its initial map again.
+    fn retain_fitting_maps(&mut self, fleet: &Fleet) {
+        let old_fleet = self
             .in_force
             .as_ref()
             .map(|certificate| Arc::clone(certificate.bundle.fleet()));
-        let Some(before) = before else { return };
+        let Some(old_fleet) = old_fleet else { return };
         self.maps.retain(|name, placed| {
-            let same_ranks = before.group(name).map(|old| &old.ranks) == fleet.group(name).map(|new| &new.ranks);
+            let same_ranks = old_fleet.group(name).map(|old| &old.ranks) == fleet.group(name).map(|new| &new.ranks);
             same_ranks && fleet.group(name).is_some_and(|new| placed.map.fits(shape(new)))
         });
     }
 
     fn claim(&mut self, offset: u64, claim: &Claim) -> Result<(), Refusal> {
-        let held = self.holders.get(&claim.duty);
-        if let Some(holder) = held.filter(|holder| holder.fence != claim.over) {
+        let current = self.holders.get(&claim.duty);
+        if let Some(holder) = current.filter(|holder| holder.fence != claim.over) {
             let node = &holder.node;
             return DutyTakenSnafu {
                 node,
@@ -407,26 +414,26 @@
         }
         self.bindings.insert(binding.key, binding.clone());
         self.binding_order.push_back(binding.key);
-        if self.binding_order.len() > REMEMBERED_BINDINGS {
-            self.forget_oldest_binding();
+        if self.binding_order.len() > MAX_REMEMBERED_BINDINGS {
+            self.remove_oldest_binding();
         }
         Ok(())
     }
 
-    /// A strike that is known already may only be cleared.
-    fn strike(&mut self, strike: Strike) {
+    /// Records a strike; for a known strike only the standing may change, from counting to cleared.
+    fn record_strike(&mut self, strike: Strike) {
         let same = |known: &&mut Strike| (known.request, known.end) == (strike.request, strike.end);
         if let Some(known) = self.strikes.iter_mut().find(same) {
             known.standing = known.standing.max(strike.standing);
             return;
         }
         self.strikes.push_back(strike);
-        if self.strikes.len() > REMEMBERED_STRIKES {
+        if self.strikes.len() > MAX_REMEMBERED_STRIKES {
             self.strikes.pop_front();
         }
     }
 
-    fn forget_oldest_binding(&mut self) {
+    fn remove_oldest_binding(&mut self) {
         let oldest: Option<BindingKey> = self.binding_order.pop_front();
         if let Some(oldest) = oldest {
             self.bindings.remove(&oldest);
@@ -434,11 +441,11 @@
     }
 
     fn check_snapshot(&mut self, snapshot: &Snapshot) -> Verdict {
-        let own = self.chain_at(snapshot.at);
-        if own.is_some_and(|own| own != snapshot.chain) {
+        let own_digest = self.chain_digest_at(snapshot.head);
+        if own_digest.is_some_and(|digest| digest != snapshot.chain) {
             return Verdict::SnapshotDiffers;
         }
-        self.snapshot_at = self.snapshot_at.max(snapshot.at);
+        self.snapshot_head = self.snapshot_head.max(snapshot.head);
         Verdict::Accepted
     }
 
@@ -480,7 +487,7 @@
     }
 }
 
-fn require_content(version: u64, published: Hash, given: Hash) -> Result<(), Refusal> {
+fn require_same_hash(version: u64, published: Hash, given: Hash) -> Result<(), Refusal> {
     ensure!(
         published == given,
         OtherContentSnafu {
@@ -492,11 +499,11 @@
     Ok(())
 }
 
-fn refused_content(message: String) -> Refusal {
+fn content_refusal(message: String) -> Refusal {
     Refusal::Content { message }
 }
 
-/// Dimensions of `group` as its expert map needs them.
+/// Returns the dimensions of `group`'s expert map.
 pub fn shape(group: &Group) -> Shape {
     Shape {
         ranks: group.ranks.len(),
--- a/crates/sparscale_journal/src/http.rs
+++ b/crates/sparscale_journal/src/http.rs
@@ -1,4 +1,4 @@
-//! The log over HTTP: `POST /v1/records` appends, `GET /v1/records` reads.
+//! Log client over HTTP: `POST /v1/records` appends, `GET /v1/records` reads.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 use crate::log::{Batch, Entry, Error, Log};
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Client of a log that speaks HTTP.
+/// HTTP client of the platform's log.
 #[derive(Debug, Clone)]
 pub struct HttpLog {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -26,25 +26,25 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 #[derive(Deserialize)]
-struct Page {
+struct ReadResponse {
     earliest: u64,
     next: u64,
-    records: Vec<Stored>,
+    records: Vec<EncodedEntry>,
 }
 
 #[derive(Deserialize)]
-struct Stored {
+struct EncodedEntry {
     offset: u64,
     data: String,
 }
 
 impl HttpLog {
-    /// A client of the log at `base`, for example `http://127.0.0.1:7000`; each call ends after `timeout`.
+    /// Creates a client of the log at `base`, for example `http://127.0.0.1:7000`; each call times out after `timeout`.
     pub fn new(base: &str, timeout: Duration) -> Self {
         Self {
             client: Client::builder(TokioExecutor::new()).build_http(),
@@ -54,21 +54,21 @@
     }
 
     async fn call(&self, request: http::Request<Full<Bytes>>, timeout: Duration) -> Result<Bytes, Error> {
-        let answer = tokio::time::timeout(timeout, self.exchange(request)).await;
-        answer.map_err(|_elapsed| lost("it took too long"))?
+        let response = tokio::time::timeout(timeout, self.exchange(request)).await;
+        response.map_err(|_elapsed| lost("timed out"))?
     }
 
     async fn exchange(&self, request: http::Request<Full<Bytes>>) -> Result<Bytes, Error> {
         let response = self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
                 return Error::Refused {
-                    message: "it cannot be reached".to_owned(),
+                    message: "connection failed".to_owned(),
                 };
             }
             lost(error)
         })?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map_err(lost)?;
@@ -92,7 +92,7 @@
             .body(Full::new(data))
             .map_err(refused)?;
         let body = self.call(request, self.timeout).await?;
-        let appended: Appended = serde_json::from_slice(&body).map_err(lost)?;
+        let appended: AppendResponse = serde_json::from_slice(&body).map_err(lost)?;
         Ok(appended.offset)
     }
 
@@ -101,8 +101,8 @@
         let address = format!("{}/v1/records?from={from}&limit={limit}&wait_ms={wait_ms}", self.base);
         let request = http::Request::get(address).body(Full::default()).map_err(refused)?;
         let body = self.call(request, self.timeout + wait).await?;
-        let page: Page = serde_json::from_slice(&body).map_err(lost)?;
-        let entries: Result<Vec<Entry>, Error> = page.records.into_iter().map(Stored::decode).collect();
+        let page: ReadResponse = serde_json::from_slice(&body).map_err(lost)?;
+        let entries: Result<Vec<Entry>, Error> = page.records.into_iter().map(EncodedEntry::decode).collect();
         Ok(Batch {
             earliest: page.earliest,
             next: page.next,
@@ -111,7 +111,7 @@
     }
 }
 
-impl Stored {
+impl EncodedEntry {
     fn decode(self) -> Result<Entry, Error> {
         let data = STANDARD.decode(&self.data).map_err(lost)?;
         Ok(Entry {
--- a/crates/sparscale_journal/src/lib.rs
+++ b/crates/sparscale_journal/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's log as the only place where anything is agreed or kept.
+//! Replicated state on top of the platform's append-only log, the only place for agreement and durable data.
 //!
-//! The log gives `append` and `read` and nothing more. Agreement is [`State::apply`], a deterministic fold of all
-//! records in offset order that every process computes alike.
+//! The log offers only `append` and `read`. Every process folds all records in offset order with the deterministic
+//! [`State::apply`] and so computes the same state.
 
 mod budget;
 mod fold;
@@ -12,13 +12,13 @@
 mod state;
 mod writer;
 
-pub use budget::{Budget, Kind};
+pub use budget::{Budget, RecordKind};
 pub use fold::{Outcome, Refusal, Verdict, shape};
 pub use http::HttpLog;
 pub use log::{Batch, Entry, Error as LogError, Log};
 pub use reader::{Alarm, Error as ReaderError, Reader, without_image};
 pub use record::{
-    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, Duty, Id, MapChange, Publish, Record, Roll,
+    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, Duty, MapChange, Publish, Record, RecordId, Roll,
     Snapshot,
 };
 pub use state::{Certificate, Holder, Image, PlacedMap, Proposal, State};
--- a/crates/sparscale_journal/src/log.rs
+++ b/crates/sparscale_journal/src/log.rs
@@ -1,4 +1,4 @@
-//! What the platform's log gives, and nothing more than that.
+//! Interface of the platform's log.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use snafu::Snafu;
 
-/// One record as the log keeps it.
+/// One stored record: offset and encoded bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// Offset of the record.
@@ -15,31 +15,31 @@
     pub data: Bytes,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// Offset of the oldest record that the log still keeps.
+    /// Offset of the oldest record that the log retains.
     pub earliest: u64,
-    /// Offset that the next append will get.
+    /// Offset that the next append will receive.
     pub next: u64,
-    /// Records in offset order, from the offset that was asked for.
+    /// Records in offset order, starting at the requested offset.
     pub entries: Vec<Entry>,
 }
 
-/// Why the log did not answer.
+/// A failed call of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The log said no before it took the record: nothing was appended.
-    #[snafu(display("the log refused: {message}"))]
+    /// The log rejected the call; nothing was appended.
+    #[snafu(display("the log rejected the call: {message}"))]
     Refused {
-        /// What it said.
+        /// Reason that the log gave.
         message: String,
     },
-    /// No answer came; an append may or may not have taken effect.
-    #[snafu(display("no answer from the log: {message}"))]
+    /// No valid response arrived; an append may or may not have taken effect.
+    #[snafu(display("no valid response from the log: {message}"))]
     Lost {
-        /// What went wrong.
+        /// Cause of the failure.
         message: String,
     },
 }
@@ -50,6 +50,6 @@
     /// Appends `data` and returns its offset.
     async fn append(&self, data: Bytes) -> Result<u64, Error>;
 
-    /// Reads up to `limit` records from offset `from`; waits up to `wait` for the first one.
+    /// Reads up to `limit` records from offset `from`; waits up to `wait` if there are none yet.
     async fn read(&self, from: u64, limit: usize, wait: Duration) -> Result<Batch, Error>;
 }
--- a/crates/sparscale_journal/src/reader.rs
+++ b/crates/sparscale_journal/src/reader.rs
@@ -1,4 +1,7 @@
-//! Folds batches of the log in order, and starts from a snapshot when older records are gone.
+//! Folds batches of the log in offset order, and starts from a snapshot when older records have expired.
+//!
+//! Images from peers and snapshots are accepted only with a bundle that trusted operators signed, and never move the
+//! state back to an older bundle version.
 
 use bytes::Bytes;
 use snafu::Snafu;
@@ -9,48 +12,50 @@
 use crate::record::{Body, Record, Snapshot};
 use crate::state::{Image, State};
 
-/// Something that operators must look at.
+/// A fault that operators must investigate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Alarm {
     /// The record at this offset cannot be decoded.
     Damaged {
         /// Offset of the record.
         offset: u64,
-        /// What the decoder said.
+        /// Error of the decoder.
         message: String,
     },
-    /// A snapshot differs from this reader's own fold.
+    /// The chain digest of a snapshot differs from that of this reader.
     SnapshotDiffers {
         /// Offset of the snapshot record.
         offset: u64,
     },
 }
 
-/// Why a reader cannot go on.
+/// A batch or an image that cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The records after the reader's head are gone and no snapshot bridges the gap.
-    #[snafu(display("records {head}..{earliest} are gone and no snapshot covers them; start from a peer"))]
+    /// The records after the reader's head have expired and no snapshot covers them.
+    #[snafu(display(
+        "records {head}..{earliest} have expired and no snapshot covers them; load the state from a peer"
+    ))]
     Expired {
         /// The reader's head.
         head: u64,
-        /// Oldest record that is left.
+        /// Offset of the oldest record that the log retains.
         earliest: u64,
     },
     /// The bundle of an image is not signed by operators that this process trusts.
-    #[snafu(display("the image is not trusted: {source}"))]
+    #[snafu(display("bundle of the image is not trusted: {source}"))]
     Untrusted {
-        /// What the check said.
+        /// Error of the signature check.
         source: sign::Error,
     },
     /// The image cannot be decoded.
-    #[snafu(display("the image cannot be decoded: {message}"))]
+    #[snafu(display("image cannot be decoded: {message}"))]
     Image {
-        /// What the decoder said.
+        /// Error of the decoder.
         message: String,
     },
-    /// The image is older than what this process has.
-    #[snafu(display("the image ends at {image}, this process is at {head}"))]
+    /// The image is older than the state of this reader.
+    #[snafu(display("image ends at offset {image} and is older than the state of this process at offset {head}"))]
     Older {
         /// Head of the image.
         image: u64,
@@ -59,55 +64,55 @@
     },
 }
 
-/// Folds the log in offset order.
+/// Folds the log in offset order into a [`State`].
 #[derive(Debug, Clone)]
 pub struct Reader {
-    genesis: Vec<Operator>,
+    initial_operators: Vec<Operator>,
     state: State,
 }
 
 impl Reader {
-    /// A reader that has seen nothing; `genesis` may sign the first bundle.
-    pub fn new(genesis: Vec<Operator>) -> Self {
+    /// Creates an empty reader; `initial_operators` may sign the first bundle.
+    pub fn new(initial_operators: Vec<Operator>) -> Self {
         Self {
-            state: State::new(genesis.clone()),
-            genesis,
+            state: State::new(initial_operators.clone()),
+            initial_operators,
         }
     }
 
-    /// The folded state.
+    /// Returns the folded state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Folds `batch`; hands each verdict to `judged` and each alarm to `alarm`.
+    /// Folds `batch` and passes each outcome to `on_outcome` and each alarm to `on_alarm`.
     ///
-    /// Returns the entries that were new, for relaying to peers.
+    /// Returns the entries that were new, to be relayed to peers.
     pub fn fold(
         &mut self,
         batch: &Batch,
-        mut judged: impl FnMut(u64, &Outcome),
-        mut alarm: impl FnMut(Alarm),
+        mut on_outcome: impl FnMut(u64, &Outcome),
+        mut on_alarm: impl FnMut(Alarm),
     ) -> Result<Vec<Entry>, Error> {
         self.bridge_gap(batch)?;
-        let mut new = Vec::new();
+        let mut new_entries = Vec::new();
         for entry in &batch.entries {
             if entry.offset < self.state.head() {
                 continue;
             }
-            // A hole inside a batch is a damaged answer; the next read asks again from the head.
+            // A gap inside a batch means that the response was damaged; the next read starts at the head again.
             if entry.offset > self.state.head() {
                 break;
             }
             let outcome = self.state.apply(entry.offset, &entry.data);
-            raise(entry.offset, &outcome, &mut alarm);
-            judged(entry.offset, &outcome);
-            new.push(entry.clone());
+            report_alarm(entry.offset, &outcome, &mut on_alarm);
+            on_outcome(entry.offset, &outcome);
+            new_entries.push(entry.clone());
         }
-        Ok(new)
+        Ok(new_entries)
     }
 
-    /// Takes over the state of a peer if it is newer and its bundle is signed by trusted operators.
+    /// Replaces the state with a peer's image if that is newer and trusted operators signed its bundle.
     pub fn adopt(&mut self, bytes: &[u8]) -> Result<(), Error> {
         let image = Image::decode(bytes).map_err(|error| Error::Image {
             message: error.to_string(),
@@ -121,17 +126,17 @@
             .fail();
         }
         self.verify(&image)?;
-        self.state = State::from_image(self.genesis.clone(), image);
+        self.state = State::from_image(self.initial_operators.clone(), image);
         Ok(())
     }
 
-    /// Versions never fall: an image whose bundle is older than the one in force is refused.
+    /// Checks the signatures of the image's bundle and rejects a bundle older than the active one.
     fn verify(&self, image: &Image) -> Result<(), Error> {
         let Some(certificate) = image.in_force() else {
             return Ok(());
         };
-        if let Some(own) = self.state.in_force() {
-            if certificate.bundle.version() < own.bundle.version() {
+        if let Some(active) = self.state.in_force() {
+            if certificate.bundle.version() < active.bundle.version() {
                 return OlderSnafu {
                     image: image.head(),
                     head: self.state.head(),
@@ -139,9 +144,9 @@
                 .fail();
             }
             let trusted: Vec<Operator> = self
-                .genesis
+                .initial_operators
                 .iter()
-                .chain(&own.bundle.fleet().operators)
+                .chain(&active.bundle.fleet().operators)
                 .cloned()
                 .collect();
             return certificate
@@ -149,7 +154,7 @@
                 .map_err(|source| Error::Untrusted { source });
         }
         certificate
-            .verify(&self.genesis)
+            .verify(&self.initial_operators)
             .map_err(|source| Error::Untrusted { source })
     }
 
@@ -167,7 +172,7 @@
     }
 }
 
-/// The latest snapshot in `batch` whose following records are all still there.
+/// Returns the latest snapshot in `batch` after which no record has expired.
 fn latest_snapshot(batch: &Batch) -> Option<Snapshot> {
     batch
         .entries
@@ -177,12 +182,12 @@
             Ok(Record {
                 body: Body::Snapshot(snapshot),
                 ..
-            }) if snapshot.at >= batch.earliest && !snapshot.image.is_empty() => Some(snapshot),
+            }) if snapshot.head >= batch.earliest && !snapshot.image.is_empty() => Some(snapshot),
             _ => None,
         })
 }
 
-/// A copy of `entry` without the image of a snapshot, for a reader that has the state already.
+/// Returns a copy of `entry` without the image of a snapshot, for a reader that already has the state.
 pub fn without_image(entry: &Entry) -> Entry {
     match Record::decode(&entry.data) {
         Ok(Record {
@@ -202,13 +207,13 @@
     }
 }
 
-fn raise(offset: u64, outcome: &Outcome, alarm: &mut impl FnMut(Alarm)) {
+fn report_alarm(offset: u64, outcome: &Outcome, on_alarm: &mut impl FnMut(Alarm)) {
     match &outcome.verdict {
-        Verdict::Damaged(message) => alarm(Alarm::Damaged {
+        Verdict::Damaged(message) => on_alarm(Alarm::Damaged {
             offset,
             message: message.clone(),
         }),
-        Verdict::SnapshotDiffers => alarm(Alarm::SnapshotDiffers { offset }),
+        Verdict::SnapshotDiffers => on_alarm(Alarm::SnapshotDiffers { offset }),
         _ => {}
     }
 }
--- a/crates/sparscale_journal/src/record.rs
+++ b/crates/sparscale_journal/src/record.rs
@@ -1,4 +1,6 @@
 //! Records of the log and their encoding.
+//!
+//! The checksum in each encoded record lets a reader skip a record that was damaged in transit.
 
 use std::fmt;
 
@@ -9,39 +11,39 @@
 use sparscale_place::Map;
 use sparscale_quarantine::Strike;
 
-/// First byte of every encoded record.
-const FORMAT: u8 = 1;
-/// Length of the checksum that ends every encoded record.
-const CHECKSUM_LEN: usize = 8;
+/// Format version, the first byte of every encoded record.
+const FORMAT_VERSION: u8 = 1;
+/// Length of the truncated SHA-256 that ends every encoded record.
+const CHECKSUM_BYTES: usize = 8;
 
-/// Unique id of a record; the fold counts each id once.
+/// Unique id of a record; the fold applies each id at most once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id([u8; 16]);
+pub struct RecordId([u8; 16]);
 
-impl Id {
-    /// A new random id.
+impl RecordId {
+    /// Generates a random id.
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// The id with these bytes, for tests and for records whose id follows from their content.
+    /// Creates an id from `bytes`, for tests and for records whose id is derived from their content.
     pub fn from_bytes(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes.
     pub fn as_bytes(&self) -> &[u8; 16] {
         &self.0
     }
 }
 
-impl fmt::Display for Id {
+impl fmt::Display for RecordId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&hex::encode(self.0))
     }
 }
 
-impl fmt::Debug for Id {
+impl fmt::Debug for RecordId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Id({})", hex::encode(&self.0[..4]))
     }
@@ -51,105 +53,105 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Unique id.
-    pub id: Id,
-    /// What is said.
+    pub id: RecordId,
+    /// Content of the record.
     pub body: Body,
 }
 
-/// What a record says.
+/// Content of a record, by kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// An operator offers a new bundle version.
+    /// An operator publishes a new bundle version.
     Publish(Box<Publish>),
-    /// Another operator agrees to it.
+    /// Another operator approves the version.
     Approve(Approve),
-    /// An operator puts it in force.
+    /// An operator activates an approved version.
     Roll(Roll),
-    /// A process takes a duty.
+    /// A process claims a duty.
     Claim(Claim),
     /// The holder of a group's placer duty changes the group's expert map.
     Map(MapChange),
     /// A caller's idempotency key is bound to one agent incarnation.
     Bind(Binding),
-    /// The folded state, appended again before the records behind it expire.
+    /// The folded state, appended before the records that it covers expire.
     Snapshot(Snapshot),
-    /// A target ended under a request.
+    /// A target terminated while it processed a request.
     Strike(Strike),
 }
 
-/// Offer of a bundle version.
+/// Publication of a bundle version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Publish {
-    /// Operator who signs.
+    /// Operator who signs the record.
     pub author: String,
-    /// New version.
+    /// Version that is published.
     pub version: u64,
-    /// Version in force that it replaces; 0 for the first bundle.
+    /// Active version that it replaces; 0 for the first bundle.
     pub base: u64,
     /// Hash of the resulting bundle.
     pub hash: Hash,
-    /// The bundle, whole or as changes of the base.
+    /// The bundle, complete or as a delta to the base.
     pub content: Content,
-    /// Signature over the statement of this record.
+    /// Signature over [`Self::statement`].
     pub signature: sign::Signature,
 }
 
 /// Content of a publish record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Content {
-    /// The whole bundle.
+    /// The complete bundle.
     Whole(Bundle),
-    /// Changes of the base.
+    /// Changes to the base.
     Delta(Delta),
 }
 
 /// Approval of a published version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Approve {
-    /// Operator who signs; never the publisher.
+    /// Operator who signs the record; must not be the publisher.
     pub author: String,
     /// Version that is approved.
     pub version: u64,
     /// Version that it replaces.
     pub base: u64,
-    /// Hash that the operator has seen and approves.
+    /// Hash of the content that the operator approves.
     pub hash: Hash,
-    /// Signature over the statement of this record.
+    /// Signature over [`Self::statement`].
     pub signature: sign::Signature,
 }
 
-/// Order to put an approved version in force.
+/// Activation of an approved version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roll {
-    /// Operator who signs.
+    /// Operator who signs the record.
     pub author: String,
-    /// Version that comes in force.
+    /// Version that becomes active.
     pub version: u64,
     /// Version that it replaces.
     pub base: u64,
-    /// Hash of the version.
+    /// Hash of the version's content.
     pub hash: Hash,
-    /// Signature over the statement of this record.
+    /// Signature over [`Self::statement`].
     pub signature: sign::Signature,
 }
 
-/// A duty that one process at a time has.
+/// A duty that at most one process holds at a time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Duty {
     /// Decides the expert map of the group with this name.
     Placer(String),
 }
 
-/// Claim of a duty; the offset of the first valid one is the holder's fence.
+/// Claim of a duty; the holder's fence is the offset of its accepted claim, plus one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Duty that is taken.
+    /// Duty that is claimed.
     pub duty: Duty,
     /// Name of the claiming process.
     pub node: String,
-    /// Its incarnation.
+    /// Incarnation of that process.
     pub incarnation: u64,
-    /// Fence of the holder that it takes over from; 0 for none. Of two claims over one holder the first wins.
+    /// Fence of the holder that the claim replaces, 0 for none; of two claims with the same value the first wins.
     pub over: u64,
 }
 
@@ -158,7 +160,7 @@
 pub struct MapChange {
     /// Name of the group.
     pub group: String,
-    /// Fence under which the placer acts.
+    /// Fence of the placer that makes the change.
     pub fence: u64,
     /// Number of the map that it replaces; 0 for the initial map.
     pub base: u64,
@@ -166,12 +168,12 @@
     pub map: Map,
 }
 
-/// Digest of workspace and caller's idempotency key.
+/// Digest of a workspace and an idempotency key of one of its callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BindingKey([u8; 16]);
 
 impl BindingKey {
-    /// The key of `idempotency_key` as sent by a caller of `workspace`.
+    /// Computes the binding key for `idempotency_key` as sent by a caller of `workspace`.
     pub fn new(workspace: &str, idempotency_key: &str) -> Self {
         let mut digest = Sha256::new();
         digest.update((workspace.len() as u64).to_be_bytes());
@@ -183,106 +185,109 @@
         Self(short)
     }
 
-    /// The raw digest.
+    /// Returns the raw digest.
     pub fn as_bytes(&self) -> &[u8; 16] {
         &self.0
     }
 }
 
-/// Binding of an idempotency key; the first record for a key wins.
+/// Binding of an idempotency key to one agent incarnation; the first record for a key wins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
     /// Key that is bound.
     pub key: BindingKey,
-    /// Target whose agent keeps the outcome.
+    /// Target whose agent stores the outcome of the request.
     pub target: String,
     /// Incarnation of that agent; no other incarnation may run the request.
     pub incarnation: u64,
-    /// SHA-256 of the request's body, so that one key is not used for two requests.
+    /// SHA-256 of the request's body, to detect the use of one key for two different requests.
     pub body: [u8; 32],
 }
 
-/// A copy of the folded state.
+/// A copy of the folded state, from which a reader starts when older records have expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Offset of the first record that the image does not contain.
-    pub at: u64,
-    /// Chain digest at that offset, to be compared with the reader's own.
+    pub head: u64,
+    /// Chain digest at that offset; readers compare it with their own.
     pub chain: [u8; 32],
-    /// Encoded image; empty when a peer relays the record to a reader that has the state already.
+    /// Encoded image; empty when a peer relays the record to a reader that already has the state.
     pub image: Vec<u8>,
 }
 
-/// Bytes that are no record.
+/// Bytes that cannot be decoded as a record.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
-    /// Shorter than any record.
-    #[snafu(display("{len} bytes are too few for a record"))]
+    /// The bytes are shorter than any record.
+    #[snafu(display("record is too short: {len} bytes"))]
     Short {
-        /// Bytes found.
+        /// Number of bytes.
         len: usize,
     },
-    /// Written by a later format.
-    #[snafu(display("format {format} is not known; roll out a release that knows it"))]
+    /// The format version is unknown, probably from a later release.
+    #[snafu(display("record format {format} is not supported; upgrade to a release that supports it"))]
     Format {
-        /// Format byte found.
+        /// Format byte of the record.
         format: u8,
     },
-    /// The checksum does not fit.
-    #[snafu(display("the checksum does not fit; the record was damaged on its way"))]
+    /// The checksum does not match.
+    #[snafu(display("record checksum does not match; the record was damaged in transit"))]
     Checksum,
     /// The content cannot be decoded.
-    #[snafu(display("content cannot be decoded: {source}"))]
+    #[snafu(display("record content cannot be decoded: {source}"))]
     Content {
-        /// What the decoder said.
+        /// Error of the decoder.
         source: postcard::Error,
     },
 }
 
 impl Record {
-    /// A record with a new id.
+    /// Creates a record with a random id.
     pub fn new(body: Body) -> Self {
-        Self { id: Id::random(), body }
+        Self {
+            id: RecordId::random(),
+            body,
+        }
     }
 
-    /// Encodes the record: format byte, `postcard` content, checksum.
+    /// Encodes the record as format byte, `postcard` content and checksum.
     pub fn encode(&self) -> Vec<u8> {
-        // Serialising plain data into memory has no way to fail; an empty content is refused by every reader.
+        // Serializing plain data into memory cannot fail; every reader rejects a record with empty content.
         let content = postcard::to_stdvec(self).unwrap_or_default();
-        let mut bytes = Vec::with_capacity(1 + content.len() + CHECKSUM_LEN);
-        bytes.push(FORMAT);
+        let mut bytes = Vec::with_capacity(1 + content.len() + CHECKSUM_BYTES);
+        bytes.push(FORMAT_VERSION);
         bytes.extend_from_slice(&content);
         let checksum = Sha256::digest(&bytes);
-        bytes.extend_from_slice(&checksum[..CHECKSUM_LEN]);
+        bytes.extend_from_slice(&checksum[..CHECKSUM_BYTES]);
         bytes
     }
 
-    /// Decodes what [`Record::encode`] wrote.
+    /// Decodes the output of [`Record::encode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        ensure!(bytes.len() > 1 + CHECKSUM_LEN, ShortSnafu { len: bytes.len() });
-        let (signed, checksum) = bytes.split_at(bytes.len() - CHECKSUM_LEN);
-        ensure!(Sha256::digest(signed)[..CHECKSUM_LEN] == *checksum, ChecksumSnafu);
-        ensure!(signed[0] == FORMAT, FormatSnafu { format: signed[0] });
-        postcard::from_bytes(&signed[1..]).context(ContentSnafu)
+        ensure!(bytes.len() > 1 + CHECKSUM_BYTES, ShortSnafu { len: bytes.len() });
+        let (checked, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
+        ensure!(Sha256::digest(checked)[..CHECKSUM_BYTES] == *checksum, ChecksumSnafu);
+        ensure!(checked[0] == FORMAT_VERSION, FormatSnafu { format: checked[0] });
+        postcard::from_bytes(&checked[1..]).context(ContentSnafu)
     }
 }
 
 impl Publish {
-    /// What the author signs.
+    /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
         statement(sign::Act::Publish, &self.author, self.version, self.base, self.hash)
     }
 }
 
 impl Approve {
-    /// What the author signs.
+    /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
         statement(sign::Act::Approve, &self.author, self.version, self.base, self.hash)
     }
 }
 
 impl Roll {
-    /// What the author signs.
+    /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
         statement(sign::Act::Roll, &self.author, self.version, self.base, self.hash)
     }
--- a/crates/sparscale_journal/src/state.rs
+++ b/crates/sparscale_journal/src/state.rs
@@ -1,4 +1,6 @@
-//! The folded state and its image.
+//! The folded state, and the image of it that snapshots and peers carry.
+//!
+//! Record ids, bindings, strikes and chain digests are kept up to a fixed number each, which limits memory and image size.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,55 +10,55 @@
 use sparscale_place::Map;
 use sparscale_quarantine::{Fingerprint, Strike};
 
-use crate::record::{Approve, Binding, BindingKey, Duty, Id, Publish, Roll};
+use crate::record::{Approve, Binding, BindingKey, Duty, Publish, RecordId, Roll};
 
-/// Record ids that the fold remembers; a writer stops sending a record again long before that many have passed.
-pub(crate) const REMEMBERED_IDS: usize = 4_096;
-/// Strikes that the fold remembers: some 40 bytes each, and an entry looks through them for each request.
-pub(crate) const REMEMBERED_STRIKES: usize = 2_048;
-/// Bindings that the fold remembers; [`crate::Budget`] keeps that above an hour's worth.
-pub(crate) const REMEMBERED_BINDINGS: usize = 16_384;
-/// Chain digests that a reader keeps to check snapshots against.
-pub(crate) const REMEMBERED_CHAIN: usize = 4_096;
+/// Record ids kept to detect duplicates; a writer stops retrying long before this many other records follow.
+pub(crate) const MAX_REMEMBERED_IDS: usize = 4_096;
+/// Strikes kept; each takes about 40 bytes, and an entry scans all of them for each request.
+pub(crate) const MAX_REMEMBERED_STRIKES: usize = 2_048;
+/// Bindings kept; [`crate::Budget`] limits the rate of bindings such that these cover more than an hour.
+pub(crate) const MAX_REMEMBERED_BINDINGS: usize = 16_384;
+/// Chain digests kept to verify snapshots.
+pub(crate) const MAX_CHAIN_DIGESTS: usize = 4_096;
 
-/// A published version that is not in force yet.
+/// A published version that is not active yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
     /// Offset of the publish record.
     pub offset: u64,
-    /// Who published it.
+    /// Operator who published it.
     pub author: String,
     /// Version that it replaces.
     pub base: u64,
-    /// The resulting bundle.
+    /// Bundle that results from the publication.
     pub bundle: Arc<Bundle>,
-    /// Publisher's signature.
+    /// Signature of the publisher.
     pub signature: sign::Signature,
     /// First valid approval.
     pub approval: Option<Approve>,
 }
 
-/// The bundle in force, with the signatures that put it there.
+/// The active bundle with the signatures that authorize it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Certificate {
-    /// The bundle.
+    /// The active bundle.
     pub bundle: Arc<Bundle>,
     /// Version that it replaced.
     pub base: u64,
-    /// Who published it.
+    /// Operator who published it.
     pub publisher: String,
-    /// Publisher's signature.
+    /// Signature of the publisher.
     pub signature: sign::Signature,
     /// Approval by another operator.
     pub approval: Approve,
     /// Offset of the roll record.
     pub offset: u64,
-    /// Who rolled it.
+    /// Operator who rolled it.
     pub roller: String,
 }
 
 impl Certificate {
-    /// Checks both signatures against `operators`.
+    /// Verifies the signatures of publisher and approver against `operators`.
     pub fn verify(&self, operators: &[Operator]) -> Result<(), sign::Error> {
         let statement = sign::Statement {
             act: sign::Act::Publish,
@@ -73,46 +75,46 @@
         };
         if self.approval.author == self.publisher {
             let author = self.publisher.clone();
-            return Err(sign::Error::Mismatch { author });
+            return Err(sign::Error::InvalidSignature { author });
         }
         sign::verify(&approval, &self.approval.signature, operators)
     }
 }
 
-/// Holder of a duty.
+/// Process that holds a duty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// Name of the process.
     pub node: String,
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Its fence: the offset of its claim, plus one.
+    /// Fence of the holder: the offset of its claim, plus one.
     pub fence: u64,
 }
 
-/// The expert map that a group's placer has put in the log.
+/// The latest expert map that a group's placer appended to the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedMap {
     /// Number of the map: the offset of its record, plus one.
     pub number: u64,
-    /// Number of the map before it; 0 for the initial map.
+    /// Number of the previous map; 0 for the initial map.
     pub base: u64,
-    /// The map itself.
+    /// The expert map.
     pub map: Arc<Map>,
-    /// The map before it, which ranks run until they have switched.
+    /// Previous map, which ranks use until they have switched.
     pub before: Option<Arc<Map>>,
 }
 
-/// Everything that the log says, folded.
+/// State that results from folding all records of the log.
 #[derive(Debug, Clone)]
 pub struct State {
     /// Operators who may sign the first bundle.
-    pub(crate) genesis: Arc<Vec<Operator>>,
+    pub(crate) initial_operators: Arc<Vec<Operator>>,
     pub(crate) head: u64,
     pub(crate) chain: [u8; 32],
-    pub(crate) chain_by_offset: VecDeque<(u64, [u8; 32])>,
-    pub(crate) recent: VecDeque<Id>,
-    pub(crate) seen: BTreeSet<Id>,
+    pub(crate) chain_digests: VecDeque<(u64, [u8; 32])>,
+    pub(crate) recent_ids: VecDeque<RecordId>,
+    pub(crate) known_ids: BTreeSet<RecordId>,
     pub(crate) proposals: BTreeMap<u64, Proposal>,
     pub(crate) in_force: Option<Arc<Certificate>>,
     pub(crate) holders: BTreeMap<Duty, Holder>,
@@ -120,15 +122,15 @@
     pub(crate) bindings: BTreeMap<BindingKey, Binding>,
     pub(crate) binding_order: VecDeque<BindingKey>,
     pub(crate) strikes: VecDeque<Strike>,
-    pub(crate) snapshot_at: u64,
+    pub(crate) snapshot_head: u64,
 }
 
-/// What a snapshot carries.
+/// Serializable copy of a [`State`], carried by snapshots and sent to peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Image {
     head: u64,
     chain: [u8; 32],
-    recent: Vec<Id>,
+    recent_ids: Vec<RecordId>,
     proposals: Vec<(u64, Proposal)>,
     in_force: Option<Arc<Certificate>>,
     holders: Vec<(Duty, Holder)>,
@@ -138,15 +140,15 @@
 }
 
 impl State {
-    /// The state before the first record; `genesis` may sign the first bundle.
-    pub fn new(genesis: Vec<Operator>) -> Self {
+    /// Creates the state before the first record; `initial_operators` may sign the first bundle.
+    pub fn new(initial_operators: Vec<Operator>) -> Self {
         Self {
-            genesis: Arc::new(genesis),
+            initial_operators: Arc::new(initial_operators),
             head: 0,
             chain: [0; 32],
-            chain_by_offset: VecDeque::new(),
-            recent: VecDeque::new(),
-            seen: BTreeSet::new(),
+            chain_digests: VecDeque::new(),
+            recent_ids: VecDeque::new(),
+            known_ids: BTreeSet::new(),
             proposals: BTreeMap::new(),
             in_force: None,
             holders: BTreeMap::new(),
@@ -154,46 +156,46 @@
             bindings: BTreeMap::new(),
             binding_order: VecDeque::new(),
             strikes: VecDeque::new(),
-            snapshot_at: 0,
+            snapshot_head: 0,
         }
     }
 
-    /// Offset of the next record to fold.
+    /// Returns the offset of the next record to fold.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Digest over all records folded so far and what became of them.
+    /// Returns the digest over the offsets, ids and effects of all records folded so far.
     pub fn chain(&self) -> [u8; 32] {
         self.chain
     }
 
-    /// The bundle in force.
+    /// Returns the certificate of the active bundle.
     pub fn in_force(&self) -> Option<&Arc<Certificate>> {
         self.in_force.as_ref()
     }
 
-    /// Published versions that are not in force, by version.
+    /// Returns the published versions that are not active, by version.
     pub fn proposals(&self) -> &BTreeMap<u64, Proposal> {
         &self.proposals
     }
 
-    /// Holder of `duty`.
+    /// Returns the holder of `duty`.
     pub fn holder(&self, duty: &Duty) -> Option<&Holder> {
         self.holders.get(duty)
     }
 
-    /// The map that the log holds for the group called `name`.
+    /// Returns the latest map in the log for the group called `name`.
     pub fn map(&self, name: &str) -> Option<&PlacedMap> {
         self.maps.get(name)
     }
 
-    /// The binding of `key`.
+    /// Returns the binding of `key`.
     pub fn binding(&self, key: &BindingKey) -> Option<&Binding> {
         self.bindings.get(key)
     }
 
-    /// Targets that ended under `request`.
+    /// Returns the strikes against `request`: the targets that terminated while they processed it.
     pub fn strikes_of(&self, request: Fingerprint) -> impl Iterator<Item = Strike> {
         self.strikes
             .iter()
@@ -201,28 +203,30 @@
             .copied()
     }
 
-    /// Offset at which the latest snapshot in the log was taken.
-    pub fn snapshot_at(&self) -> u64 {
-        self.snapshot_at
+    /// Returns the head of the state in the latest snapshot.
+    pub fn snapshot_head(&self) -> u64 {
+        self.snapshot_head
     }
 
-    /// Operators whose signatures count now.
+    /// Returns the operators whose signatures are accepted now.
     pub fn operators(&self) -> &[Operator] {
-        let in_force = self.in_force.as_ref();
-        in_force.map_or(&self.genesis, |certificate| &certificate.bundle.fleet().operators)
+        let active = self.in_force.as_ref();
+        active.map_or(&self.initial_operators, |certificate| {
+            &certificate.bundle.fleet().operators
+        })
     }
 
-    /// The image of this state.
+    /// Creates an image of this state.
     pub fn image(&self) -> Image {
-        let in_order = self.binding_order.iter().filter_map(|key| self.bindings.get(key));
+        let ordered_bindings = self.binding_order.iter().filter_map(|key| self.bindings.get(key));
         Image {
             head: self.head,
             chain: self.chain,
-            recent: self.recent.iter().copied().collect(),
+            recent_ids: self.recent_ids.iter().copied().collect(),
             proposals: self
                 .proposals
                 .iter()
-                .map(|(version, found)| (*version, found.clone()))
+                .map(|(version, proposal)| (*version, proposal.clone()))
                 .collect(),
             in_force: self.in_force.clone(),
             holders: self
@@ -235,19 +239,19 @@
                 .iter()
                 .map(|(name, map)| (name.clone(), map.clone()))
                 .collect(),
-            bindings: in_order.cloned().collect(),
+            bindings: ordered_bindings.cloned().collect(),
             strikes: self.strikes.iter().copied().collect(),
         }
     }
 
-    /// The state that `image` was taken of. The certificate is not verified here: see [`crate::Reader`].
-    pub fn from_image(genesis: Vec<Operator>, image: Image) -> Self {
-        let mut state = Self::new(genesis);
+    /// Restores the state from `image`; [`crate::Reader`] verifies the certificate beforehand.
+    pub fn from_image(initial_operators: Vec<Operator>, image: Image) -> Self {
+        let mut state = Self::new(initial_operators);
         state.head = image.head;
-        state.snapshot_at = image.head;
+        state.snapshot_head = image.head;
         state.chain = image.chain;
-        state.seen = image.recent.iter().copied().collect();
-        state.recent = image.recent.into();
+        state.known_ids = image.recent_ids.iter().copied().collect();
+        state.recent_ids = image.recent_ids.into();
         state.proposals = image.proposals.into_iter().collect();
         state.in_force = image.in_force;
         state.holders = image.holders.into_iter().collect();
@@ -259,41 +263,44 @@
             .map(|binding| (binding.key, binding))
             .collect();
         state.strikes = image.strikes.into();
-        state.remember_chain();
+        state.record_chain_digest();
         state
     }
 
-    pub(crate) fn remember_chain(&mut self) {
-        self.chain_by_offset.push_back((self.head, self.chain));
-        if self.chain_by_offset.len() > REMEMBERED_CHAIN {
-            self.chain_by_offset.pop_front();
+    pub(crate) fn record_chain_digest(&mut self) {
+        self.chain_digests.push_back((self.head, self.chain));
+        if self.chain_digests.len() > MAX_CHAIN_DIGESTS {
+            self.chain_digests.pop_front();
         }
     }
 
-    pub(crate) fn chain_at(&self, offset: u64) -> Option<[u8; 32]> {
-        let index = self.chain_by_offset.binary_search_by_key(&offset, |(at, _)| *at).ok()?;
-        self.chain_by_offset.get(index).map(|(_, chain)| *chain)
+    pub(crate) fn chain_digest_at(&self, offset: u64) -> Option<[u8; 32]> {
+        let index = self
+            .chain_digests
+            .binary_search_by_key(&offset, |(head, _)| *head)
+            .ok()?;
+        self.chain_digests.get(index).map(|(_, digest)| *digest)
     }
 }
 
 impl Image {
-    /// Offset of the first record that the image does not contain.
+    /// Returns the offset of the first record that the image does not contain.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// The bundle in force in this image.
+    /// Returns the certificate of the bundle that is active in this image.
     pub fn in_force(&self) -> Option<&Arc<Certificate>> {
         self.in_force.as_ref()
     }
 
     /// Encodes the image for a snapshot record or a peer.
     pub fn encode(&self) -> Vec<u8> {
-        // Serialising plain data into memory has no way to fail; an empty image is refused by every reader.
+        // Serializing plain data into memory cannot fail; every reader rejects an empty image.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes what [`Image::encode`] wrote.
+    /// Decodes the output of [`Image::encode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
