--- a/crates/sparscale_journal/src/writer.rs
+++ b/crates/sparscale_journal/src/writer.rs
@@ -1,4 +1,7 @@
-//! Appends records so that a lost answer never leads to a second effect.
+//! Appends records such that a lost response never causes a second effect.
+//!
+//! After a lost response the writer reads the log to see whether the record is there. It retries under the same record
+//! id, which the fold applies only once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,43 +12,43 @@
 use crate::fold::{Outcome, Verdict};
 use crate::log::{self, Log};
 use crate::reader::{Error as ReaderError, Reader};
-use crate::record::{Id, Record};
+use crate::record::{Record, RecordId};
 
-/// Records asked for in one read.
-const READ_LIMIT: usize = 1_000;
-/// Pause between two tries, doubled up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum number of records per read.
+const MAX_READ_RECORDS: usize = 1_000;
+/// Delay before the first retry, doubled for each further one up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What became of an append.
+/// Result of an append.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settled {
-    /// The log has the record; this is what the fold made of it.
+    /// The log has the record, and the fold has judged it.
     Judged(Receipt),
-    /// The log never took the record.
+    /// The log does not have the record.
     NotAppended {
-        /// What it said.
+        /// Last error of the log.
         message: String,
     },
-    /// No proof was found either way before the deadline.
+    /// The deadline passed before it was known whether the log has the record.
     Unknown {
-        /// Id under which the record may still turn up.
-        id: Id,
-        /// The last trouble.
+        /// Id under which the record may still appear in the log.
+        id: RecordId,
+        /// Last error.
         message: String,
     },
 }
 
-/// Where a record stands and what it did.
+/// Offset and verdict of a record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Receipt {
-    /// Offset of its first copy.
+    /// Offset of the first copy of the record.
     pub offset: u64,
-    /// What the fold made of it.
+    /// Verdict of the fold.
     pub verdict: Verdict,
 }
 
-/// Appends one record at a time and reads on until its verdict is known.
+/// Appends one record at a time and reads the log until the record's verdict is known.
 pub struct Writer {
     log: Arc<dyn Log>,
     reader: Reader,
@@ -60,30 +63,33 @@
 }
 
 impl Writer {
-    /// A writer that folds with `reader`.
+    /// Creates a writer that appends to `log` and folds it with `reader`.
     pub fn new(log: Arc<dyn Log>, reader: Reader) -> Self {
         Self { log, reader }
     }
 
-    /// The reader, as far as it has folded.
+    /// Returns the reader with the state folded so far.
     pub fn reader(&self) -> &Reader {
         &self.reader
     }
 
-    /// Folds the log to its head.
+    /// Folds the log up to its end.
     pub async fn catch_up(&mut self) -> Result<(), CatchUpError> {
-        self.catch_up_judging(|_, _, _| {}).await
+        self.catch_up_with_verdicts(|_, _, _| {}).await
     }
 
-    /// Folds the log to its head; hands each record's offset, bytes and verdict to `judged`.
-    pub async fn catch_up_judging(&mut self, mut judged: impl FnMut(u64, &[u8], &Verdict)) -> Result<(), CatchUpError> {
+    /// Folds the log up to its end and passes the offset, bytes and verdict of each record to `on_verdict`.
+    pub async fn catch_up_with_verdicts(
+        &mut self,
+        mut on_verdict: impl FnMut(u64, &[u8], &Verdict),
+    ) -> Result<(), CatchUpError> {
         loop {
             let from = self.reader.state().head();
-            let batch = self.log.read(from, READ_LIMIT, Duration::ZERO).await?;
-            let bytes_at = |offset: u64| batch.entries.iter().find(|entry| entry.offset == offset);
+            let batch = self.log.read(from, MAX_READ_RECORDS, Duration::ZERO).await?;
+            let entry_at = |offset: u64| batch.entries.iter().find(|entry| entry.offset == offset);
             let judge = |offset: u64, outcome: &Outcome| {
-                let data = bytes_at(offset).map(|entry| entry.data.as_ref()).unwrap_or_default();
-                judged(offset, data, &outcome.verdict);
+                let data = entry_at(offset).map(|entry| entry.data.as_ref()).unwrap_or_default();
+                on_verdict(offset, data, &outcome.verdict);
             };
             self.reader.fold(&batch, judge, |_alarm| {})?;
             let head = self.reader.state().head();
@@ -97,19 +103,19 @@
         }
     }
 
-    /// Appends `record` and folds on until it is judged or `deadline` passes.
+    /// Appends `record` and folds the log until the record is judged or `deadline` passes.
     ///
-    /// An answer that is lost is settled by reading on; the record is appended again, under the same id, only when
-    /// it is not in the log yet. A copy that turns up later is counted once.
+    /// After a lost response the log is read; the record is appended again, under the same id, only if the log does
+    /// not contain it yet. The fold ignores a copy that appears later.
     pub async fn submit(&mut self, record: &Record, deadline: Instant) -> Settled {
         let data = Bytes::from(record.encode());
         let mut maybe_appended = false;
-        let mut pause = FIRST_PAUSE;
+        let mut delay = INITIAL_RETRY_DELAY;
         loop {
-            let trouble = match self.log.append(data.clone()).await {
+            let failure = match self.log.append(data.clone()).await {
                 Ok(_) => {
                     maybe_appended = true;
-                    "the log has it, but cannot be read".to_owned()
+                    "the log accepted the record but could not be read".to_owned()
                 }
                 Err(log::Error::Lost { message }) => {
                     maybe_appended = true;
@@ -117,22 +123,22 @@
                 }
                 Err(log::Error::Refused { message }) => message,
             };
-            if maybe_appended && let Some(receipt) = self.find(record.id).await {
+            if maybe_appended && let Some(receipt) = self.find_receipt(record.id).await {
                 return Settled::Judged(receipt);
             }
-            if Instant::now() + pause >= deadline {
-                return give_up(record.id, maybe_appended, trouble);
+            if Instant::now() + delay >= deadline {
+                return unjudged(record.id, maybe_appended, failure);
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    async fn find(&mut self, id: Id) -> Option<Receipt> {
+    async fn find_receipt(&mut self, id: RecordId) -> Option<Receipt> {
         let mut found = None;
         loop {
             let from = self.reader.state().head();
-            let batch = self.log.read(from, READ_LIMIT, Duration::ZERO).await.ok()?;
+            let batch = self.log.read(from, MAX_READ_RECORDS, Duration::ZERO).await.ok()?;
             let judge = |offset: u64, outcome: &Outcome| {
                 if found.is_none() && outcome.id == Some(id) {
                     let verdict = outcome.verdict.clone();
@@ -147,26 +153,26 @@
     }
 }
 
-fn give_up(id: Id, maybe_appended: bool, message: String) -> Settled {
+fn unjudged(id: RecordId, maybe_appended: bool, message: String) -> Settled {
     if maybe_appended {
         return Settled::Unknown { id, message };
     }
     Settled::NotAppended { message }
 }
 
-/// Why the log could not be folded to its head.
+/// Failure to fold the log up to its end.
 #[derive(Debug, snafu::Snafu)]
 pub enum CatchUpError {
-    /// The log did not answer.
+    /// The log could not be read.
     #[snafu(context(false), display("{source}"))]
     Log {
-        /// What it said.
+        /// Error of the log.
         source: log::Error,
     },
     /// The records cannot be folded.
     #[snafu(context(false), display("{source}"))]
     Fold {
-        /// What the reader said.
+        /// Error of the reader.
         source: ReaderError,
     },
 }
--- a/crates/sparscale_journal/tests/journal/common.rs
+++ b/crates/sparscale_journal/tests/journal/common.rs
@@ -1,13 +1,13 @@
-//! Operators, bundles and records for tests of the fold.
+//! Fixtures for the tests: operators, bundles and records.
 
 use sparscale_bundle::sign::{self, Act, Statement};
 use sparscale_bundle::{
     Bundle, Delta, Document, Fleet, Group, Hall, Hash, KeyHash, Limits, Model, Operator, Placement, Target, Tier,
     Workspace,
 };
-use sparscale_journal::{Approve, Body, Content, Id, Publish, Record, Roll};
+use sparscale_journal::{Approve, Body, Content, Publish, Record, RecordId, Roll};
 
-/// An operator with its secret key.
+/// An operator with a secret key.
 pub struct Signer {
     pub name: String,
     secret: String,
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// The public side of [`signers`].
+/// The public keys of [`signers`] as operators of a bundle.
 pub fn operators() -> Vec<Operator> {
     let public = |signer: Signer| Operator {
         key: sign::public_text(&sign::secret_key(&signer.secret).expect("a key")),
@@ -84,31 +84,31 @@
     }
 }
 
-/// A record whose id follows from `number`.
+/// Encodes a record whose id is derived from `number`.
 pub fn record(number: u64, body: Body) -> Vec<u8> {
     let mut id = [0; 16];
     id[..8].copy_from_slice(&number.to_be_bytes());
-    let id = Id::from_bytes(id);
+    let id = RecordId::from_bytes(id);
     Record { id, body }.encode()
 }
 
-/// A valid bundle whose content depends on `flavour`.
-pub fn bundle(version: u64, flavour: u32) -> Bundle {
-    Bundle::try_from(document(version, flavour)).expect("a valid bundle")
+/// A valid bundle whose content depends on `variant`.
+pub fn bundle(version: u64, variant: u32) -> Bundle {
+    Bundle::try_from(document(version, variant)).expect("a valid bundle")
 }
 
-pub fn document(version: u64, flavour: u32) -> Document {
+pub fn document(version: u64, variant: u32) -> Document {
     let workspace = |index: u32| Workspace {
         name: format!("workspace-{index}"),
         tier: "gold".to_owned(),
-        weight: 1 + flavour,
+        weight: 1 + variant,
         key_hashes: vec![KeyHash::of(&format!("key-{index}"))],
         in_flight: 10,
     };
     Document {
         version,
         fleet: fleet(),
-        workspaces: (0..3 + flavour % 3).map(workspace).collect(),
+        workspaces: (0..3 + variant % 3).map(workspace).collect(),
     }
 }
 
--- a/crates/sparscale_journal/tests/journal/log_fold.rs
+++ b/crates/sparscale_journal/tests/journal/log_fold.rs
@@ -1,4 +1,4 @@
-//! The fold: the same state everywhere, versions only rise, nothing unapproved comes in force.
+//! Tests of the fold: all readers reach the same state, versions never decrease, no unapproved bundle becomes active.
 #![expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 
 use crate::common::{Signer, bundle, operators, record, signers};
@@ -7,42 +7,62 @@
 use sparscale_bundle::Bundle;
 use sparscale_journal::{Batch, Body, Claim, Duty, Entry, Reader, Refusal, Snapshot, State, Verdict};
 
-/// What an operator or process does next, on the state that it last saw.
+/// Next action of an operator or process, based on the state that it last read.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    Publish { operator: u8, ahead: u8, flavour: u8 },
-    Approve { operator: u8 },
-    Roll { operator: u8 },
-    Claim { node: u8 },
-    Copy { back: u8 },
-    Damage { back: u8 },
-    Forge { operator: u8 },
+enum Action {
+    Publish {
+        operator: u8,
+        skipped_versions: u8,
+        variant: u8,
+    },
+    Approve {
+        operator: u8,
+    },
+    Roll {
+        operator: u8,
+    },
+    Claim {
+        node: u8,
+    },
+    Duplicate {
+        distance: u8,
+    },
+    Damage {
+        distance: u8,
+    },
+    Forge {
+        operator: u8,
+    },
     Snapshot,
 }
 
-impl Arbitrary for Act {
+impl Arbitrary for Action {
     fn arbitrary(g: &mut Gen) -> Self {
         let operator = u8::arbitrary(g) % 3;
         match u8::arbitrary(g) % 16 {
             0..4 => Self::Publish {
                 operator,
-                ahead: u8::arbitrary(g) % 3,
-                flavour: u8::arbitrary(g) % 4,
+                skipped_versions: u8::arbitrary(g) % 3,
+                variant: u8::arbitrary(g) % 4,
             },
             4..8 => Self::Approve { operator },
             8..11 => Self::Roll { operator },
             11 => Self::Claim { node: operator },
-            12 => Self::Copy { back: u8::arbitrary(g) },
-            13 => Self::Damage { back: u8::arbitrary(g) },
+            12 => Self::Duplicate {
+                distance: u8::arbitrary(g),
+            },
+            13 => Self::Damage {
+                distance: u8::arbitrary(g),
+            },
             14 => Self::Forge { operator },
             _ => Self::Snapshot,
         }
     }
 }
 
-/// A history: acts, each on a state that may lag behind by some records.
+/// A sequence of actions, each based on a state that may lag behind the log by up to three records.
 #[derive(Clone, Debug)]
-struct History(Vec<(Act, u8)>);
+struct History(Vec<(Action, u8)>);
 
 impl Arbitrary for History {
     fn arbitrary(g: &mut Gen) -> Self {
@@ -54,25 +74,25 @@
     }
 }
 
-/// Lets every act happen and returns the log that comes of it.
+/// Performs every action and returns the resulting log.
 fn write(history: &History) -> Vec<Vec<u8>> {
     let mut log: Vec<Vec<u8>> = Vec::new();
-    for (act, lag) in &history.0 {
-        let seen = log.len().saturating_sub(usize::from(lag % 4));
-        let state = fold(&log[..seen]);
-        if let Some(data) = data_of(*act, &state, &log) {
+    for (action, lag) in &history.0 {
+        let read_to = log.len().saturating_sub(usize::from(lag % 4));
+        let state = fold(&log[..read_to]);
+        if let Some(data) = encoded_record(*action, &state, &log) {
             log.push(data);
         }
     }
     log
 }
 
-fn data_of(act: Act, state: &State, log: &[Vec<u8>]) -> Option<Vec<u8>> {
+fn encoded_record(action: Action, state: &State, log: &[Vec<u8>]) -> Option<Vec<u8>> {
     let signers = signers();
     let number = log.len() as u64;
     let base = state.in_force().map(|certificate| certificate.bundle.as_ref().clone());
     let base_version = base.as_ref().map_or(0, Bundle::version);
-    let waiting = || {
+    let pending_bundle = || {
         state
             .proposals()
             .values()
@@ -80,18 +100,18 @@
             .map(|proposal| proposal.bundle.as_ref().clone())
     };
     let signer = |index: u8| -> &Signer { &signers[usize::from(index)] };
-    let body = match act {
-        Act::Publish {
+    let body = match action {
+        Action::Publish {
             operator,
-            ahead,
-            flavour,
+            skipped_versions,
+            variant,
         } => {
-            let next = bundle(base_version + 1 + u64::from(ahead), u32::from(flavour));
-            signer(operator).publish(base.as_ref(), &next)
+            let new_bundle = bundle(base_version + 1 + u64::from(skipped_versions), u32::from(variant));
+            signer(operator).publish(base.as_ref(), &new_bundle)
         }
-        Act::Approve { operator } => signer(operator).approve(base_version, &waiting()?),
-        Act::Roll { operator } => signer(operator).roll(base_version, &waiting()?),
-        Act::Claim { node } => Body::Claim(Claim {
+        Action::Approve { operator } => signer(operator).approve(base_version, &pending_bundle()?),
+        Action::Roll { operator } => signer(operator).roll(base_version, &pending_bundle()?),
+        Action::Claim { node } => Body::Claim(Claim {
             duty: Duty::Placer("lark-a".to_owned()),
             node: node.to_string(),
             incarnation: 1,
@@ -99,16 +119,16 @@
                 .holder(&Duty::Placer("lark-a".to_owned()))
                 .map_or(0, |holder| holder.fence),
         }),
-        Act::Copy { back } => return log.get(usize::from(back) % log.len().max(1)).cloned(),
-        Act::Damage { back } => {
-            let mut data = log.get(usize::from(back) % log.len().max(1))?.clone();
+        Action::Duplicate { distance } => return log.get(usize::from(distance) % log.len().max(1)).cloned(),
+        Action::Damage { distance } => {
+            let mut data = log.get(usize::from(distance) % log.len().max(1))?.clone();
             let middle = data.len() / 2;
             data[middle] ^= 0x55;
             return Some(data);
         }
-        Act::Forge { operator } => forged(signer(operator), &bundle(base_version + 1, 1), base.as_ref()),
-        Act::Snapshot => Body::Snapshot(Snapshot {
-            at: state.head(),
+        Action::Forge { operator } => forged(signer(operator), &bundle(base_version + 1, 1), base.as_ref()),
+        Action::Snapshot => Body::Snapshot(Snapshot {
+            head: state.head(),
             chain: state.chain(),
             image: state.image().encode(),
         }),
@@ -116,7 +136,7 @@
     Some(record(number, body))
 }
 
-/// A publish record under another operator's name.
+/// A publish record whose author is not the operator who signed it.
 fn forged(signer: &Signer, next: &Bundle, base: Option<&Bundle>) -> Body {
     let mut body = signer.publish(base, next);
     if let Body::Publish(publish) = &mut body {
@@ -150,7 +170,7 @@
     }
 }
 
-fn same(left: &State, right: &State) -> bool {
+fn is_same_state(left: &State, right: &State) -> bool {
     left.chain() == right.chain() && left.image() == right.image()
 }
 
@@ -162,8 +182,8 @@
 }
 
 #[test]
-fn versions_rise() {
-    fn rise(history: History) -> bool {
+fn versions_never_decrease() {
+    fn never_decrease(history: History) -> bool {
         let log = write(&history);
         let mut state = State::new(operators());
         let mut version = 0;
@@ -179,12 +199,12 @@
         }
         true
     }
-    check(rise, 21, 400);
+    check(never_decrease, 21, 400);
 }
 
 #[test]
-fn bundles_come_in_force() {
-    // Guards the other properties: histories that never roll anything would prove nothing.
+fn histories_activate_bundles() {
+    // The other properties would pass vacuously if the generated histories rarely activated a bundle.
     let mut g = Gen::from_size_and_seed(40, 22);
     let rolled = (0..100)
         .filter(|_| fold(&write(&History::arbitrary(&mut g))).in_force().is_some())
@@ -192,12 +212,12 @@
     assert!(rolled > 20, "only {rolled} of 100 histories rolled a bundle");
 }
 
-/// Readers that see copies, old batches again and holes end in the same state.
+/// Readers that receive duplicates, old batches and batches with gaps reach the same state.
 #[test]
-fn readers_agree() {
+fn readers_reach_same_state() {
     fn agree(history: History) -> bool {
         let log = write(&history);
-        let whole = fold(&log);
+        let expected = fold(&log);
         let mut reader = Reader::new(operators());
         for (index, (_, lag)) in history.0.iter().enumerate() {
             let end = index.min(log.len());
@@ -210,37 +230,37 @@
                 return false;
             }
         }
-        let rest = batch(&log, 0, 0);
-        reader.fold(&rest, |_, _| {}, |_| {}).is_ok() && same(reader.state(), &whole)
+        let complete = batch(&log, 0, 0);
+        reader.fold(&complete, |_, _| {}, |_| {}).is_ok() && is_same_state(reader.state(), &expected)
     }
     check(agree, 23, 300);
 }
 
-/// After any truncation, a new reader starts from a snapshot to the same state, or says that it cannot.
+/// After any truncation of the log, a new reader reaches the same state from a snapshot or returns an error.
 #[test]
-fn snapshot_bridges() {
-    fn bridge(history: History) -> bool {
+fn snapshot_covers_expired_records() {
+    fn covers(history: History) -> bool {
         let log = write(&history);
-        let whole = fold(&log);
+        let expected = fold(&log);
         (0..log.len()).all(|earliest| {
             let mut reader = Reader::new(operators());
             let read = batch(&log, 0, earliest);
             match reader.fold(&read, |_, _| {}, |_| {}) {
-                Ok(_) => same(reader.state(), &whole),
+                Ok(_) => is_same_state(reader.state(), &expected),
                 Err(_) => reader.state().head() == 0,
             }
         })
     }
-    check(bridge, 24, 100);
+    check(covers, 24, 100);
 }
 
 #[test]
-fn differing_snapshot() {
+fn differing_snapshot_is_reported() {
     let mut state = State::new(operators());
     let first = bundle(1, 0);
     state.apply(0, &record(0, signers()[0].publish(None, &first)));
     let snapshot = Snapshot {
-        at: 1,
+        head: 1,
         chain: [9; 32],
         image: Vec::new(),
     };
@@ -249,7 +269,7 @@
 }
 
 #[test]
-fn copy_counts_once() {
+fn duplicate_has_no_effect() {
     let mut state = State::new(operators());
     let claim = |over| {
         Body::Claim(Claim {
@@ -268,15 +288,15 @@
 }
 
 #[test]
-fn loser_learns_winner() {
+fn refusal_names_winner() {
     let signers = signers();
     let mut state = State::new(operators());
-    let theirs = bundle(1, 0);
-    let ours = bundle(1, 1);
-    state.apply(0, &record(0, signers[0].publish(None, &theirs)));
-    let outcome = state.apply(1, &record(1, signers[1].publish(None, &ours)));
+    let first_published = bundle(1, 0);
+    let second_published = bundle(1, 1);
+    state.apply(0, &record(0, signers[0].publish(None, &first_published)));
+    let outcome = state.apply(1, &record(1, signers[1].publish(None, &second_published)));
     let Verdict::Refused(refusal) = outcome.verdict else {
-        panic!("the second publish of a version is refused");
+        panic!("the second publication of a version must be rejected");
     };
     assert_eq!(
         refusal,
@@ -286,29 +306,40 @@
             offset: 0
         }
     );
-    let other_content = state.apply(2, &record(2, signers[1].approve(0, &ours)));
+    let other_content = state.apply(2, &record(2, signers[1].approve(0, &second_published)));
     assert!(matches!(
         other_content.verdict,
         Verdict::Refused(Refusal::OtherContent { .. })
     ));
-    let own = state.apply(3, &record(3, signers[0].approve(0, &theirs)));
-    assert!(matches!(own.verdict, Verdict::Refused(Refusal::SelfApproval { .. })));
-    let early = state.apply(4, &record(4, signers[0].roll(0, &theirs)));
-    assert!(matches!(early.verdict, Verdict::Refused(Refusal::NotApproved { .. })));
+    let self_approval = state.apply(3, &record(3, signers[0].approve(0, &first_published)));
+    assert!(matches!(
+        self_approval.verdict,
+        Verdict::Refused(Refusal::SelfApproval { .. })
+    ));
+    let unapproved_roll = state.apply(4, &record(4, signers[0].roll(0, &first_published)));
+    assert!(matches!(
+        unapproved_roll.verdict,
+        Verdict::Refused(Refusal::NotApproved { .. })
+    ));
     assert_eq!(
-        state.apply(5, &record(5, signers[1].approve(0, &theirs))).verdict,
+        state
+            .apply(5, &record(5, signers[1].approve(0, &first_published)))
+            .verdict,
         Verdict::Accepted
     );
     assert_eq!(
-        state.apply(6, &record(6, signers[2].roll(0, &theirs))).verdict,
+        state.apply(6, &record(6, signers[2].roll(0, &first_published))).verdict,
         Verdict::Accepted
     );
-    let again = state.apply(7, &record(7, signers[0].roll(0, &theirs)));
-    assert!(matches!(again.verdict, Verdict::Refused(Refusal::NotNewer { .. })));
+    let repeated_roll = state.apply(7, &record(7, signers[0].roll(0, &first_published)));
+    assert!(matches!(
+        repeated_roll.verdict,
+        Verdict::Refused(Refusal::NotNewer { .. })
+    ));
 }
 
 #[test]
-fn older_image_refused() {
+fn older_or_untrusted_image_is_rejected() {
     let signers = signers();
     let first = bundle(1, 0);
     let second = bundle(2, 1);
@@ -320,20 +351,23 @@
         record(4, signers[1].approve(1, &second)),
         record(5, signers[0].roll(1, &second)),
     ];
-    let old = fold(&log[..3]).image().encode();
+    let old_image = fold(&log[..3]).image().encode();
     let mut reader = Reader::new(operators());
     let adopted = reader.adopt(&fold(&log).image().encode());
     assert_eq!(adopted, Ok(()));
     assert!(
-        reader.adopt(&old).is_err(),
-        "a peer's older state must not bring an older version back"
+        reader.adopt(&old_image).is_err(),
+        "a peer's older state must not restore an older bundle version"
     );
     let mut ahead = Reader::new(operators());
     assert_eq!(ahead.adopt(&fold(&log[..5]).image().encode()), Ok(()));
     assert!(
         ahead.adopt(&fold(&log[..4]).image().encode()).is_err(),
-        "same version, but records would be lost"
+        "the image has the same version but lacks folded records"
+    );
+    let untrusted = Reader::new(operators().into_iter().rev().take(1).collect()).adopt(&old_image);
+    assert!(
+        untrusted.is_err(),
+        "an image signed by unknown operators must be rejected"
     );
-    let stranger = Reader::new(operators().into_iter().rev().take(1).collect()).adopt(&old);
-    assert!(stranger.is_err(), "an image signed by unknown operators is refused");
 }
--- a/crates/sparscale_journal/tests/journal/lost_answers.rs
+++ b/crates/sparscale_journal/tests/journal/lost_responses.rs
@@ -1,4 +1,4 @@
-//! A lost answer of an append never leads to a second effect, and the writer tells the truth about it.
+//! Appends whose requests or responses are lost take effect at most once, and the writer reports their outcome correctly.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use sparscale_journal::{Batch, Entry, Log, LogError, Reader, Receipt, Record, Settled, Verdict, Writer};
 use tokio::time::Instant;
 
-/// How the log treats one call.
+/// Behavior of the log in one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Habit {
-    Answer,
-    Refuse,
-    LoseBefore,
-    LoseAfter,
+enum Behavior {
+    Respond,
+    Reject,
+    LoseRequest,
+    LoseResponse,
 }
 
-impl Arbitrary for Habit {
+impl Arbitrary for Behavior {
     fn arbitrary(g: &mut Gen) -> Self {
-        let all = [Self::Answer, Self::Refuse, Self::LoseBefore, Self::LoseAfter];
+        let all = [Self::Respond, Self::Reject, Self::LoseRequest, Self::LoseResponse];
         *g.choose(&all).expect("not empty")
     }
 }
 
-/// A log in memory that treats each append as its list of habits says, and answers when the list is used up.
-struct MoodyLog {
+/// An in-memory log that takes the behavior of each call from a list, and responds normally once the list is empty.
+struct FaultyLog {
     records: Mutex<Vec<Bytes>>,
-    appends: Mutex<Vec<Habit>>,
-    reads: Mutex<Vec<Habit>>,
+    appends: Mutex<Vec<Behavior>>,
+    reads: Mutex<Vec<Behavior>>,
 }
 
-impl MoodyLog {
-    fn next(habits: &Mutex<Vec<Habit>>) -> Habit {
-        habits.lock().expect("no panic").pop().unwrap_or(Habit::Answer)
+impl FaultyLog {
+    fn next_behavior(behaviors: &Mutex<Vec<Behavior>>) -> Behavior {
+        behaviors.lock().expect("no panic").pop().unwrap_or(Behavior::Respond)
     }
 }
 
@@ -52,17 +52,17 @@
 }
 
 #[async_trait]
-impl Log for MoodyLog {
+impl Log for FaultyLog {
     async fn append(&self, data: Bytes) -> Result<u64, LogError> {
-        let habit = Self::next(&self.appends);
-        match habit {
-            Habit::Refuse => return Err(refused()),
-            Habit::LoseBefore => return Err(lost()),
-            Habit::Answer | Habit::LoseAfter => {}
+        let behavior = Self::next_behavior(&self.appends);
+        match behavior {
+            Behavior::Reject => return Err(refused()),
+            Behavior::LoseRequest => return Err(lost()),
+            Behavior::Respond | Behavior::LoseResponse => {}
         }
         let mut records = self.records.lock().expect("no panic");
         records.push(data);
-        if habit == Habit::LoseAfter {
+        if behavior == Behavior::LoseResponse {
             Err(lost())
         } else {
             Ok(records.len() as u64 - 1)
@@ -70,7 +70,7 @@
     }
 
     async fn read(&self, from: u64, limit: usize, _wait: Duration) -> Result<Batch, LogError> {
-        if Self::next(&self.reads) != Habit::Answer {
+        if Self::next_behavior(&self.reads) != Behavior::Respond {
             return Err(lost());
         }
         let records = self.records.lock().expect("no panic");
@@ -87,43 +87,45 @@
     }
 }
 
-fn settles_truly(appends: Vec<Habit>, reads: Vec<Habit>) -> bool {
+fn reports_true_outcome(appends: Vec<Behavior>, reads: Vec<Behavior>) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let log = Arc::new(MoodyLog {
+        let log = Arc::new(FaultyLog {
             records: Mutex::default(),
             appends: Mutex::new(appends.into_iter().take(6).collect()),
             reads: Mutex::new(reads.into_iter().take(6).collect()),
         });
         let first = bundle(1, 0);
         let record = Record::new(signers()[0].publish(None, &first));
-        let mut writer = Writer::new(Arc::<MoodyLog>::clone(&log), Reader::new(operators()));
-        let settled = writer.submit(&record, Instant::now() + Duration::from_secs(3)).await;
-        let copies = log.records.lock().expect("no panic").clone();
+        let mut writer = Writer::new(Arc::<FaultyLog>::clone(&log), Reader::new(operators()));
+        let outcome = writer.submit(&record, Instant::now() + Duration::from_secs(3)).await;
+        let records = log.records.lock().expect("no panic").clone();
         let mut state = sparscale_journal::State::new(operators());
-        let verdicts: Vec<Verdict> = copies
+        let verdicts: Vec<Verdict> = records
             .iter()
             .enumerate()
             .map(|(offset, data)| state.apply(offset as u64, data).verdict)
             .collect();
-        let effects = verdicts.iter().filter(|verdict| **verdict == Verdict::Accepted).count();
-        let truthful = match settled {
-            Settled::Judged(Receipt { offset, verdict }) => offset == 0 && verdict == Verdict::Accepted && effects == 1,
-            Settled::NotAppended { .. } => copies.is_empty(),
-            Settled::Unknown { .. } => effects <= 1,
+        let effect_count = verdicts.iter().filter(|verdict| **verdict == Verdict::Accepted).count();
+        let is_truthful = match outcome {
+            Settled::Judged(Receipt { offset, verdict }) => {
+                offset == 0 && verdict == Verdict::Accepted && effect_count == 1
+            }
+            Settled::NotAppended { .. } => records.is_empty(),
+            Settled::Unknown { .. } => effect_count <= 1,
         };
-        truthful && effects <= 1
+        is_truthful && effect_count <= 1
     })
 }
 
 #[test]
-fn one_effect() {
+fn append_takes_effect_at_most_once() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(8, 31))
         .tests(300)
-        .quickcheck(settles_truly as fn(Vec<Habit>, Vec<Habit>) -> bool);
+        .quickcheck(reports_true_outcome as fn(Vec<Behavior>, Vec<Behavior>) -> bool);
 }
--- a/crates/sparscale_journal/tests/journal/main.rs
+++ b/crates/sparscale_journal/tests/journal/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the log: its fold, and appends whose answers are lost.
+//! Tests of the log: the fold, appends whose responses are lost, and a log restored from an older copy.
 
 mod common;
 mod log_fold;
-mod lost_answers;
+mod lost_responses;
 mod restored_log;
--- a/crates/sparscale_journal/tests/journal/restored_log.rs
+++ b/crates/sparscale_journal/tests/journal/restored_log.rs
@@ -1,19 +1,19 @@
-//! A log that is restored from an older copy and has grown past what a process had folded.
+//! A log is restored from an older copy and then grows beyond the head of a process that had folded the lost records.
 //!
-//! Nothing in its offsets shows that: the records between the copy and the process's head were replaced. The next snapshot
-//! does, since it carries the digest of the whole chain.
+//! The offsets do not show that the records after the copy were replaced. The next snapshot does, because it carries
+//! the digest of the whole chain.
 
 use bytes::Bytes;
 use sparscale_journal::{Alarm, Batch, Body, Entry, Reader, Snapshot, State};
 
 use crate::common::{bundle, operators, record, signers};
 
-/// Records that the copy still had.
-const COPIED: usize = 2;
+/// Records that the restored copy contains.
+const RESTORED_RECORDS: usize = 2;
 
-fn history(flavour: u32) -> Vec<Vec<u8>> {
+fn history(variant: u32) -> Vec<Vec<u8>> {
     let first = bundle(1, 0);
-    let second = bundle(2, flavour);
+    let second = bundle(2, variant);
     let signers = signers();
     let bodies = [
         signers[0].publish(None, &first),
@@ -23,10 +23,10 @@
     ];
     let numbered = bodies.into_iter().enumerate();
     let number = |index: usize| {
-        if index < COPIED {
+        if index < RESTORED_RECORDS {
             index
         } else {
-            index + 10 * flavour as usize
+            index + 10 * variant as usize
         }
     };
     numbered
@@ -46,7 +46,7 @@
     }
 }
 
-/// The log's digest of all its records, as a process appends it that has folded them.
+/// Appends the snapshot that a process writes after it has folded all of `log`.
 fn with_snapshot(mut log: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
     let mut state = State::new(operators());
     for (offset, data) in log.iter().enumerate() {
@@ -54,7 +54,7 @@
     }
     let image = state.image();
     let snapshot = Snapshot {
-        at: image.head(),
+        head: image.head(),
         chain: state.chain(),
         image: image.encode(),
     };
@@ -62,30 +62,37 @@
     log
 }
 
-/// The alarms of a process that has folded `known`, and then reads on in `log`.
+/// Returns the alarms of a process that has folded `known` and then reads on in `log`.
 fn alarms(known: &[Vec<u8>], log: &[Vec<u8>]) -> Vec<Alarm> {
     let mut reader = Reader::new(operators());
     let mut alarms = Vec::new();
     reader
         .fold(&batch(known, 0), |_, _| {}, |_| {})
-        .expect("the log as it was");
+        .expect("the original log folds");
     reader
         .fold(&batch(log, known.len()), |_, _| {}, |alarm| alarms.push(alarm))
-        .expect("the log as it is");
+        .expect("the restored log folds");
     alarms
 }
 
 #[test]
-fn snapshot_tells() {
+fn snapshot_reveals_restored_log() {
     let before = history(1);
     let after = with_snapshot(history(2));
-    assert_eq!(before[..COPIED], after[..COPIED], "the copy");
-    let told = alarms(&before, &after);
-    assert!(matches!(told[..], [Alarm::SnapshotDiffers { offset: 4 }]), "{told:?}");
+    assert_eq!(
+        before[..RESTORED_RECORDS],
+        after[..RESTORED_RECORDS],
+        "both logs must share the restored records"
+    );
+    let raised = alarms(&before, &after);
+    assert!(
+        matches!(raised[..], [Alarm::SnapshotDiffers { offset: 4 }]),
+        "{raised:?}"
+    );
 }
 
 #[test]
-fn same_log_silent() {
-    let told = alarms(&history(1), &with_snapshot(history(1)));
-    assert!(told.is_empty(), "{told:?}");
+fn unchanged_log_raises_no_alarm() {
+    let raised = alarms(&history(1), &with_snapshot(history(1)));
+    assert!(raised.is_empty(), "{raised:?}");
 }
