--- a/crates/sparscale_bundle/src/check.rs
+++ b/crates/sparscale_bundle/src/check.rs
@@ -140,13 +140,13 @@
 }
 
 fn workspace_problems(workspace: &Workspace, tiers: &BTreeSet<&str>, problems: &mut Vec<Problem>) {
-    let field = |field: &str| format!("workspaces[{}].{field}", workspace.name);
-    require_known(field("tier"), &workspace.tier, "tier", tiers, problems);
-    require_positive(&field("weight"), u64::from(workspace.weight), problems);
-    require_positive(&field("in_flight"), u64::from(workspace.in_flight), problems);
+    let path_of = |field: &str| format!("workspaces[{}].{field}", workspace.name);
+    require_known(path_of("tier"), &workspace.tier, "tier", tiers, problems);
+    require_positive(&path_of("weight"), u64::from(workspace.weight), problems);
+    require_positive(&path_of("in_flight"), u64::from(workspace.in_flight), problems);
     if workspace.key_hashes.is_empty() {
         problems.push(Problem::new(
-            field("key_hashes"),
+            path_of("key_hashes"),
             "is empty",
             "add the SHA-256 of a caller key",
         ));
@@ -181,7 +181,7 @@
         ));
     }
     for operator in &fleet.operators {
-        if sign::public_key(&operator.key).is_none() {
+        if sign::parse_public_key(&operator.key).is_none() {
             let field = format!("operators[{}].key", operator.name);
             problems.push(Problem::new(
                 field,
@@ -210,21 +210,25 @@
     let targets = name_set(fleet.targets.iter().map(|target| &target.name));
     let mut assigned_targets = BTreeSet::new();
     for group in &fleet.groups {
-        let field = |field: &str| format!("groups[{}].{field}", group.name);
-        require_known(field("model"), &group.model, "model", &models, problems);
+        let path_of = |field: &str| format!("groups[{}].{field}", group.name);
+        require_known(path_of("model"), &group.model, "model", &models, problems);
         for rank in &group.ranks {
-            require_known(field("ranks"), rank, "target", &targets, problems);
+            require_known(path_of("ranks"), rank, "target", &targets, problems);
             if !assigned_targets.insert(rank.as_str()) {
                 let problem = format!("target {rank} already is a rank of a group");
-                problems.push(Problem::new(field("ranks"), problem, "assign each target to one rank"));
+                problems.push(Problem::new(
+                    path_of("ranks"),
+                    problem,
+                    "assign each target to one rank",
+                ));
             }
         }
-        require_positive(&field("layers"), u64::from(group.layers), problems);
-        require_positive(&field("experts"), u64::from(group.experts), problems);
+        require_positive(&path_of("layers"), u64::from(group.layers), problems);
+        require_positive(&path_of("experts"), u64::from(group.experts), problems);
         let total_slots = u64::from(group.slots) * group.ranks.len() as u64;
         if total_slots < u64::from(group.experts) {
             let problem = format!("{total_slots} slots cannot hold {} experts", group.experts);
-            problems.push(Problem::new(field("slots"), problem, "raise slots or add ranks"));
+            problems.push(Problem::new(path_of("slots"), problem, "raise slots or add ranks"));
         }
     }
 }
@@ -237,14 +241,14 @@
         .flat_map(|group| group.ranks.iter().map(String::as_str))
         .collect();
     for service in &fleet.services {
-        let field = |field: &str| format!("services[{}].{field}", service.name);
-        check_names(&field("calls"), service.calls.iter().map(|call| &call.name), problems);
+        let path_of = |field: &str| format!("services[{}].{field}", service.name);
+        check_names(&path_of("calls"), service.calls.iter().map(|call| &call.name), problems);
         for target in &service.targets {
-            require_known(field("targets"), target, "target", &targets, problems);
+            require_known(path_of("targets"), target, "target", &targets, problems);
             if ranks.contains(target.as_str()) {
                 let problem = format!("target {target} is a rank of a group");
                 problems.push(Problem::new(
-                    field("targets"),
+                    path_of("targets"),
                     problem,
                     "assign a target to the service that is not a rank",
                 ));
--- a/crates/sparscale_bundle/src/sign.rs
+++ b/crates/sparscale_bundle/src/sign.rs
@@ -67,7 +67,7 @@
 }
 
 /// Parses a public key from 64 hexadecimal digits.
-pub fn public_key(text: &str) -> Option<VerifyingKey> {
+pub fn parse_public_key(text: &str) -> Option<VerifyingKey> {
     let mut bytes = [0; 32];
     hex::decode_to_slice(text.trim(), &mut bytes).ok()?;
     VerifyingKey::from_bytes(&bytes).ok()
@@ -87,7 +87,7 @@
 pub fn verify(statement: &Statement, signature: &Signature, operators: &[Operator]) -> Result<(), Error> {
     let author = &statement.author;
     let operator = operators.iter().find(|operator| operator.name == *author);
-    let key = operator.and_then(|operator| public_key(&operator.key));
+    let key = operator.and_then(|operator| parse_public_key(&operator.key));
     let Some(key) = key else {
         return UnknownOperatorSnafu { author }.fail();
     };
--- a/crates/sparscale_cli/src/bundle.rs
+++ b/crates/sparscale_cli/src/bundle.rs
@@ -91,11 +91,11 @@
 pub(crate) async fn publish(settings: &Settings, path: &Path) -> Result<Report, Error> {
     let bundle = load(path)?;
     let mut writer = settings.writer().await?;
-    let in_force = writer.reader().state().in_force().cloned();
-    let base = in_force.as_ref().map_or(0, |certificate| certificate.bundle.version());
+    let active = writer.reader().state().active_certificate().cloned();
+    let base = active.as_ref().map_or(0, |certificate| certificate.bundle.version());
     let version = bundle.version();
     let hash = bundle.hash();
-    let content = match &in_force {
+    let content = match &active {
         Some(certificate) => Content::Delta(Delta::between(&certificate.bundle, &bundle)),
         None => Content::Whole(bundle),
     };
@@ -229,7 +229,7 @@
 }
 
 fn status_of(state: &State) -> Status {
-    let in_force = state.in_force().map(|certificate| ActiveVersion {
+    let in_force = state.active_certificate().map(|certificate| ActiveVersion {
         version: certificate.bundle.version(),
         hash: certificate.bundle.hash().to_string(),
         published_by: certificate.publisher.clone(),
--- a/crates/sparscale_cli/src/operator.rs
+++ b/crates/sparscale_cli/src/operator.rs
@@ -52,7 +52,7 @@
             ));
         }
         for operator in &self.operators {
-            if sign::public_key(&operator.key).is_none() {
+            if sign::parse_public_key(&operator.key).is_none() {
                 let remedy = "paste the 64 hexadecimal digits that `sparscale key new` prints";
                 problems.push(Problem::new(
                     format!("operators[{}].key", operator.name),
--- a/crates/sparscale_control/src/boxes.rs
+++ b/crates/sparscale_control/src/boxes.rs
@@ -75,7 +75,7 @@
 
 /// Source of the box list.
 #[async_trait]
-pub trait Boxes: Send + Sync + 'static {
+pub trait BoxListSource: Send + Sync + 'static {
     /// Reads the list; returns `None` if it has not changed since the last read.
     async fn read(&mut self) -> Result<Option<Listing>, Error>;
 }
@@ -123,7 +123,7 @@
 }
 
 #[async_trait]
-impl Boxes for HttpBoxes {
+impl BoxListSource for HttpBoxes {
     async fn read(&mut self) -> Result<Option<Listing>, Error> {
         let read = tokio::time::timeout(READ_TIMEOUT, self.exchange()).await;
         read.map_err(|_elapsed| error("timed out"))?
@@ -159,7 +159,7 @@
 }
 
 /// Reads `boxes` every `interval` and publishes each change in the returned channel until all receivers are dropped.
-pub fn watch_boxes(mut boxes: Box<dyn Boxes>, interval: Duration) -> watch::Receiver<Arc<Listing>> {
+pub fn watch_boxes(mut boxes: Box<dyn BoxListSource>, interval: Duration) -> watch::Receiver<Arc<Listing>> {
     let (sender, receiver) = watch::channel(Arc::default());
     tokio::spawn(async move {
         while !sender.is_closed() {
@@ -168,9 +168,7 @@
                     sender.send_replace(Arc::new(listing));
                 }
                 Ok(None) => {}
-                Err(error) => {
-                    log::warn!(error = error.to_string().as_str(); "box list cannot be read; the previous list remains in use")
-                }
+                Err(error) => log::warn!(error = error.to_string().as_str(); "cannot read box list; keeping old list"),
             }
             tokio::time::sleep(interval).await;
         }
--- a/crates/sparscale_control/src/follower.rs
+++ b/crates/sparscale_control/src/follower.rs
@@ -248,11 +248,11 @@
 }
 
 async fn append_snapshot(journal: Arc<Journal>, appending: Arc<AtomicBool>) {
-    let (chain, image) = journal.with_state(|state| (state.chain(), state.image()));
+    let (chain_digest, image) = journal.with_state(|state| (state.chain_digest(), state.image()));
     let head = image.head();
     let snapshot = Snapshot {
         head,
-        chain,
+        chain_digest,
         image: image.encode(),
     };
     let result = journal.submit(Body::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
--- a/crates/sparscale_control/src/journal.rs
+++ b/crates/sparscale_control/src/journal.rs
@@ -102,7 +102,7 @@
 
     /// Returns the certificate of the active bundle.
     pub fn in_force(&self) -> Option<Arc<Certificate>> {
-        self.with_state(|state| state.in_force().cloned())
+        self.with_state(|state| state.active_certificate().cloned())
     }
 
     /// Returns the offset of the next record to fold.
--- a/crates/sparscale_control/src/lib.rs
+++ b/crates/sparscale_control/src/lib.rs
@@ -11,7 +11,7 @@
 mod relay;
 mod topology;
 
-pub use boxes::{Boxes, Error as BoxesError, HttpBoxes, ListedBox, Listing, Role, Standing, watch_boxes};
+pub use boxes::{BoxListSource, Error as BoxListError, HttpBoxes, ListedBox, Listing, Role, Standing, watch_boxes};
 pub use follower::{Follower, Settings};
 pub use journal::{Journal, SubmitError};
 pub use relay::serve as serve_follower;
--- a/crates/sparscale_control/src/process.rs
+++ b/crates/sparscale_control/src/process.rs
@@ -114,7 +114,7 @@
             problems.push(Problem::new("snapshot_every", "is below 16", remedy));
         }
         for operator in &raw.operators {
-            if sign::public_key(&operator.key).is_none() {
+            if sign::parse_public_key(&operator.key).is_none() {
                 let remedy = "paste the 64 hexadecimal digits that `sparscale key new` prints";
                 problems.push(Problem::new(
                     format!("operators[{}].key", operator.name),
--- a/crates/sparscale_journal/src/fold.rs
+++ b/crates/sparscale_journal/src/fold.rs
@@ -257,11 +257,11 @@
 
     fn advance(&mut self, offset: u64, id: Option<RecordId>, accepted: bool) {
         let mut digest = Sha256::new();
-        digest.update(self.chain);
+        digest.update(self.chain_digest);
         digest.update(offset.to_be_bytes());
         digest.update(id.map_or([0; 16], |id| *id.as_bytes()));
         digest.update([u8::from(accepted)]);
-        self.chain = digest.finalize().into();
+        self.chain_digest = digest.finalize().into();
         self.head = offset + 1;
         self.record_chain_digest();
     }
@@ -289,7 +289,10 @@
         let bundle = match &publish.content {
             Content::Whole(bundle) => bundle.clone(),
             Content::Delta(delta) => {
-                let base = self.in_force.as_ref().context(NoBaseSnafu { base: publish.base })?;
+                let base = self
+                    .active_certificate
+                    .as_ref()
+                    .context(NoBaseSnafu { base: publish.base })?;
                 let applied = delta.apply(&base.bundle, publish.version);
                 applied.map_err(|error| content_refusal(error.to_string()))?
             }
@@ -331,7 +334,7 @@
         let approval = proposal.approval.clone().context(NotApprovedSnafu { version })?;
         let certificate = proposal.certificate(roll, approval, offset);
         self.retain_fitting_maps(certificate.bundle.fleet());
-        self.in_force = Some(Arc::new(certificate));
+        self.active_certificate = Some(Arc::new(certificate));
         // All other proposals have a base that is no longer active.
         self.proposals.clear();
         Ok(())
@@ -340,7 +343,7 @@
     /// Removes the maps of groups whose ranks or dimensions changed; such a group starts from its initial map again.
     fn retain_fitting_maps(&mut self, fleet: &Fleet) {
         let old_fleet = self
-            .in_force
+            .active_certificate
             .as_ref()
             .map(|certificate| Arc::clone(certificate.bundle.fleet()));
         let Some(old_fleet) = old_fleet else { return };
@@ -388,7 +391,10 @@
                 latest: number
             }
         );
-        let fleet = self.in_force.as_ref().map(|certificate| certificate.bundle.fleet());
+        let fleet = self
+            .active_certificate
+            .as_ref()
+            .map(|certificate| certificate.bundle.fleet());
         let fits = fleet
             .and_then(|fleet| fleet.group(&change.group))
             .is_some_and(|group| change.map.fits(shape(group)));
@@ -442,7 +448,7 @@
 
     fn check_snapshot(&mut self, snapshot: &Snapshot) -> Verdict {
         let own_digest = self.chain_digest_at(snapshot.head);
-        if own_digest.is_some_and(|digest| digest != snapshot.chain) {
+        if own_digest.is_some_and(|digest| digest != snapshot.chain_digest) {
             return Verdict::SnapshotDiffers;
         }
         self.snapshot_head = self.snapshot_head.max(snapshot.head);
@@ -457,7 +463,7 @@
     }
 
     fn require_base(&self, base: u64) -> Result<(), Refusal> {
-        match &self.in_force {
+        match &self.active_certificate {
             Some(certificate) if certificate.bundle.version() != base => StaleBaseSnafu {
                 base,
                 version: certificate.bundle.version(),
@@ -471,7 +477,7 @@
     }
 
     fn require_newer(&self, version: u64) -> Result<(), Refusal> {
-        let Some(certificate) = &self.in_force else {
+        let Some(certificate) = &self.active_certificate else {
             return Ok(());
         };
         ensure!(
--- a/crates/sparscale_journal/src/reader.rs
+++ b/crates/sparscale_journal/src/reader.rs
@@ -118,7 +118,7 @@
             message: error.to_string(),
         })?;
         let head = self.state.head();
-        if image.head() <= head && (head > 0 || image.in_force().is_none()) {
+        if image.head() <= head && (head > 0 || image.active_certificate().is_none()) {
             return OlderSnafu {
                 image: image.head(),
                 head,
@@ -132,10 +132,10 @@
 
     /// Checks the signatures of the image's bundle and rejects a bundle older than the active one.
     fn verify(&self, image: &Image) -> Result<(), Error> {
-        let Some(certificate) = image.in_force() else {
+        let Some(certificate) = image.active_certificate() else {
             return Ok(());
         };
-        if let Some(active) = self.state.in_force() {
+        if let Some(active) = self.state.active_certificate() {
             if certificate.bundle.version() < active.bundle.version() {
                 return OlderSnafu {
                     image: image.head(),
--- a/crates/sparscale_journal/src/record.rs
+++ b/crates/sparscale_journal/src/record.rs
@@ -210,7 +210,7 @@
     /// Offset of the first record that the image does not contain.
     pub head: u64,
     /// Chain digest at that offset; readers compare it with their own.
-    pub chain: [u8; 32],
+    pub chain_digest: [u8; 32],
     /// Encoded image; empty when a peer relays the record to a reader that already has the state.
     pub image: Vec<u8>,
 }
--- a/crates/sparscale_journal/src/state.rs
+++ b/crates/sparscale_journal/src/state.rs
@@ -111,12 +111,12 @@
     /// Operators who may sign the first bundle.
     pub(crate) initial_operators: Arc<Vec<Operator>>,
     pub(crate) head: u64,
-    pub(crate) chain: [u8; 32],
+    pub(crate) chain_digest: [u8; 32],
     pub(crate) chain_digests: VecDeque<(u64, [u8; 32])>,
     pub(crate) recent_ids: VecDeque<RecordId>,
     pub(crate) known_ids: BTreeSet<RecordId>,
     pub(crate) proposals: BTreeMap<u64, Proposal>,
-    pub(crate) in_force: Option<Arc<Certificate>>,
+    pub(crate) active_certificate: Option<Arc<Certificate>>,
     pub(crate) holders: BTreeMap<Duty, Holder>,
     pub(crate) maps: BTreeMap<String, PlacedMap>,
     pub(crate) bindings: BTreeMap<BindingKey, Binding>,
@@ -129,10 +129,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Image {
     head: u64,
-    chain: [u8; 32],
+    chain_digest: [u8; 32],
     recent_ids: Vec<RecordId>,
     proposals: Vec<(u64, Proposal)>,
-    in_force: Option<Arc<Certificate>>,
+    active_certificate: Option<Arc<Certificate>>,
     holders: Vec<(Duty, Holder)>,
     maps: Vec<(String, PlacedMap)>,
     bindings: Vec<Binding>,
@@ -145,12 +145,12 @@
         Self {
             initial_operators: Arc::new(initial_operators),
             head: 0,
-            chain: [0; 32],
+            chain_digest: [0; 32],
             chain_digests: VecDeque::new(),
             recent_ids: VecDeque::new(),
             known_ids: BTreeSet::new(),
             proposals: BTreeMap::new(),
-            in_force: None,
+            active_certificate: None,
             holders: BTreeMap::new(),
             maps: BTreeMap::new(),
             bindings: BTreeMap::new(),
@@ -166,13 +166,13 @@
     }
 
     /// Returns the digest over the offsets, ids and effects of all records folded so far.
-    pub fn chain(&self) -> [u8; 32] {
-        self.chain
+    pub fn chain_digest(&self) -> [u8; 32] {
+        self.chain_digest
     }
 
     /// Returns the certificate of the active bundle.
-    pub fn in_force(&self) -> Option<&Arc<Certificate>> {
-        self.in_force.as_ref()
+    pub fn active_certificate(&self) -> Option<&Arc<Certificate>> {
+        self.active_certificate.as_ref()
     }
 
     /// Returns the published versions that are not active, by version.
@@ -210,7 +210,7 @@
 
     /// Returns the operators whose signatures are accepted now.
     pub fn operators(&self) -> &[Operator] {
-        let active = self.in_force.as_ref();
+        let active = self.active_certificate.as_ref();
         active.map_or(&self.initial_operators, |certificate| {
             &certificate.bundle.fleet().operators
         })
@@ -221,14 +221,14 @@
         let ordered_bindings = self.binding_order.iter().filter_map(|key| self.bindings.get(key));
         Image {
             head: self.head,
-            chain: self.chain,
+            chain_digest: self.chain_digest,
             recent_ids: self.recent_ids.iter().copied().collect(),
             proposals: self
                 .proposals
                 .iter()
                 .map(|(version, proposal)| (*version, proposal.clone()))
                 .collect(),
-            in_force: self.in_force.clone(),
+            active_certificate: self.active_certificate.clone(),
             holders: self
                 .holders
                 .iter()
@@ -249,11 +249,11 @@
         let mut state = Self::new(initial_operators);
         state.head = image.head;
         state.snapshot_head = image.head;
-        state.chain = image.chain;
+        state.chain_digest = image.chain_digest;
         state.known_ids = image.recent_ids.iter().copied().collect();
         state.recent_ids = image.recent_ids.into();
         state.proposals = image.proposals.into_iter().collect();
-        state.in_force = image.in_force;
+        state.active_certificate = image.active_certificate;
         state.holders = image.holders.into_iter().collect();
         state.maps = image.maps.into_iter().collect();
         state.binding_order = image.bindings.iter().map(|binding| binding.key).collect();
@@ -268,7 +268,7 @@
     }
 
     pub(crate) fn record_chain_digest(&mut self) {
-        self.chain_digests.push_back((self.head, self.chain));
+        self.chain_digests.push_back((self.head, self.chain_digest));
         if self.chain_digests.len() > MAX_CHAIN_DIGESTS {
             self.chain_digests.pop_front();
         }
@@ -290,8 +290,8 @@
     }
 
     /// Returns the certificate of the bundle that is active in this image.
-    pub fn in_force(&self) -> Option<&Arc<Certificate>> {
-        self.in_force.as_ref()
+    pub fn active_certificate(&self) -> Option<&Arc<Certificate>> {
+        self.active_certificate.as_ref()
     }
 
     /// Encodes the image for a snapshot record or a peer.
--- a/crates/sparscale_journal/src/writer.rs
+++ b/crates/sparscale_journal/src/writer.rs
@@ -127,7 +127,7 @@
                 return Settled::Judged(receipt);
             }
             if Instant::now() + delay >= deadline {
-                return unjudged(record.id, maybe_appended, failure);
+                return outcome_without_verdict(record.id, maybe_appended, failure);
             }
             tokio::time::sleep(delay).await;
             delay = (delay * 2).min(MAX_RETRY_DELAY);
@@ -153,7 +153,7 @@
     }
 }
 
-fn unjudged(id: RecordId, maybe_appended: bool, message: String) -> Settled {
+fn outcome_without_verdict(id: RecordId, maybe_appended: bool, message: String) -> Settled {
     if maybe_appended {
         return Settled::Unknown { id, message };
     }
--- a/crates/sparscale_journal/tests/journal/log_fold.rs
+++ b/crates/sparscale_journal/tests/journal/log_fold.rs
@@ -90,7 +90,9 @@
 fn encoded_record(action: Action, state: &State, log: &[Vec<u8>]) -> Option<Vec<u8>> {
     let signers = signers();
     let number = log.len() as u64;
-    let base = state.in_force().map(|certificate| certificate.bundle.as_ref().clone());
+    let base = state
+        .active_certificate()
+        .map(|certificate| certificate.bundle.as_ref().clone());
     let base_version = base.as_ref().map_or(0, Bundle::version);
     let pending_bundle = || {
         state
@@ -129,7 +131,7 @@
         Action::Forge { operator } => forged(signer(operator), &bundle(base_version + 1, 1), base.as_ref()),
         Action::Snapshot => Body::Snapshot(Snapshot {
             head: state.head(),
-            chain: state.chain(),
+            chain_digest: state.chain_digest(),
             image: state.image().encode(),
         }),
     };
@@ -171,7 +173,7 @@
 }
 
 fn is_same_state(left: &State, right: &State) -> bool {
-    left.chain() == right.chain() && left.image() == right.image()
+    left.chain_digest() == right.chain_digest() && left.image() == right.image()
 }
 
 fn check(property: fn(History) -> bool, seed: u64, tests: u64) {
@@ -189,7 +191,9 @@
         let mut version = 0;
         for (offset, data) in log.iter().enumerate() {
             state.apply(offset as u64, data);
-            let Some(certificate) = state.in_force() else { continue };
+            let Some(certificate) = state.active_certificate() else {
+                continue;
+            };
             let approved =
                 certificate.verify(&operators()).is_ok() && certificate.approval.author != certificate.publisher;
             if certificate.bundle.version() < version || !approved {
@@ -207,7 +211,7 @@
     // The other properties would pass vacuously if the generated histories rarely activated a bundle.
     let mut g = Gen::from_size_and_seed(40, 22);
     let rolled = (0..100)
-        .filter(|_| fold(&write(&History::arbitrary(&mut g))).in_force().is_some())
+        .filter(|_| fold(&write(&History::arbitrary(&mut g))).active_certificate().is_some())
         .count();
     assert!(rolled > 20, "only {rolled} of 100 histories rolled a bundle");
 }
@@ -261,7 +265,7 @@
     state.apply(0, &record(0, signers()[0].publish(None, &first)));
     let snapshot = Snapshot {
         head: 1,
-        chain: [9; 32],
+        chain_digest: [9; 32],
         image: Vec::new(),
     };
     let outcome = state.apply(1, &record(1, Body::Snapshot(snapshot)));
--- a/crates/sparscale_journal/tests/journal/restored_log.rs
+++ b/crates/sparscale_journal/tests/journal/restored_log.rs
@@ -55,7 +55,7 @@
     let image = state.image();
     let snapshot = Snapshot {
         head: image.head(),
-        chain: state.chain(),
+        chain_digest: state.chain_digest(),
         image: image.encode(),
     };
     log.push(record(99, Body::Snapshot(snapshot)));
