--- a/crates/sparscale_bundle/src/sign.rs
+++ b/crates/sparscale_bundle/src/sign.rs
@@ -96,7 +96,7 @@
 }
 
 fn signed_message(statement: &Statement) -> Vec<u8> {
-    // Serializing plain data into memory cannot fail; a signature over an empty statement authorizes nothing.
+    // Serializing plain data into memory cannot fail; no valid statement has an empty encoding.
     let encoded = postcard::to_stdvec(statement).unwrap_or_default();
     [b"sparscale statement 1".as_slice(), &encoded].concat()
 }
--- a/crates/sparscale_cli/src/key.rs
+++ b/crates/sparscale_cli/src/key.rs
@@ -26,7 +26,7 @@
 pub(crate) fn new(path: &Path) -> Result<Report, Error> {
     let key = sign::new_key();
     let mut options = OpenOptions::new();
-    // `create_new` prevents that an existing key is overwritten.
+    // `create_new` fails if the file exists, so that no key is overwritten.
     options.write(true).create_new(true).mode(0o600);
     let mut file = options.open(path).context(WriteSnafu { path })?;
     writeln!(file, "{}", hex::encode(key.to_bytes())).context(WriteSnafu { path })?;
--- a/crates/sparscale_control/src/follower.rs
+++ b/crates/sparscale_control/src/follower.rs
@@ -28,7 +28,9 @@
 const MAX_LOG_AGE: Duration = Duration::from_secs(6);
 /// Time after which a fallback source is abandoned so that the best source is attempted again.
 const FALLBACK_DURATION: Duration = Duration::from_secs(5);
-/// Delay before the sources are attempted again, with jitter; doubled up to [`MAX_RETRY_DELAY`] while no record arrives.
+/// Delay before the sources are attempted again; doubled up to [`MAX_RETRY_DELAY`] while the head does not advance.
+///
+/// Jitter keeps the processes from reconnecting at the same time.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Maximum size of a folded state received from a peer.
--- a/crates/sparscale_control/src/journal.rs
+++ b/crates/sparscale_control/src/journal.rs
@@ -128,8 +128,8 @@
 
     /// Returns whether all records that the log held when this process first queried it are folded.
     ///
-    /// Queries the log itself, once: the head that peers report may be outdated by as long as they, or this process, were
-    /// frozen.
+    /// Queries the log itself, once: the head that a peer reports may be as old as the time for which the peer or this
+    /// process was frozen.
     pub async fn confirm_head(&self) -> bool {
         let known_end = self.initial_log_end.get().copied();
         let end = match known_end {
@@ -245,7 +245,7 @@
         let mut relay = lock(&self.relay);
         for entry in entries {
             if let Ok(record) = Record::decode(&entry.data) {
-                lock(&self.budget).record(RecordKind::of(&record.body), now);
+                lock(&self.budget).record_append(RecordKind::of(&record.body), now);
             }
             let entry = without_image(&entry);
             relay.bytes += entry.data.len();
--- a/crates/sparscale_control/src/process.rs
+++ b/crates/sparscale_control/src/process.rs
@@ -182,7 +182,9 @@
     }
 }
 
-/// Combines microseconds since 1970 with random low bits: unique, and higher than in an earlier run unless the clock was set back.
+/// Combines the microseconds since 1970 with random low bits.
+///
+/// The result is unique, and higher than that of an earlier run unless the clock was set back.
 fn new_incarnation() -> u64 {
     let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
--- a/crates/sparscale_journal/src/budget.rs
+++ b/crates/sparscale_journal/src/budget.rs
@@ -36,7 +36,7 @@
         Self::Strike,
     ];
 
-    /// Returns how many appends the whole fleet may make per [`WINDOW`]; all kinds together use less than half of the log's rate.
+    /// Returns the fleet's append limit per [`WINDOW`]; all kinds together stay below half of the log's rate.
     pub fn fleet_limit(self) -> usize {
         match self {
             Self::Operator | Self::Claim => 100,
@@ -71,7 +71,7 @@
 
 impl Budget {
     /// Records an append of `kind`, either read from the log or about to be made by this process.
-    pub fn record(&mut self, kind: RecordKind, now: Duration) {
+    pub fn record_append(&mut self, kind: RecordKind, now: Duration) {
         let append_times = &mut self.append_times[kind as usize];
         append_times.push_back(now);
         drop_expired(append_times, now);
@@ -86,7 +86,7 @@
         let append_times = &mut self.append_times[kind as usize];
         drop_expired(append_times, now);
         if append_times.len() < kind.fleet_limit() {
-            self.record(kind, now);
+            self.record_append(kind, now);
             return Ok(());
         }
         let oldest = append_times.front().copied().unwrap_or(now);
--- a/crates/sparscale_journal/src/state.rs
+++ b/crates/sparscale_journal/src/state.rs
@@ -1,6 +1,6 @@
 //! The folded state, and the image of it that snapshots and peers carry.
 //!
-//! Record ids, bindings, strikes and chain digests are kept up to a fixed number each, which limits memory and image size.
+//! The numbers of record ids, bindings, strikes and chain digests are limited, and with them memory and image size.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/crates/sparscale_journal/tests/journal/lost_responses.rs
+++ b/crates/sparscale_journal/tests/journal/lost_responses.rs
@@ -1,4 +1,4 @@
-//! Appends whose requests or responses are lost take effect at most once, and the writer reports their outcome correctly.
+//! An append whose request or response is lost takes effect at most once, and the writer reports its outcome correctly.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
