--- a/crates/sparscale_cli/src/bundle.rs
+++ b/crates/sparscale_cli/src/bundle.rs
@@ -217,7 +217,7 @@
         }
         Outcome::NotAppended { trouble } => (
             Exit::NotAppended,
-            format!("not appended: the log did not take the record ({trouble}); nothing changed, try again"),
+            format!("not appended: the log does not have the record ({trouble}); nothing changed, retry later"),
         ),
     };
     Report::new(exit, text, outcome)
--- a/crates/sparscale_journal/src/fold.rs
+++ b/crates/sparscale_journal/src/fold.rs
@@ -428,8 +428,8 @@
 
     /// Records a strike; for a known strike only the standing may change, from counting to cleared.
     fn record_strike(&mut self, strike: Strike) {
-        let same = |known: &&mut Strike| (known.request, known.end) == (strike.request, strike.end);
-        if let Some(known) = self.strikes.iter_mut().find(same) {
+        let is_same_strike = |known: &&mut Strike| (known.request, known.end) == (strike.request, strike.end);
+        if let Some(known) = self.strikes.iter_mut().find(is_same_strike) {
             known.standing = known.standing.max(strike.standing);
             return;
         }
--- a/crates/sparscale_journal/tests/journal/log_fold.rs
+++ b/crates/sparscale_journal/tests/journal/log_fold.rs
@@ -194,9 +194,9 @@
             let Some(certificate) = state.active_certificate() else {
                 continue;
             };
-            let approved =
+            let is_approved =
                 certificate.verify(&operators()).is_ok() && certificate.approval.author != certificate.publisher;
-            if certificate.bundle.version() < version || !approved {
+            if certificate.bundle.version() < version || !is_approved {
                 return false;
             }
             version = certificate.bundle.version();
