--- a/crates/sparscale_quarantine/src/fingerprint.rs
+++ b/crates/sparscale_quarantine/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request is, whoever sends it again and through which process.
+//! Identifies a request by its content, independent of the caller that sends it and the process that receives it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,24 @@
 use sha2::{Digest as _, Sha256};
 use snafu::Snafu;
 
-/// Bytes of a fingerprint: enough that no two requests share one by chance.
-const LENGTH: usize = 16;
-/// Digits of a fingerprint that are shown in logs.
-const SHOWN: usize = 12;
+/// Length of a fingerprint: enough to rule out collisions between requests by chance.
+const LENGTH_BYTES: usize = 16;
+/// Hexadecimal digits of a fingerprint that are shown in logs.
+const LOG_DIGITS: usize = 12;
 
-/// A text is no fingerprint, or names no end.
+/// A text is not the hexadecimal form of a [`Fingerprint`] or of an [`End`](crate::End).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("neither digits nor as many as are due"))]
-pub struct Unreadable;
+#[snafu(display("not a hexadecimal number of the expected length"))]
+pub struct ParseError;
 
-/// A digest of a request's method, path, workspace and body. Ids, deadlines and other headers differ each time that a
-/// caller sends the same request, so they are not in it.
+/// A digest of a request's method, path, workspace and body.
+///
+/// Ids, deadlines and other headers are excluded, because they differ each time a caller sends the same request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; LENGTH_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request; `path` with its query, `workspace` if the request has one.
+    /// Computes the fingerprint of a request; `path` includes the query, `workspace` is `None` for a request without one.
     pub fn of(method: &str, path: &str, workspace: Option<&str>, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [
@@ -32,30 +33,30 @@
             workspace.unwrap_or_default().as_bytes(),
             body,
         ] {
-            // Lengths keep parts apart: the end of one is not taken for the beginning of the next.
+            // The length prefix makes the encoding unambiguous: bytes cannot move from one part to the next.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
         let digest = hasher.finalize();
-        let mut bytes = [0; LENGTH];
-        bytes.copy_from_slice(&digest[..LENGTH]);
+        let mut bytes = [0; LENGTH_BYTES];
+        bytes.copy_from_slice(&digest[..LENGTH_BYTES]);
         Self(bytes)
     }
 
-    /// The beginning of it, for logs.
+    /// Returns the first digits of the fingerprint, for logs.
     pub fn short(&self) -> String {
         let mut text = self.to_string();
-        text.truncate(SHOWN);
+        text.truncate(LOG_DIGITS);
         text
     }
 }
 
 impl FromStr for Fingerprint {
-    type Err = Unreadable;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Unreadable> {
-        let mut bytes = [0; LENGTH];
-        hex::decode_to_slice(text, &mut bytes).map_err(|_digits| Unreadable)?;
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let mut bytes = [0; LENGTH_BYTES];
+        hex::decode_to_slice(text, &mut bytes).map_err(|_digits| ParseError)?;
         Ok(Self(bytes))
     }
 }
--- a/crates/sparscale_quarantine/src/lib.rs
+++ b/crates/sparscale_quarantine/src/lib.rs
@@ -1,14 +1,15 @@
-//! Requests that crash the targets which run them, recognised when they come again.
+//! Recognizes requests that crash the targets which run them, so that they are held back when they are sent again.
 //!
-//! A request is known by its [`Fingerprint`], a start of a target that ended under it by its [`End`]; both together are a
-//! [`Strike`]. Strikes are facts that only add up: processes that learn them in any order, any number of times and from
-//! anyone agree, so they can be told from process to process and read back from a store. A [`Register`] holds what one
-//! process knows and decides which requests are held back, for how long. Pure: times go in, no clock is read.
+//! A [`Strike`] records that the start of a target identified by an [`End`] terminated while it ran the request with a given
+//! [`Fingerprint`]. Strikes are only ever added or cleared, and merging them is commutative and idempotent: processes that
+//! receive them in any order, any number of times and from any source reach the same state. They can therefore be exchanged
+//! between processes and read back from a store. A [`Register`] holds the strikes that one process knows and decides which
+//! requests are held back, and for how long. It performs no I/O and reads no clock: callers pass the time in.
 
 mod fingerprint;
-mod register;
 mod strike;
+mod tracker;
 
-pub use fingerprint::{Fingerprint, Unreadable};
-pub use register::{Hold, News, Register};
+pub use fingerprint::{Fingerprint, ParseError};
 pub use strike::{End, Standing, Strike};
+pub use tracker::{Hold, News, Register};
--- a/crates/sparscale_quarantine/src/strike.rs
+++ b/crates/sparscale_quarantine/src/strike.rs
@@ -1,4 +1,4 @@
-//! A target that ended under a request.
+//! The record that a target terminated while it ran a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,16 @@
 use serde::{Deserialize, Serialize};
 use sparscale_catalog::Start;
 
-use crate::fingerprint::{Fingerprint, Unreadable};
+use crate::fingerprint::{Fingerprint, ParseError};
 
-/// Which start of which target ended. All processes that saw one end name it alike, so it counts once.
+/// Identifies the start of a target that terminated.
+///
+/// All processes that observe the same termination derive the same value, so it counts once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct End(u64);
 
 impl End {
-    /// The end of the start of `target` that began at `born_ms`, if targets tell that.
+    /// Identifies the start of `target` at `born_ms`; `None` if targets do not report when they started.
     pub fn of(target: &str, born_ms: Option<u64>) -> Self {
         Self::from(Start::of(target, born_ms))
     }
@@ -26,10 +28,10 @@
 }
 
 impl FromStr for End {
-    type Err = Unreadable;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Unreadable> {
-        u64::from_str_radix(text, 16).map(Self).map_err(|_digits| Unreadable)
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        u64::from_str_radix(text, 16).map(Self).map_err(|_digits| ParseError)
     }
 }
 
@@ -45,24 +47,27 @@
     }
 }
 
-/// Whether a strike speaks against its request.
+/// Whether a strike counts against its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// It does.
+    /// It counts.
+    #[serde(rename = "Counts")]
     Counts,
-    /// The request has been answered often enough since. This is final.
+    /// It no longer counts, because the request has received enough complete responses since. This is final.
     Cleared,
 }
 
-/// A target ended while it had a request.
+/// One termination of a target while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
-    /// The request.
+    /// The request that the target ran.
     pub request: Fingerprint,
-    /// What ended.
+    /// The start of the target that terminated.
+    #[serde(rename = "end")]
     pub end: End,
-    /// When, in milliseconds since 1970 by the clock of the process that saw it.
+    /// Time of the termination, in milliseconds since 1970 by the clock of the process that observed it.
     pub at_ms: u64,
-    /// Whether it counts.
+    /// Whether the strike counts against the request.
+    #[serde(rename = "standing")]
     pub standing: Standing,
 }
--- a/crates/sparscale_quarantine/tests/held_requests.rs
+++ b/crates/sparscale_quarantine/tests/held_requests.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back, for how long, and what clears them.
+//! Tests which requests are held back, for how long, and what clears their strikes.
 
 use std::time::Duration;
 
@@ -22,21 +22,21 @@
     }
 }
 
-fn register(strikes: &[Strike]) -> Register {
-    let mut register = Register::default();
+fn tracker_of(strikes: &[Strike]) -> Register {
+    let mut tracker = Register::default();
     for strike in strikes {
-        register.take_in(*strike, News::Seen, NOW_MS);
+        tracker.take_in(*strike, News::Seen, NOW_MS);
     }
-    register
+    tracker
 }
 
-fn held(register: &Register, name: &str, now_ms: u64) -> Option<Duration> {
-    register.held(&request(name), now_ms).map(|hold| hold.left)
+fn remaining_hold(tracker: &Register, name: &str, now_ms: u64) -> Option<Duration> {
+    tracker.held(&request(name), now_ms).map(|hold| hold.left)
 }
 
-/// The parts of a request make it: each matters, and none runs into the next.
+/// Each part of a request changes the fingerprint, and bytes that move from one part to the next change it too.
 #[test]
-fn parts_matter() {
+fn fingerprint_covers_parts() {
     let of = |method, path, workspace, body: &str| Fingerprint::of(method, path, workspace, body.as_bytes());
     let base = of("POST", "/a/b", Some("teal"), "body");
     assert_eq!(base, of("POST", "/a/b", Some("teal"), "body"));
@@ -53,101 +53,105 @@
     assert_eq!(base.to_string().parse(), Ok(base));
 }
 
-/// One end proves nothing, seen by however many processes; a second one does for a while, a third for long.
+/// One termination does not hold a request, however many processes observe it; a second one holds it for a minute, a third
+/// for a day.
 #[test]
-fn counted_by_target() {
-    let mut register = register(&[strike("a", 1, NOW_MS), strike("a", 1, NOW_MS + 5)]);
-    assert_eq!(held(&register, "a", NOW_MS), None);
-    register.take_in(strike("a", 2, NOW_MS), News::Told, NOW_MS);
-    assert_eq!(held(&register, "a", NOW_MS), Some(Duration::from_mins(1)));
+fn holds_by_termination_count() {
+    let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("a", 1, NOW_MS + 5)]);
+    assert_eq!(remaining_hold(&tracker, "a", NOW_MS), None);
+    tracker.take_in(strike("a", 2, NOW_MS), News::Told, NOW_MS);
+    assert_eq!(remaining_hold(&tracker, "a", NOW_MS), Some(Duration::from_mins(1)));
     assert_eq!(
-        held(&register, "a", NOW_MS + MINUTE_MS),
+        remaining_hold(&tracker, "a", NOW_MS + MINUTE_MS),
         None,
-        "it may have been there by chance"
+        "the request may have been there by chance and can run again"
     );
-    register.take_in(strike("a", 3, NOW_MS + MINUTE_MS), News::Seen, NOW_MS + MINUTE_MS);
-    assert!(held(&register, "a", NOW_MS + DAY_MS).is_some());
-    register.take_in(strike("a", 4, NOW_MS + 2 * DAY_MS), News::Seen, NOW_MS + 2 * DAY_MS);
+    tracker.take_in(strike("a", 3, NOW_MS + MINUTE_MS), News::Seen, NOW_MS + MINUTE_MS);
+    assert!(remaining_hold(&tracker, "a", NOW_MS + DAY_MS).is_some());
+    tracker.take_in(strike("a", 4, NOW_MS + 2 * DAY_MS), News::Seen, NOW_MS + 2 * DAY_MS);
     assert!(
-        held(&register, "a", NOW_MS + 30 * DAY_MS).is_some(),
-        "each trial costs a target"
+        remaining_hold(&tracker, "a", NOW_MS + 30 * DAY_MS).is_some(),
+        "each further run costs a target"
     );
-    assert_eq!(held(&register, "b", NOW_MS), None);
+    assert_eq!(remaining_hold(&tracker, "b", NOW_MS), None);
 }
 
-/// A request that many callers send is at most targets when they end; its answers speak for it. Those before the last end
-/// do not.
+/// A request that many callers send is running on most targets when they terminate. Its complete responses clear it, but
+/// only those after the last termination count.
 #[test]
-fn answers_clear() {
-    let mut register = register(&[strike("a", 1, NOW_MS)]);
+fn responses_clear() {
+    let mut tracker = tracker_of(&[strike("a", 1, NOW_MS)]);
     for _ in 0..7 {
-        assert!(!register.note_answer(&request("a"), NOW_MS));
+        assert!(!tracker.note_answer(&request("a"), NOW_MS));
     }
-    register.take_in(strike("a", 2, NOW_MS), News::Seen, NOW_MS);
-    assert!(!register.note_answer(&request("a"), NOW_MS));
-    assert!(held(&register, "a", NOW_MS).is_some());
-    let cleared = (0..7).filter(|_| register.note_answer(&request("a"), NOW_MS)).count();
-    assert_eq!((cleared, held(&register, "a", NOW_MS)), (1, None));
-    // The word of a process that has not heard of the answers changes nothing.
-    assert!(!register.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS));
-    assert_eq!(held(&register, "a", NOW_MS), None);
+    tracker.take_in(strike("a", 2, NOW_MS), News::Seen, NOW_MS);
+    assert!(!tracker.note_answer(&request("a"), NOW_MS));
+    assert!(remaining_hold(&tracker, "a", NOW_MS).is_some());
+    let cleared = (0..7).filter(|_| tracker.note_answer(&request("a"), NOW_MS)).count();
+    assert_eq!((cleared, remaining_hold(&tracker, "a", NOW_MS)), (1, None));
+    // A strike from a peer that does not know of the responses changes nothing.
+    assert!(!tracker.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS));
+    assert_eq!(remaining_hold(&tracker, "a", NOW_MS), None);
 }
 
-/// A clock that is ahead holds nothing for longer than others do.
+/// A strike from a process whose clock is ahead does not extend the hold.
 #[test]
-fn clock_ahead() {
-    let register = register(&[strike("a", 1, NOW_MS + DAY_MS), strike("a", 2, NOW_MS + DAY_MS)]);
-    assert_eq!(held(&register, "a", NOW_MS), Some(Duration::from_mins(1)));
+fn clock_ahead_keeps_hold() {
+    let tracker = tracker_of(&[strike("a", 1, NOW_MS + DAY_MS), strike("a", 2, NOW_MS + DAY_MS)]);
+    assert_eq!(remaining_hold(&tracker, "a", NOW_MS), Some(Duration::from_mins(1)));
 }
 
-/// Many requests that were each at one target which ended do not push out those that ended several.
+/// A flood of requests with one termination each does not evict a request with several.
 #[test]
-fn bounded() {
-    let mut register = register(&[strike("a", 1, NOW_MS), strike("a", 2, NOW_MS), strike("a", 3, NOW_MS)]);
+fn bounded_requests() {
+    let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("a", 2, NOW_MS), strike("a", 3, NOW_MS)]);
     for number in 0..10_000 {
-        register.take_in(
+        tracker.take_in(
             strike(&format!("other-{number}"), 9, NOW_MS + 1),
             News::Seen,
             NOW_MS + 1,
         );
     }
-    assert!(held(&register, "a", NOW_MS + 1).is_some());
-    let (known, _) = register.news(0);
-    assert!(known.len() <= 4_096 + 2, "{} are known", known.len());
+    assert!(remaining_hold(&tracker, "a", NOW_MS + 1).is_some());
+    let (known, _) = tracker.news(0);
+    assert!(known.len() <= 4_096 + 2, "{} strikes are known", known.len());
 }
 
-/// What is old is forgotten, and named so that the store can drop it.
+/// Strikes expire after an hour and are returned, so that the caller can remove them from the store.
 #[test]
-fn expires() {
-    let mut register = register(&[strike("a", 1, NOW_MS), strike("b", 1, NOW_MS), strike("b", 2, NOW_MS)]);
-    assert!(register.expire(NOW_MS + 59 * MINUTE_MS).is_empty());
-    let dropped = register.expire(NOW_MS + 61 * MINUTE_MS);
+fn expired_strikes_returned() {
+    let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("b", 1, NOW_MS), strike("b", 2, NOW_MS)]);
+    assert!(tracker.expire(NOW_MS + 59 * MINUTE_MS).is_empty());
+    let dropped = tracker.expire(NOW_MS + 61 * MINUTE_MS);
     assert_eq!(dropped, [strike("a", 1, NOW_MS)]);
-    assert_eq!(register.ends(&request("b")), 2);
+    assert_eq!(tracker.ends(&request("b")), 2);
 }
 
-/// What another process told, and the store does not show well after that, is told to the store by who reads it.
+/// A strike from a peer that the store lacks after the margin was never written; the process that reads the store writes it.
 #[test]
-fn left_untold() {
-    let mut register = Register::default();
+fn unwritten_peer_strike() {
+    let mut tracker = Register::default();
     let margin = Duration::from_secs(2);
-    register.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS);
-    register.read(&[], NOW_MS + 1_000, margin, NOW_MS + 1_000);
-    assert!(register.untold().is_empty(), "who saw it may be telling");
-    register.read(&[], NOW_MS + 2_500, margin, NOW_MS + 2_500);
-    assert_eq!(register.untold(), [strike("a", 1, NOW_MS)]);
-    register.read(&[strike("a", 1, NOW_MS)], NOW_MS + 3_000, margin, NOW_MS + 3_000);
-    assert!(register.untold().is_empty());
+    tracker.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS);
+    tracker.read(&[], NOW_MS + 1_000, margin, NOW_MS + 1_000);
+    assert!(
+        tracker.untold().is_empty(),
+        "the process that observed it may still write it"
+    );
+    tracker.read(&[], NOW_MS + 2_500, margin, NOW_MS + 2_500);
+    assert_eq!(tracker.untold(), [strike("a", 1, NOW_MS)]);
+    tracker.read(&[strike("a", 1, NOW_MS)], NOW_MS + 3_000, margin, NOW_MS + 3_000);
+    assert!(tracker.untold().is_empty());
 }
 
-/// Strikes and clearings in some order, some of them twice.
+/// Counted and cleared strikes in random order; those with the flag set are merged twice.
 #[derive(Debug, Clone)]
 struct History(Vec<(Strike, bool)>);
 
 impl Arbitrary for History {
     fn arbitrary(g: &mut Gen) -> Self {
         let count = u32::arbitrary(g) % 12;
-        let draw = |g: &mut Gen| {
+        let random_strike = |g: &mut Gen| {
             let name = *g.choose(&["a", "b"]).unwrap_or(&"a");
             let mut strike = strike(name, u32::arbitrary(g) % 4, NOW_MS);
             if u8::arbitrary(g).is_multiple_of(4) {
@@ -155,7 +159,7 @@
             }
             (strike, bool::arbitrary(g))
         };
-        Self((0..count).map(|_| draw(g)).collect())
+        Self((0..count).map(|_| random_strike(g)).collect())
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -169,17 +173,17 @@
     }
 }
 
-/// Whatever the order and however often, all processes come to know the same.
+/// Strikes merged in any order and any number of times lead to the same state.
 #[test]
-fn any_order() {
-    #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands its arguments over")]
+fn merge_order_irrelevant() {
+    #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
     fn property(history: History) -> bool {
-        let told = history.0.iter().map(|(strike, _)| *strike);
-        let forwards = register(&told.clone().collect::<Vec<_>>());
+        let strikes = history.0.iter().map(|(strike, _)| *strike);
+        let forwards = tracker_of(&strikes.clone().collect::<Vec<_>>());
         let twice = history.0.iter().filter(|(_, twice)| *twice).map(|(strike, _)| *strike);
-        let backwards = register(&told.rev().chain(twice).collect::<Vec<_>>());
-        let sorted = |register: &Register| {
-            let (mut known, _) = register.news(0);
+        let backwards = tracker_of(&strikes.rev().chain(twice).collect::<Vec<_>>());
+        let sorted = |tracker: &Register| {
+            let (mut known, _) = tracker.news(0);
             known.sort_by_key(|strike| (strike.request, strike.end));
             known
         };
--- a/crates/sparscale_quarantine/tests/restored_store.rs
+++ b/crates/sparscale_quarantine/tests/restored_store.rs
@@ -1,4 +1,5 @@
-//! A store that came back from an older copy has lost strikes: they are told to it again, and those it still has are not.
+//! Tests a store that was restored from an older snapshot: strikes that it lost are written again, and those that it still
+//! has are not.
 
 use std::time::Duration;
 
@@ -16,41 +17,41 @@
     }
 }
 
-/// Strikes that the store had before it was restored.
-fn known() -> (Register, [Strike; 2]) {
+/// A tracker with two strikes that the store had before it was restored.
+fn stored_strikes() -> (Register, [Strike; 2]) {
     let strikes = [strike("/a", "m-1"), strike("/b", "m-2")];
-    let mut register = Register::default();
+    let mut tracker = Register::default();
     for strike in strikes {
-        register.take_in(strike, News::Read, NOW_MS - 30_000);
+        tracker.take_in(strike, News::Read, NOW_MS - 30_000);
     }
-    (register, strikes)
+    (tracker, strikes)
 }
 
 #[test]
-fn lost_told_again() {
-    let (mut register, strikes) = known();
-    assert!(register.untold().is_empty());
-    register.doubt_store();
-    register.read(&strikes[..1], NOW_MS, MARGIN, NOW_MS);
-    assert_eq!(register.untold(), strikes[1..]);
+fn lost_strike_written_again() {
+    let (mut tracker, strikes) = stored_strikes();
+    assert!(tracker.untold().is_empty());
+    tracker.doubt_store();
+    tracker.read(&strikes[..1], NOW_MS, MARGIN, NOW_MS);
+    assert_eq!(tracker.untold(), strikes[1..]);
 }
 
 #[test]
-fn told_once() {
-    let (mut register, strikes) = known();
-    register.doubt_store();
-    register.read(&[], NOW_MS, MARGIN, NOW_MS);
-    for strike in register.untold() {
-        register.take_in(strike, News::Read, NOW_MS);
+fn written_once() {
+    let (mut tracker, strikes) = stored_strikes();
+    tracker.doubt_store();
+    tracker.read(&[], NOW_MS, MARGIN, NOW_MS);
+    for strike in tracker.untold() {
+        tracker.take_in(strike, News::Read, NOW_MS);
     }
-    register.read(&strikes, NOW_MS + 1_000, MARGIN, NOW_MS + 1_000);
-    assert!(register.untold().is_empty());
+    tracker.read(&strikes, NOW_MS + 1_000, MARGIN, NOW_MS + 1_000);
+    assert!(tracker.untold().is_empty());
 }
 
-/// A reading without a restore lacks what was dropped as too old, which is not told again.
+/// Without a restore, strikes missing from the store have expired and are not written again.
 #[test]
-fn dropped_not_told() {
-    let (mut register, _) = known();
-    register.read(&[], NOW_MS, MARGIN, NOW_MS);
-    assert!(register.untold().is_empty());
+fn expired_not_written() {
+    let (mut tracker, _) = stored_strikes();
+    tracker.read(&[], NOW_MS, MARGIN, NOW_MS);
+    assert!(tracker.untold().is_empty());
 }
--- a/crates/sparscale_quarantine/tests/spread_of_strikes.rs
+++ b/crates/sparscale_quarantine/tests/spread_of_strikes.rs
@@ -1,9 +1,10 @@
-//! A deadly request reaches targets a bounded number of times, whichever processes it comes to and whoever hears whom.
+//! Tests that a request which crashes its targets is sent a bounded number of times, whichever process receives it and however
+//! the network is partitioned.
 //!
-//! Processes are linked in parts of a network, start again with empty memory, and read and tell a store that may be away.
-//! All that was acknowledged by the store, or told within a part, is known there after a delay; a request comes at any
-//! time to any process. The bound is counted from the third end on, after the time that news may take, for processes
-//! that can have it: those that the store or a process with it in their part has reached for so long.
+//! Processes exchange strikes within a partition, restart with empty memory, and read and write a store that may be unavailable.
+//! Strikes that the store acknowledged, or that were exchanged within a partition, are known there after a delay. The request
+//! arrives at any process at any time. Sends are counted from the third termination on, after the time that strikes take to
+//! spread, and only for processes that have been in contact with the store for that time.
 
 use std::time::Duration;
 
@@ -11,74 +12,76 @@
 use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
 
 const PROCESSES: usize = 5;
-/// Length of a step.
+/// Simulated time of a step.
 const STEP_MS: u64 = 250;
-/// Steps between two readings of the store by a part of the network.
+/// Steps between two reads of the store by one process.
 const READ_STEPS: usize = 6;
-/// Steps after which a process that the store or its part has reached all the time counts as in touch.
-const TOUCH_STEPS: usize = 12;
+/// Steps of uninterrupted contact with the store after which a process must know its strikes.
+const CONTACT_STEPS: usize = 12;
 const START_MS: u64 = 1_800_000_000_000;
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// The request comes to a process.
-    Comes(usize),
-    /// A process starts again.
-    Starts(usize),
-    /// All do.
-    AllStart,
-    /// Processes below this number no longer hear the others.
-    Cut(usize),
-    /// All hear all.
-    Mended,
-    /// The store goes away, or comes back.
-    Store,
-    /// Time passes.
-    Pause(usize),
+    /// The request arrives at a process.
+    RequestArrives(usize),
+    /// A process restarts.
+    Restart(usize),
+    /// All processes restart.
+    RestartAll,
+    /// Partitions the network: processes below this index can't exchange strikes with the others.
+    Partition(usize),
+    /// Ends the partition.
+    Reconnect,
+    /// The store becomes unavailable, or available again.
+    ToggleStore,
+    /// A number of steps without an event.
+    Wait(usize),
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         let number = usize::arbitrary(g) % PROCESSES;
         match u8::arbitrary(g) % 12 {
-            0..=4 => Self::Comes(number),
-            5 => Self::Starts(number),
-            6 => Self::AllStart,
-            7 => Self::Cut(number),
-            8 => Self::Mended,
-            9 => Self::Store,
-            _ => Self::Pause(1 + usize::arbitrary(g) % 14),
+            0..=4 => Self::RequestArrives(number),
+            5 => Self::Restart(number),
+            6 => Self::RestartAll,
+            7 => Self::Partition(number),
+            8 => Self::Reconnect,
+            9 => Self::ToggleStore,
+            _ => Self::Wait(1 + usize::arbitrary(g) % 14),
         }
     }
 }
 
-struct World {
+struct Simulation {
     processes: Vec<Register>,
-    /// Steps for which each has been in touch with the store.
-    touch: Vec<usize>,
+    /// Steps for which each process has been in contact with the store.
+    contact_steps: Vec<usize>,
     store: Vec<Strike>,
-    store_away: bool,
-    cut: usize,
+    store_unavailable: bool,
+    /// Processes below this index are partitioned from the others.
+    partition: usize,
     step: usize,
-    ended: u32,
-    /// Step at which the third target ended.
-    third: Option<usize>,
-    /// Sends after it by processes that could know.
-    late: usize,
+    /// Targets that terminated so far.
+    end_count: u32,
+    /// Step at which the third target terminated.
+    third_end_step: Option<usize>,
+    /// Sends after the third termination by processes that must know of it.
+    late_sends: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             processes: (0..PROCESSES).map(|_| Register::default()).collect(),
-            touch: vec![0; PROCESSES],
+            contact_steps: vec![0; PROCESSES],
             store: Vec::new(),
-            store_away: false,
-            cut: 0,
+            store_unavailable: false,
+            partition: 0,
             step: 0,
-            ended: 0,
-            third: None,
-            late: 0,
+            end_count: 0,
+            third_end_step: None,
+            late_sends: 0,
         }
     }
 
@@ -90,53 +93,55 @@
         Fingerprint::of("POST", "/draft", None, b"deadly")
     }
 
-    /// Two sends at most, as its route allows.
-    fn comes(&mut self, process: usize) {
+    /// Sends the request to two targets at most, the limit of its route; each send terminates its target.
+    fn send_request(&mut self, process: usize) {
         for _ in 0..2 {
             let now_ms = self.now_ms();
             if self.processes[process].held(&Self::request(), now_ms).is_some() {
                 return;
             }
-            let knows = self.third.is_some_and(|third| self.step > third + TOUCH_STEPS);
-            if knows && self.touch[process] > TOUCH_STEPS {
-                self.late += 1;
+            let have_strikes_spread = self
+                .third_end_step
+                .is_some_and(|third| self.step > third + CONTACT_STEPS);
+            if have_strikes_spread && self.contact_steps[process] > CONTACT_STEPS {
+                self.late_sends += 1;
             }
-            self.ended += 1;
+            self.end_count += 1;
             let strike = Strike {
                 request: Self::request(),
-                end: End::of(&format!("t-{}", self.ended), None),
+                end: End::of(&format!("t-{}", self.end_count), None),
                 at_ms: now_ms,
                 standing: Standing::Counts,
             };
             self.processes[process].take_in(strike, News::Seen, now_ms);
-            if self.ended == 3 {
-                self.third = Some(self.step);
+            if self.end_count == 3 {
+                self.third_end_step = Some(self.step);
             }
         }
     }
 
-    fn starts(&mut self, process: usize) {
+    fn restart(&mut self, process: usize) {
         self.processes[process] = Register::default();
-        self.touch[process] = 0;
+        self.contact_steps[process] = 0;
     }
 
-    fn part(&self, process: usize) -> bool {
-        process < self.cut
+    fn is_below_partition(&self, process: usize) -> bool {
+        process < self.partition
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.step += 1;
         let now_ms = self.now_ms();
         for process in 0..PROCESSES {
-            let touch = &mut self.touch[process];
-            *touch = if self.store_away { 0 } else { *touch + 1 };
-            if self.store_away {
+            let contact_steps = &mut self.contact_steps[process];
+            *contact_steps = if self.store_unavailable { 0 } else { *contact_steps + 1 };
+            if self.store_unavailable {
                 continue;
             }
-            // A process that has just started asks at once, the others in turn.
-            if *touch == 1 || (self.step + process).is_multiple_of(READ_STEPS) {
-                let read = self.store.clone();
-                self.processes[process].read(&read, now_ms, Duration::from_secs(2), now_ms);
+            // A process reads the store as soon as it is in contact again, and then every `READ_STEPS` steps.
+            if *contact_steps == 1 || (self.step + process).is_multiple_of(READ_STEPS) {
+                let stored = self.store.clone();
+                self.processes[process].read(&stored, now_ms, Duration::from_secs(2), now_ms);
             }
             for strike in self.processes[process].untold() {
                 self.store.push(strike);
@@ -144,10 +149,10 @@
             }
         }
         for from in 0..PROCESSES {
-            let (news, _) = self.processes[from].news(0);
+            let (strikes, _) = self.processes[from].news(0);
             for to in 0..PROCESSES {
-                if self.part(from) == self.part(to) {
-                    for strike in &news {
+                if self.is_below_partition(from) == self.is_below_partition(to) {
+                    for strike in &strikes {
                         self.processes[to].take_in(*strike, News::Told, now_ms);
                     }
                 }
@@ -155,36 +160,39 @@
         }
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Comes(process) => self.comes(process),
-            Event::Starts(process) => self.starts(process),
-            Event::AllStart => (0..PROCESSES).for_each(|process| self.starts(process)),
-            Event::Cut(cut) => self.cut = cut,
-            Event::Mended => self.cut = 0,
-            Event::Store => self.store_away = !self.store_away,
-            Event::Pause(steps) => (0..steps).for_each(|_| self.pass()),
+            Event::RequestArrives(process) => self.send_request(process),
+            Event::Restart(process) => self.restart(process),
+            Event::RestartAll => (0..PROCESSES).for_each(|process| self.restart(process)),
+            Event::Partition(partition) => self.partition = partition,
+            Event::Reconnect => self.partition = 0,
+            Event::ToggleStore => self.store_unavailable = !self.store_unavailable,
+            Event::Wait(steps) => (0..steps).for_each(|_| self.advance()),
         }
-        self.pass();
+        self.advance();
     }
 }
 
-/// Sends by processes in touch after the third end, at most: those of one attempt. Where every process starts anew while the
-/// store is away, nobody is left that knows what they saw; the next attempt shows it again.
-const MOST_LATE: usize = 2;
+/// Most sends by processes in contact with the store after the third termination: the two of one request. If all processes
+/// restart while the store is unavailable, none knows the strikes any more until the next request crashes targets again.
+const MAX_LATE_SENDS: usize = 2;
 
-/// The store is told as soon as it is there, so that happens once.
+/// Strikes are written as soon as the store is available, so they can be lost in this way only once.
 #[test]
 fn bounded_sends() {
     fn property(events: Vec<Event>) -> Result<(), String> {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for event in events {
-            world.play(event);
+            simulation.handle(event);
         }
-        if world.late <= MOST_LATE {
+        if simulation.late_sends <= MAX_LATE_SENDS {
             return Ok(());
         }
-        Err(format!("{} sends, {} ended", world.late, world.ended))
+        Err(format!(
+            "{} late sends, {} targets terminated",
+            simulation.late_sends, simulation.end_count
+        ))
     }
     QuickCheck::new()
         .tests(500)
