--- a/crates/sparscale_backpressure/src/lib.rs
+++ b/crates/sparscale_backpressure/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer asks of those that send to its target: a rate, rest, or that it be left alone for good.
+//! Parses the backpressure headers of a response: a rate limit, a backoff, or the announcement that the target drains.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use sparscale_policy::rate_limit::Rate;
 use sparscale_telemetry::DECISION;
 
-/// Names of the headers by which targets ask. Rest is asked for by `Retry-After`.
+/// Names of the headers that targets set; a backoff is always requested by `Retry-After`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Names {
-    /// Requests a second that the answering target takes from all that send to it together, as a decimal number.
+    /// Rate limit of the responding target in requests per second, as a decimal number; it applies to all senders together.
     pub rate_limit: HeaderName,
-    /// Says that the answering target leaves.
+    /// Announces that the responding target drains.
     pub draining: HeaderName,
 }
 
 impl Names {
-    /// The product's own names.
+    /// Returns the names that sparscale uses by default.
     pub fn own() -> Self {
         Self {
             rate_limit: HeaderName::from_static("sparscale-rate-limit"),
@@ -26,44 +26,44 @@
     }
 }
 
-/// What a target asks.
+/// The backpressure that one response requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Signal {
-    /// Requests a second that it takes from all that send to it together.
+    /// Rate limit of the target in requests per second; it applies to all senders together.
     pub rate: Asked<Rate>,
-    /// Time for which it wants nothing from whom it answers.
+    /// Backoff requested from the receiver of the response.
     pub rest: Option<Duration>,
-    /// Whether it leaves.
+    /// Whether the target drains.
     pub leaving: bool,
 }
 
-/// A limit, as far as an answer says.
+/// The value of a header that a response may lack.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Asked<T> {
-    /// There is none.
+    /// The response has no such header.
     Nothing,
-    /// There is this one.
+    /// The header has this value.
     For(T),
-    /// It cannot be read: it says neither that there is one nor that there is none.
+    /// The header cannot be parsed, so it neither sets nor removes a limit.
     Unreadable,
 }
 
 impl Signal {
-    /// Reads the head of an answer. What cannot be read is logged.
+    /// Parses the headers of a response; headers that cannot be parsed are logged.
     pub fn read(status: StatusCode, headers: &HeaderMap, names: &Names) -> Self {
-        let turns_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
+        let is_rejection = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
         Self {
-            rate: read(headers, &names.rate_limit, |text| Rate::try_from(text).ok()),
-            rest: turns_away
-                .then(|| read(headers, &RETRY_AFTER, seconds))
+            rate: parse_header(headers, &names.rate_limit, |text| Rate::try_from(text).ok()),
+            rest: is_rejection
+                .then(|| parse_header(headers, &RETRY_AFTER, parse_seconds))
                 .and_then(Asked::value),
-            leaving: read(headers, &names.draining, flag).value() == Some(true),
+            leaving: parse_header(headers, &names.draining, parse_bool).value() == Some(true),
         }
     }
 }
 
 impl<T> Asked<T> {
-    /// What is asked, if that can be read.
+    /// Returns the value, or `None` if the header is absent or cannot be parsed.
     pub fn value(self) -> Option<T> {
         match self {
             Self::For(value) => Some(value),
@@ -72,24 +72,24 @@
     }
 }
 
-fn read<T>(headers: &HeaderMap, name: &HeaderName, parse: impl Fn(&str) -> Option<T>) -> Asked<T> {
+fn parse_header<T>(headers: &HeaderMap, name: &HeaderName, parse: impl Fn(&str) -> Option<T>) -> Asked<T> {
     let Some(value) = headers.get(name) else {
         return Asked::Nothing;
     };
     let text = value.to_str().unwrap_or_default().trim();
-    if let Some(asked) = parse(text) {
-        return Asked::For(asked);
+    if let Some(parsed) = parse(text) {
+        return Asked::For(parsed);
     }
-    log::warn!(target: DECISION, decision = "unreadable", header = name.as_str(), text; "a target asks something that cannot be read");
+    log::warn!(target: DECISION, decision = "unreadable", header = name.as_str(), text; "a backpressure header of a target cannot be parsed and is ignored");
     Asked::Unreadable
 }
 
-/// A number of seconds that is a time.
-fn seconds(text: &str) -> Option<Duration> {
+/// Parses a decimal number of seconds; `None` if it is negative, not finite or too large for a [`Duration`].
+fn parse_seconds(text: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-fn flag(text: &str) -> Option<bool> {
+fn parse_bool(text: &str) -> Option<bool> {
     match text {
         "1" | "true" => Some(true),
         "0" | "false" => Some(false),
--- a/crates/sparscale_backpressure/tests/answer_heads.rs
+++ b/crates/sparscale_backpressure/tests/answer_heads.rs
@@ -1,4 +1,4 @@
-//! Heads of answers: what is asked, what is not, and what cannot be read.
+//! Tests the backpressure headers of responses: absent, present and malformed.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn asks_nothing() {
+fn no_headers() {
     let signal = signal(StatusCode::OK, &[("content-type", "text/plain")]);
     assert_eq!(
         (signal.rate, signal.rest, signal.leaving),
@@ -23,9 +23,9 @@
     );
 }
 
-/// Each answer may ask, also a failure.
+/// Rate limits and draining are parsed in responses of any status, including failures.
 #[test]
-fn asks_all() {
+fn any_status() {
     for status in [
         StatusCode::OK,
         StatusCode::INTERNAL_SERVER_ERROR,
@@ -37,17 +37,20 @@
     }
 }
 
-/// Only a refusal asks for rest.
+/// `Retry-After` requests a backoff only in a rejection.
 #[test]
-fn rests_refusals() {
-    let rest = |status| signal(status, &[("retry-after", "0.5")]).rest;
-    assert_eq!(rest(StatusCode::SERVICE_UNAVAILABLE), Some(Duration::from_millis(500)));
-    assert_eq!(rest(StatusCode::TOO_MANY_REQUESTS), Some(Duration::from_millis(500)));
-    assert_eq!(rest(StatusCode::OK), None);
+fn backoff_of_rejections() {
+    let backoff = |status| signal(status, &[("retry-after", "0.5")]).rest;
+    assert_eq!(
+        backoff(StatusCode::SERVICE_UNAVAILABLE),
+        Some(Duration::from_millis(500))
+    );
+    assert_eq!(backoff(StatusCode::TOO_MANY_REQUESTS), Some(Duration::from_millis(500)));
+    assert_eq!(backoff(StatusCode::OK), None);
 }
 
 #[test]
-fn unreadable() {
+fn malformed_headers() {
     for text in ["-1", "NaN", "inf", "1e300", "soon", ""] {
         let signal = signal(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/sparscale_catalog/src/catalog.rs
+++ b/crates/sparscale_catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The checked catalog.
+//! The validated catalog, indexed for the lookups that each request makes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,87 +7,88 @@
 use sparscale_bundle::KeyHash;
 
 use crate::document::{Document, Kind, Limits, Route, Service, Workspace};
-use crate::error::{Error, NoServiceSnafu, NoShareSnafu, PrefixSnafu, SharedKeySnafu, TwiceSnafu};
-use crate::routes::{RouteKey, ServiceKey, Table};
+use crate::error::{DuplicateNameSnafu, Error, InvalidPrefixSnafu, NoWeightSnafu, SharedKeySnafu, UnknownServiceSnafu};
+use crate::routes::{RouteKey, RouteTable, ServiceKey};
 
 /// Whether a request may use a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access<'a> {
-    /// For this workspace.
+    /// It may, on behalf of this workspace.
     Workspace(&'a Workspace),
-    /// Without a workspace: the route is open, or there are no workspaces.
+    /// It may, without a workspace: the route is public, or the catalog has no workspaces.
     Open,
-    /// The route needs a key and the request's is not known.
+    /// It may not: the route needs a key, and the request has none or an unknown one.
     Denied,
 }
 
-/// A checked catalog, indexed for lookups.
+/// A validated catalog, indexed for lookups.
 #[derive(Debug, Clone)]
 pub struct Catalog {
     document: Document,
-    table: Table,
-    services: HashMap<String, ServiceKey>,
+    route_table: RouteTable,
+    services_by_name: HashMap<String, ServiceKey>,
     /// Services of each route, in the order of its shares.
-    shares: Vec<Vec<ServiceKey>>,
-    keys: HashMap<KeyHash, usize>,
+    services_by_route: Vec<Vec<ServiceKey>>,
+    /// Index of the workspace that each key belongs to.
+    workspaces_by_key: HashMap<KeyHash, usize>,
 }
 
 impl Catalog {
-    /// Version of the catalog.
+    /// The version of the catalog.
     pub fn version(&self) -> u64 {
         self.document.version
     }
 
-    /// Bounds of what callers may send.
+    /// Limits on requests of callers.
     pub fn limits(&self) -> &Limits {
         &self.document.limits
     }
 
-    /// The plain data.
+    /// The document that the catalog was built from.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// Finds the route of a request; `host` may include a port.
     pub fn route_of(&self, host: &str, path: &str) -> Option<RouteKey> {
-        self.table.find(host, path)
+        self.route_table.find(host, path)
     }
 
-    /// The route under `key`.
+    /// The route with this key.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.document.routes[key.0]
     }
 
-    /// The service under `key`.
+    /// The service with this key.
     pub fn service(&self, key: ServiceKey) -> &Service {
         &self.document.services[key.0]
     }
 
-    /// The service called `name`.
+    /// Finds a service by name.
     pub fn find_service(&self, name: &str) -> Option<ServiceKey> {
-        self.services.get(name).copied()
+        self.services_by_name.get(name).copied()
     }
 
-    /// Services that take the requests of a route, in the order of its shares.
+    /// The services that receive the requests of a route, in the order of its shares.
     pub fn services_of(&self, key: RouteKey) -> &[ServiceKey] {
-        &self.shares[key.0]
+        &self.services_by_route[key.0]
     }
 
-    /// Whether `bearer`, the key that a caller sent, opens the route.
+    /// Decides whether a request with the API key `bearer` may use a route.
     pub fn access(&self, key: RouteKey, bearer: Option<&str>) -> Access<'_> {
         if self.document.workspaces.is_empty() || self.route(key).public {
             return Access::Open;
         }
-        let holder = bearer.and_then(|bearer| self.keys.get(&KeyHash::of(bearer)));
-        holder.map_or(Access::Denied, |index| {
+        let workspace = bearer.and_then(|bearer| self.workspaces_by_key.get(&KeyHash::of(bearer)));
+        workspace.map_or(Access::Denied, |index| {
             Access::Workspace(&self.document.workspaces[*index])
         })
     }
 
-    /// Shortest of the longest pauses between events that the routes to a service allow.
+    /// The smallest limit on the pause between two events among the routes to a service.
     pub fn pause_of(&self, service: &str) -> Option<Duration> {
-        let to_service = |route: &&Route| route.shares.iter().any(|share| share.service == service);
-        let routes = self.document.routes.iter().filter(to_service);
+        let leads_to_service = |route: &&Route| route.shares.iter().any(|share| share.service == service);
+        let routes = self.document.routes.iter().filter(leads_to_service);
         let pauses = routes.filter_map(|route| match route.kind {
             Kind::Stream { longest_pause, .. } => longest_pause,
             _ => None,
@@ -95,7 +96,7 @@
         pauses.min()
     }
 
-    /// Whether requests need keys at all.
+    /// Whether the catalog has workspaces; without any, requests need no key.
     pub fn has_workspaces(&self) -> bool {
         !self.document.workspaces.is_empty()
     }
@@ -111,16 +112,16 @@
     type Error = Error;
 
     fn try_from(document: Document) -> Result<Self, Self::Error> {
-        let services = index_services(&document.services)?;
-        let mut shares = Vec::with_capacity(document.routes.len());
+        let services_by_name = index_services(&document.services)?;
+        let mut services_by_route = Vec::with_capacity(document.routes.len());
         for route in &document.routes {
-            shares.push(check_route(route, &services)?);
+            services_by_route.push(resolve_route(route, &services_by_name)?);
         }
         Ok(Self {
-            table: Table::new(&document.routes),
-            keys: index_keys(&document.workspaces)?,
-            services,
-            shares,
+            route_table: RouteTable::new(&document.routes),
+            workspaces_by_key: index_keys(&document.workspaces)?,
+            services_by_name,
+            services_by_route,
             document,
         })
     }
@@ -128,23 +129,24 @@
 
 fn index_services(services: &[Service]) -> Result<HashMap<String, ServiceKey>, Error> {
     let mut index = HashMap::with_capacity(services.len());
-    for (place, service) in services.iter().enumerate() {
-        let earlier = index.insert(service.name.clone(), ServiceKey(place));
+    for (position, service) in services.iter().enumerate() {
+        let earlier = index.insert(service.name.clone(), ServiceKey(position));
         let (section, name) = ("services", &service.name);
-        ensure!(earlier.is_none(), TwiceSnafu { section, name });
+        ensure!(earlier.is_none(), DuplicateNameSnafu { section, name });
     }
     Ok(index)
 }
 
-fn check_route(route: &Route, services: &HashMap<String, ServiceKey>) -> Result<Vec<ServiceKey>, Error> {
+/// Validates a route and returns the services of its shares.
+fn resolve_route(route: &Route, services: &HashMap<String, ServiceKey>) -> Result<Vec<ServiceKey>, Error> {
     let (name, prefix) = (&route.name, &route.prefix);
-    let slashes = prefix.starts_with('/') && prefix.ends_with('/');
-    ensure!(slashes, PrefixSnafu { route: name, prefix });
-    let weighted = route.shares.iter().any(|share| share.weight > 0);
-    ensure!(weighted, NoShareSnafu { route: name });
+    let has_slashes = prefix.starts_with('/') && prefix.ends_with('/');
+    ensure!(has_slashes, InvalidPrefixSnafu { route: name, prefix });
+    let has_weight = route.shares.iter().any(|share| share.weight > 0);
+    ensure!(has_weight, NoWeightSnafu { route: name });
     let find = |service: &String| {
         let found = services.get(service).copied();
-        found.context(NoServiceSnafu { route: name, service })
+        found.context(UnknownServiceSnafu { route: name, service })
     };
     route.shares.iter().map(|share| find(&share.service)).collect()
 }
--- a/crates/sparscale_catalog/src/directory.rs
+++ b/crates/sparscale_catalog/src/directory.rs
@@ -1,4 +1,4 @@
-//! The targets as one process goes by them: each with the key of its present start.
+//! The current targets of a process, each with the key of its current start, indexed for the lookups that each request makes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,42 +6,42 @@
 use crate::incarnation::{Incarnation, Incarnations, Start};
 use crate::roster::{Membership, Roster, Standing, Target};
 
-/// A target and the key of its start.
+/// A target together with its current start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seat {
-    /// Key under which everything that is known of this start is kept.
+    /// Key under which this process keeps state about the start.
     pub key: Incarnation,
-    /// Its start, as other processes name it.
+    /// Identifies the start across all processes.
     pub start: Start,
-    /// What the list says of it.
+    /// The target, as the roster lists it.
     pub target: Target,
 }
 
-/// A group of ranks as most of the targets of a service name it.
+/// The name and size of a group of ranks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Group<'a> {
-    /// Its name.
+    /// Name of the group.
     pub name: &'a str,
-    /// Its ranks.
+    /// Number of ranks.
     pub size: usize,
 }
 
-/// All targets, as taken in.
+/// The targets of one roster, with indexes.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// Ordered by id, as in the roster.
-    seats: Vec<Seat>,
-    index: HashMap<Incarnation, usize>,
-    /// Groups of each service, with their ranks. Each request asks for them, so they are worked out once a list.
-    groups: HashMap<String, Vec<(String, usize)>>,
-    /// Service of each group, with the group's ranks.
-    services: HashMap<String, (String, usize)>,
+    /// Sorted by id, as in the roster.
+    instances: Vec<Seat>,
+    index_by_key: HashMap<Incarnation, usize>,
+    /// Names and sizes of the groups of each service. Each request looks them up, so they are computed once per roster.
+    groups_by_service: HashMap<String, Vec<(String, usize)>>,
+    /// Service of each group, and the size of the group.
+    services_by_group: HashMap<String, (String, usize)>,
 }
 
 impl Directory {
-    /// Takes in `roster`; its targets get their keys from `starts`.
+    /// Indexes `roster`; the instances get their keys from `starts`.
     pub fn new(roster: &Roster, starts: &mut Incarnations) -> Self {
-        let seat = |target: &Target| {
+        let instance = |target: &Target| {
             let start = Start::of(&target.id, target.born_ms);
             Seat {
                 key: starts.key(start),
@@ -49,135 +49,150 @@
                 target: target.clone(),
             }
         };
-        let seats: Vec<Seat> = roster.targets.iter().map(seat).collect();
-        let mut keys: Vec<Incarnation> = seats.iter().map(|seat| seat.key).collect();
-        let index = keys.iter().enumerate().map(|(index, key)| (*key, index)).collect();
+        let instances: Vec<Seat> = roster.targets.iter().map(instance).collect();
+        let mut keys: Vec<Incarnation> = instances.iter().map(|instance| instance.key).collect();
+        let index_by_key = keys.iter().enumerate().map(|(index, key)| (*key, index)).collect();
         keys.sort_unstable();
         starts.retain(&keys);
         Self {
-            groups: groups(&seats),
-            services: services(&seats),
-            seats,
-            index,
+            groups_by_service: groups_by_service(&instances),
+            services_by_group: services_by_group(&instances),
+            instances,
+            index_by_key,
         }
     }
 
-    /// All targets.
+    /// All instances, sorted by the id of the target.
     pub fn seats(&self) -> &[Seat] {
-        &self.seats
+        &self.instances
     }
 
-    /// The target under `key`.
+    /// Finds an instance by the key of its start.
     pub fn find(&self, key: Incarnation) -> Option<&Seat> {
-        self.seats.get(*self.index.get(&key)?)
+        self.instances.get(*self.index_by_key.get(&key)?)
     }
 
-    /// The target with this id.
+    /// Finds an instance by the id of its target.
     pub fn find_id(&self, id: &str) -> Option<&Seat> {
-        let index = self.seats.binary_search_by(|seat| seat.target.id.as_str().cmp(id));
-        self.seats.get(index.ok()?)
+        let index = self
+            .instances
+            .binary_search_by(|instance| instance.target.id.as_str().cmp(id));
+        self.instances.get(index.ok()?)
     }
 
-    /// Targets of one service.
+    /// The instances of one service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Seat> {
-        self.seats.iter().filter(move |seat| seat.target.service == service)
+        self.instances
+            .iter()
+            .filter(move |instance| instance.target.service == service)
     }
 
-    /// The later target at the address of one that is superseded.
+    /// Finds the instance that supersedes `of` at its address.
     pub fn successor(&self, of: &Target) -> Option<&Seat> {
-        let is_later = |seat: &&Seat| {
-            let other = &seat.target;
+        let is_successor = |instance: &&Seat| {
+            let other = &instance.target;
             other.service == of.service && other.address == of.address && !other.superseded
         };
-        self.seats.iter().find(is_later)
+        self.instances.iter().find(is_successor)
     }
 
-    /// Addresses at which rank `rank` of the group called `group` may be, the likeliest first. Several entries may name it:
-    /// the one that lost power beside its successor, or one of another writer.
+    /// Possible addresses of rank `rank` of group `group`, the most likely first.
+    ///
+    /// Several registrations may claim the rank: a target that lost power and its successor, or one from another writer.
     pub fn places(&self, group: &str, rank: usize) -> Vec<SocketAddr> {
-        let is_it = |place: &Membership| place.group == group && place.rank == rank;
-        let named = |seat: &&Seat| seat.target.membership.as_ref().is_some_and(is_it);
-        let mut targets: Vec<&Target> = self.seats.iter().filter(named).map(|seat| &seat.target).collect();
+        let is_rank = |membership: &Membership| membership.group == group && membership.rank == rank;
+        let claims_rank = |instance: &&Seat| instance.target.membership.as_ref().is_some_and(is_rank);
+        let mut targets: Vec<&Target> = self
+            .instances
+            .iter()
+            .filter(claims_rank)
+            .map(|instance| &instance.target)
+            .collect();
         targets.sort_by_key(|target| {
-            let leaves = target.standing == Standing::Leaving;
-            (target.superseded, leaves, std::cmp::Reverse(target.born_ms))
+            let is_draining = target.standing == Standing::Leaving;
+            (target.superseded, is_draining, std::cmp::Reverse(target.born_ms))
         });
-        let mut places: Vec<SocketAddr> = Vec::with_capacity(targets.len());
+        let mut addresses: Vec<SocketAddr> = Vec::with_capacity(targets.len());
         for target in targets {
-            if !places.contains(&target.address) {
-                places.push(target.address);
+            if !addresses.contains(&target.address) {
+                addresses.push(target.address);
             }
         }
-        places
+        addresses
     }
 
-    /// The groups that the targets of `service` make up, in order of their names: those that most of their ranks name, or
-    /// the one that is named most often. An entry of another writer makes no group.
+    /// The groups that the targets of `service` form, sorted by name: those that a majority of their ranks names, and the one
+    /// that most targets name. A registration from another writer does not add a group.
     pub fn groups_of(&self, service: &str) -> impl Iterator<Item = Group<'_>> {
-        let groups = self.groups.get(service).into_iter().flatten();
+        let groups = self.groups_by_service.get(service).into_iter().flatten();
         groups.map(|(name, size)| Group { name, size: *size })
     }
 
-    /// The service whose targets make up the group called `group`: the one that most of them name, and the group's ranks.
+    /// The service of group `group` according to most of its targets, and the size of the group.
     pub fn service_of(&self, group: &str) -> Option<(&str, usize)> {
-        let (service, size) = self.services.get(group)?;
+        let (service, size) = self.services_by_group.get(group)?;
         Some((service, *size))
     }
 }
 
 impl<'a> From<&'a Membership> for Group<'a> {
-    fn from(place: &'a Membership) -> Self {
+    fn from(membership: &'a Membership) -> Self {
         Self {
-            name: &place.group,
-            size: place.size,
+            name: &membership.group,
+            size: membership.size,
         }
     }
 }
 
-/// The groups that targets make up, by service.
-fn groups(seats: &[Seat]) -> HashMap<String, Vec<(String, usize)>> {
+/// Determines the groups of each service from the memberships that its targets report.
+fn groups_by_service(instances: &[Seat]) -> HashMap<String, Vec<(String, usize)>> {
     let mut votes: HashMap<&str, BTreeMap<Group<'_>, usize>> = HashMap::new();
-    for seat in seats {
-        if let Some(place) = &seat.target.membership {
-            let of_service = votes.entry(&seat.target.service).or_default();
-            *of_service.entry(Group::from(place)).or_default() += 1;
+    for instance in instances {
+        if let Some(membership) = &instance.target.membership {
+            let of_service = votes.entry(&instance.target.service).or_default();
+            *of_service.entry(Group::from(membership)).or_default() += 1;
         }
     }
-    let standing = votes.into_iter().map(|(service, votes)| {
-        let groups = standing(&votes).into_iter();
+    let accepted = votes.into_iter().map(|(service, votes)| {
+        let groups = accepted_groups(&votes).into_iter();
         let groups = groups.map(|group| (group.name.to_owned(), group.size));
         (service.to_owned(), groups.collect())
     });
-    standing.collect()
+    accepted.collect()
 }
 
-/// The service that most of the targets of each group name, and the group's ranks.
-fn services(seats: &[Seat]) -> HashMap<String, (String, usize)> {
+/// Determines the service and size of each group, as most of its targets report them.
+fn services_by_group(instances: &[Seat]) -> HashMap<String, (String, usize)> {
     let mut votes: HashMap<&str, HashMap<(&str, usize), usize>> = HashMap::new();
-    for seat in seats {
-        if let Some(place) = &seat.target.membership {
-            let of_group = votes.entry(&place.group).or_default();
-            *of_group.entry((seat.target.service.as_str(), place.size)).or_default() += 1;
+    for instance in instances {
+        if let Some(membership) = &instance.target.membership {
+            let of_group = votes.entry(&membership.group).or_default();
+            *of_group
+                .entry((instance.target.service.as_str(), membership.size))
+                .or_default() += 1;
         }
     }
-    let most = votes.into_iter().filter_map(|(group, votes)| {
-        let most = votes.into_iter().max_by_key(|(named, votes)| (*votes, *named))?;
-        let (service, size) = most.0;
+    let winners = votes.into_iter().filter_map(|(group, votes)| {
+        let winner = votes
+            .into_iter()
+            .max_by_key(|(candidate, votes)| (*votes, *candidate))?;
+        let (service, size) = winner.0;
         Some((group.to_owned(), (service.to_owned(), size)))
     });
-    most.collect()
+    winners.collect()
 }
 
-/// Of the groups that targets name, so many each, those that are there.
-fn standing<'a>(votes: &BTreeMap<Group<'a>, usize>) -> Vec<Group<'a>> {
-    let Some(most) = votes.values().copied().max() else {
+/// Selects the groups that enough targets name; `votes` holds the number of targets that name each.
+fn accepted_groups<'a>(votes: &BTreeMap<Group<'a>, usize>) -> Vec<Group<'a>> {
+    let Some(max_votes) = votes.values().copied().max() else {
         return Vec::new();
     };
-    // Of two that are named by equally few, the last stands.
-    let named_most = votes.iter().rev().find(|(_, votes)| **votes == most);
-    let named_most = named_most.map(|(group, _)| *group);
-    let stands =
-        |group: &Group<'_>, votes: usize| Some(*group) == named_most || (votes * 2 > group.size && votes * 2 > most);
-    let standing = votes.iter().filter(|(group, votes)| stands(group, **votes));
-    standing.map(|(group, _)| *group).collect()
+    // Of several groups with the most votes the last one is accepted.
+    let most_named = votes.iter().rev().find(|(_, votes)| **votes == max_votes);
+    let most_named = most_named.map(|(group, _)| *group);
+    let is_accepted = |group: &Group<'_>, votes: usize| {
+        Some(*group) == most_named || (votes * 2 > group.size && votes * 2 > max_votes)
+    };
+    let accepted = votes.iter().filter(|(group, votes)| is_accepted(group, **votes));
+    accepted.map(|(group, _)| *group).collect()
 }
--- a/crates/sparscale_catalog/src/document.rs
+++ b/crates/sparscale_catalog/src/document.rs
@@ -1,4 +1,4 @@
-//! The catalog as plain data, not yet checked.
+//! The catalog as plain data, before validation.
 
 use std::time::Duration;
 
@@ -10,30 +10,33 @@
 /// A whole catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Version; versions only rise, by uneven steps.
+    /// Version of the catalog; versions increase, but not always by 1.
     pub version: u64,
-    /// Where requests go.
+    /// Routes from hosts and paths to services.
     pub routes: Vec<Route>,
-    /// What stands behind the routes.
+    /// Services that the routes lead to.
     pub services: Vec<Service>,
-    /// Customers. With none, requests need no key.
+    /// Customers; without any, requests need no key.
     pub workspaces: Vec<Workspace>,
-    /// Bounds of what callers may send.
+    /// Limits on requests of callers.
     pub limits: Limits,
 }
 
-/// What may be done with a request of a route, and what its answer is.
+/// Whether requests of a route may be retried, and whether the response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// It may run more than once.
+    /// A request may run more than once.
+    #[serde(rename = "Repeatable")]
     Repeatable,
-    /// It may run at most once.
+    /// A request runs at most once.
+    #[serde(rename = "Once")]
     Once,
-    /// It is answered by a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether a run elsewhere may go on after the last event that the caller has.
+        /// Whether another target may continue the stream after the last event that the caller received.
         resumable: bool,
-        /// Longest pause between two events at which the answer is still in time.
+        /// Longest pause between two events with which the stream is still on time.
+        #[serde(rename = "longest_pause")]
         longest_pause: Option<Duration>,
     },
 }
@@ -48,18 +51,18 @@
         }
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Part of a route's requests that goes to one service.
+/// The share of a route's requests that one service receives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Part, relative to the other shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
@@ -68,34 +71,37 @@
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// Host that callers name.
+    /// Host to which callers address the requests.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends; the longest that fits wins.
+    /// Path prefix, with a slash at both ends; the longest matching prefix applies.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Kind of its requests.
     pub kind: Kind,
-    /// Longest time that a request may be held.
+    /// Time within which a request has to be completed.
     pub timeout: Duration,
-    /// Latency objective: time up to the answer, or to the first event of a stream.
+    /// Latency objective: time until the response, or until the first event of a stream.
+    #[serde(rename = "objective")]
     pub objective: Duration,
-    /// Tier of its requests, 0 for the highest, where the workspace has none of its own.
+    /// Tier of its requests, 0 for the highest; used if the workspace has none of its own.
     pub tier: u8,
-    /// Services that take its requests.
+    /// Services that receive its requests.
     pub shares: Vec<Share>,
-    /// Targets to which one request may be sent at most.
+    /// Most targets to which one request is sent.
+    #[serde(rename = "attempts")]
     pub attempts: u32,
-    /// Whether it is open without a key.
+    /// Whether requests need no key.
+    #[serde(rename = "public")]
     pub public: bool,
 }
 
-/// Servers of one kind.
+/// A group of interchangeable targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Unique name.
     pub name: String,
-    /// Connections that one target accepts from all callers together.
+    /// Most connections that one target accepts from all senders together.
     pub max_connections: u32,
-    /// How its targets compute, for model engines.
+    /// Performance model of its targets; none if they are not model engines.
     pub engine: Option<Engine>,
 }
 
@@ -104,27 +110,31 @@
 pub struct Workspace {
     /// Unique name.
     pub name: String,
-    /// Tier of its requests; it goes before the route's.
+    /// Tier of its requests; it takes precedence over the tier of the route.
     pub tier: Option<u8>,
-    /// Hashes of the keys that its callers may send.
+    /// Hashes of the API keys of its callers.
     pub key_hashes: Vec<KeyHash>,
 }
 
-/// Bounds of what callers may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Largest header section of a request, in bytes.
+    #[serde(rename = "header_bytes")]
     pub header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Largest body of a request, in bytes.
+    #[serde(rename = "body_bytes")]
     pub body_bytes: usize,
-    /// Longest time that the head of a request may take to arrive.
+    /// Time within which the header section of a request has to arrive.
+    #[serde(rename = "header_time")]
     pub header_time: Duration,
-    /// Longest rest of a connection between two requests.
+    /// Longest time that a connection may stay idle between two requests.
+    #[serde(rename = "idle_time")]
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// What holds before a catalog is known: small enough to be safe, large enough for usual callers.
+    /// Limits that apply before a catalog is known: small enough to be safe, large enough for typical callers.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
--- a/crates/sparscale_catalog/src/engine.rs
+++ b/crates/sparscale_catalog/src/engine.rs
@@ -1,91 +1,106 @@
-//! How a model engine computes, as the operator's configuration describes it.
+//! The performance model of a model engine, as the operator's configuration describes it.
 
 use serde::{Deserialize, Serialize};
 
-/// Figures of the engines of one service. Times are in milliseconds, counts in tokens unless a field says otherwise.
+/// Performance model of the engines of one service. Times are in milliseconds, counts in tokens unless a field says otherwise.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one target runs at once.
+    /// Most requests that one target runs at once.
     pub slots: u32,
-    /// Tokens of context that fit into one target's memory.
+    /// Context tokens that fit into the memory of one target.
     pub memory_tokens: u64,
-    /// Steps of decoding in one pass; the event that ends a pass carries that many tokens.
+    /// Decoding steps in one pass; the event at the end of a pass carries as many tokens.
     pub steps_per_pass: u32,
-    /// Time of a decoding step with nobody on it.
+    /// Time of a decoding step without requests.
     pub step_ms: f64,
-    /// Time that each writing request adds to a step.
+    /// Time that each decoding request adds to a step.
     pub step_ms_per_request: f64,
-    /// Time that each thousand tokens of context add to a step.
+    /// Time that each thousand context tokens add to a step.
+    #[serde(rename = "step_ms_per_thousand")]
     pub step_ms_per_thousand: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
+    #[serde(rename = "prefill_per_ms")]
     pub prefill_per_ms: f64,
-    /// Time of a million pairs of a prompt token and one before it.
+    /// Prefill time of a million pairs of a prompt token and an earlier one, which is the quadratic cost of attention.
     pub prefill_ms_per_million_pairs: f64,
-    /// Prompt tokens that are read in one step at most.
+    /// Most prompt tokens that are prefilled in one step.
+    #[serde(rename = "prefill_chunk")]
     pub prefill_chunk: u32,
-    /// Age of the load that a target reports to other boxes.
+    /// Age of the load when the report of a target reaches other boxes.
     pub report_lag_ms: f64,
-    /// Mean prompt of a request.
+    /// Mean prompt length of a request.
+    #[serde(rename = "usual_prompt")]
     pub usual_prompt: u32,
-    /// Mean answer of a request.
+    /// Mean response length of a request.
+    #[serde(rename = "usual_answer")]
     pub usual_answer: u32,
-    /// How its experts are laid out; none for a dense model.
+    /// Layout of the experts; none for a dense model.
     pub experts: Option<Experts>,
 }
 
-/// Experts of a group of ranks.
+/// Layout of the experts in a group of ranks.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Experts {
-    /// Sets of layers; each has a placement of its own.
+    /// Number of layer sets; each has its own placement of experts.
+    #[serde(rename = "sets")]
     pub sets: usize,
-    /// Experts in each set.
+    /// Number of experts in each set.
+    #[serde(rename = "count")]
     pub count: usize,
-    /// Experts that one rank holds of a set at most.
+    /// Most experts of a set that one rank serves.
+    #[serde(rename = "places")]
     pub places: usize,
-    /// Experts of a set that a rank can load beside those in use.
+    /// Experts of a set that a rank can load in addition to those it serves.
+    #[serde(rename = "spare")]
     pub spare: usize,
-    /// Size of one expert's weights, in megabytes.
+    /// Size of the weights of one expert, in megabytes.
+    #[serde(rename = "megabytes")]
     pub megabytes: f64,
-    /// Rate at which a rank loads weights, in megabits a second.
+    /// Rate at which a rank loads weights, in megabits per second.
     pub load_mbps: f64,
-    /// Part of the work for a token that its experts do.
+    /// Fraction of the work for a token that its experts do.
+    #[serde(rename = "work_share")]
     pub work_share: f64,
-    /// Time after which a broken group opens again once its ranks are back.
+    /// Time that a broken group takes to open again once its ranks have recovered.
+    #[serde(rename = "form_ms")]
     pub form_ms: f64,
 }
 
 impl Experts {
-    /// Time that a rank takes to load one expert, in milliseconds.
+    /// Time in which a rank loads one expert, in milliseconds.
     pub fn load_ms(&self) -> f64 {
         self.megabytes * 8.0 / self.load_mbps.max(f64::MIN_POSITIVE) * 1_000.0
     }
 }
 
 impl Engine {
-    /// Time of one pass over `requests` writing requests with `context` tokens of context in all, when the slowest
-    /// rank takes `skew` times the mean, in milliseconds.
-    pub fn pass_ms(&self, requests: f64, context: f64, skew: f64) -> f64 {
-        let per_request = self.step_ms_per_request * requests;
-        let per_context = self.step_ms_per_thousand * context / 1_000.0;
-        f64::from(self.steps_per_pass) * (self.step_ms + per_request + per_context) * skew
+    /// Time of one pass over `requests` decoding requests with `context_tokens` in total, in milliseconds.
+    ///
+    /// `skew` is the time of the slowest rank relative to the mean.
+    pub fn pass_ms(&self, requests: f64, context_tokens: f64, skew: f64) -> f64 {
+        let requests_ms = self.step_ms_per_request * requests;
+        let context_ms = self.step_ms_per_thousand * context_tokens / 1_000.0;
+        f64::from(self.steps_per_pass) * (self.step_ms + requests_ms + context_ms) * skew
     }
 
-    /// Time of one pass while `requests` requests are kept up on each rank, in milliseconds: as many prompts are read as
-    /// answers end. `skew` is that of the experts, `pace` how many times as long as usual the slowest rank with requests
-    /// takes: a pass with one request on a rank twelve times as slow was seen to take as long as twelve.
-    pub fn lasting_pass_ms(&self, requests: f64, skew: f64, pace: f64) -> f64 {
-        let context = f64::from(self.usual_prompt + self.usual_answer / 2);
+    /// Time of one pass in steady state with `requests` requests on each rank, in milliseconds: each completed response is
+    /// followed by the prefill of a new prompt.
+    ///
+    /// `skew` is the load skew of the experts, `slowdown` that of the slowest rank with requests. A slowdown applies to the whole
+    /// pass: a single request on a rank with a slowdown of 12 makes the pass take 12 times as long.
+    pub fn lasting_pass_ms(&self, requests: f64, skew: f64, slowdown: f64) -> f64 {
+        let context_per_request = f64::from(self.usual_prompt + self.usual_answer / 2);
         let passes = f64::from(self.usual_answer.max(1)) / f64::from(self.steps_per_pass.max(1));
-        let prompts = requests / passes.max(1.0) * self.prefill_ms(self.usual_prompt);
-        let even = self.pass_ms(requests, requests * context, 1.0) + prompts;
-        let of_experts = self.experts.map_or(0.0, |experts| experts.work_share);
-        even * (of_experts * skew + 1.0 - of_experts).max(pace)
+        let prefill_ms = requests / passes.max(1.0) * self.prefill_ms(self.usual_prompt);
+        let balanced_ms = self.pass_ms(requests, requests * context_per_request, 1.0) + prefill_ms;
+        let expert_fraction = self.experts.map_or(0.0, |experts| experts.work_share);
+        balanced_ms * (expert_fraction * skew + 1.0 - expert_fraction).max(slowdown)
     }
 
-    /// Time that reading a prompt of `tokens` takes an idle engine, in milliseconds.
+    /// Time in which an idle engine prefills a prompt of `tokens`, in milliseconds.
     pub fn prefill_ms(&self, tokens: u32) -> f64 {
         let tokens = f64::from(tokens);
-        let pairs = tokens * tokens / 2.0 / 1.0e6;
-        tokens / self.prefill_per_ms.max(f64::MIN_POSITIVE) + pairs * self.prefill_ms_per_million_pairs
+        let million_pairs = tokens * tokens / 2.0 / 1.0e6;
+        tokens / self.prefill_per_ms.max(f64::MIN_POSITIVE) + million_pairs * self.prefill_ms_per_million_pairs
     }
 }
--- a/crates/sparscale_catalog/src/error.rs
+++ b/crates/sparscale_catalog/src/error.rs
@@ -1,49 +1,49 @@
-//! What can be wrong with a catalog.
+//! Validation errors of a catalog.
 
 use snafu::Snafu;
 
-/// A catalog whose parts do not fit together.
+/// A catalog is inconsistent.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A name stands twice.
-    #[snafu(display("{section}[{name}] stands twice; remove one"))]
-    Twice {
-        /// Which list.
+    /// Two items of a list have the same name.
+    #[snafu(display("{section}[{name}] is listed twice; remove one"))]
+    DuplicateName {
+        /// Name of the list.
         section: &'static str,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// A route names a service that is not there.
-    #[snafu(display("routes[{route}]: no service is called {service}; add it to the services or mend the name"))]
-    NoService {
-        /// The route.
+    /// A route refers to a service that the catalog lacks.
+    #[snafu(display("routes[{route}]: no service is called {service}; add it to the services or correct the name"))]
+    UnknownService {
+        /// Name of the route.
         route: String,
-        /// The missing service.
+        /// Name of the missing service.
         service: String,
     },
-    /// A route sends its requests nowhere.
-    #[snafu(display("routes[{route}]: no share has a weight; give one service a weight of 1 or more"))]
-    NoShare {
-        /// The route.
+    /// All shares of a route have weight 0, so that no service receives its requests.
+    #[snafu(display("routes[{route}]: all shares have weight 0; give one service a weight of 1 or more"))]
+    NoWeight {
+        /// Name of the route.
         route: String,
     },
-    /// A prefix does not begin and end with a slash.
-    #[snafu(display("routes[{route}]: the prefix {prefix} needs a slash at both ends"))]
-    Prefix {
-        /// The route.
+    /// The prefix of a route does not start and end with a slash.
+    #[snafu(display("routes[{route}]: the prefix {prefix} must start and end with a slash"))]
+    InvalidPrefix {
+        /// Name of the route.
         route: String,
-        /// Its prefix.
+        /// The prefix.
         prefix: String,
     },
-    /// A key belongs to two workspaces.
+    /// Two workspaces have the same key.
     #[snafu(display(
-        "workspaces[{name}]: one of its keys belongs to {holder} already; give each key to one workspace"
+        "workspaces[{name}]: one of its keys already belongs to {holder}; give each key to one workspace only"
     ))]
     SharedKey {
-        /// The later workspace.
+        /// Name of the later workspace.
         name: String,
-        /// The earlier one.
+        /// Name of the earlier workspace.
         holder: String,
     },
 }
--- a/crates/sparscale_catalog/src/incarnation.rs
+++ b/crates/sparscale_catalog/src/incarnation.rs
@@ -1,7 +1,7 @@
-//! Starts of targets, as small keys.
+//! Keys that identify the individual starts of targets.
 //!
-//! A target may start again under the id that it had, and then knows nothing of before. So nothing is kept under an id:
-//! what is known of one start (connections, failures, loads) must not be believed of the next.
+//! A target may restart under the same id, and its earlier state is lost then. State about a target (connections, failures,
+//! load) is therefore kept per start rather than per id, so that it is not applied to the next start.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,20 +9,20 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Names that are remembered beside those of the targets that are there, so that a target whose entry comes back after an
-/// outage has the key that it had.
-const REMEMBERED: usize = 1_024;
+/// Starts that are remembered beside those of the current targets, so that a target that is registered again after an outage
+/// keeps its key.
+const MAX_REMEMBERED_STARTS: usize = 1_024;
 
-/// One start of one target.
+/// Key of one start of one target, valid only within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u64);
 
-/// One start of one target, named alike by all processes: a digest of the target's id and of when it began.
+/// Identifies one start of one target across all processes: a digest of the target's id and start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Start(u64);
 
 impl Start {
-    /// The start of the target `id` that began at `born_ms`, if targets tell that.
+    /// Identifies the start of target `id` at `born_ms`; `None` if targets do not report when they started.
     pub fn of(id: &str, born_ms: Option<u64>) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(born_ms.unwrap_or_default().to_be_bytes());
@@ -33,7 +33,7 @@
         Self(u64::from_be_bytes(bytes))
     }
 
-    /// The digest.
+    /// The digest as a number.
     pub fn digest(self) -> u64 {
         self.0
     }
@@ -45,34 +45,39 @@
     }
 }
 
-/// The starts that a process has heard of. Each gets a key of its own, and no key is given out twice.
+/// Assigns a key to each start that this process knows; no key is reused.
 #[derive(Debug, Default)]
 pub struct Incarnations {
     by_start: HashMap<Start, Incarnation>,
-    given: u64,
+    last_key: u64,
 }
 
 impl Incarnations {
-    /// The key of this start of a target.
+    /// Returns the key of a start, and assigns one if it is new.
     pub fn key(&mut self, start: Start) -> Incarnation {
-        let given = &mut self.given;
+        let last_key = &mut self.last_key;
         *self.by_start.entry(start).or_insert_with(|| {
-            *given += 1;
-            Incarnation(*given)
+            *last_key += 1;
+            Incarnation(*last_key)
         })
     }
 
-    /// Forgets the oldest starts that are not among `there`, which is in order, beyond [`REMEMBERED`].
-    pub(crate) fn retain(&mut self, there: &[Incarnation]) {
-        if self.by_start.len() <= there.len() + REMEMBERED {
+    /// Removes the oldest starts that are not among `current`, which is sorted, once more than [`MAX_REMEMBERED_STARTS`] of
+    /// them are kept; half as many remain.
+    pub(crate) fn retain(&mut self, current: &[Incarnation]) {
+        if self.by_start.len() <= current.len() + MAX_REMEMBERED_STARTS {
             return;
         }
-        let is_there = |key: &Incarnation| there.binary_search(key).is_ok();
-        let mut gone: Vec<Incarnation> = self.by_start.values().copied().filter(|key| !is_there(key)).collect();
-        gone.sort_unstable();
-        let Some(oldest) = gone.len().checked_sub(REMEMBERED / 2).and_then(|index| gone.get(index)) else {
+        let is_current = |key: &Incarnation| current.binary_search(key).is_ok();
+        let mut past: Vec<Incarnation> = self.by_start.values().copied().filter(|key| !is_current(key)).collect();
+        past.sort_unstable();
+        let Some(oldest_kept) = past
+            .len()
+            .checked_sub(MAX_REMEMBERED_STARTS / 2)
+            .and_then(|index| past.get(index))
+        else {
             return;
         };
-        self.by_start.retain(|_, key| is_there(key) || *key >= *oldest);
+        self.by_start.retain(|_, key| is_current(key) || *key >= *oldest_kept);
     }
 }
--- a/crates/sparscale_catalog/src/lib.rs
+++ b/crates/sparscale_catalog/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an entry has to know to send requests straight to targets: the catalog of routes, services and workspaces,
-//! and the roster of targets.
+//! The data with which an entry sends requests directly to targets: the catalog of routes, services and workspaces, and the
+//! roster of targets.
 //!
-//! Both come whole and versioned from outside; nothing here reads a clock or a socket.
+//! Both are supplied by the caller as complete snapshots; this crate performs no I/O and reads no clock.
 
 mod catalog;
 mod directory;
--- a/crates/sparscale_catalog/src/roster.rs
+++ b/crates/sparscale_catalog/src/roster.rs
@@ -1,4 +1,4 @@
-//! The targets that are there now.
+//! The list of current targets.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,72 +6,76 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// It takes work.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and leaves.
+    /// It drains: it completes its requests in flight and then terminates.
+    #[serde(rename = "Leaving")]
     Leaving,
 }
 
-/// A target's place in a group of ranks.
+/// The membership of a target in a group of ranks.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
     /// Name of the group.
     pub group: String,
-    /// Its rank, from 0.
+    /// Rank of the target, from 0.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// Whether the group runs, as the target knew it when it last wrote.
+    /// Whether the group serves requests, as last reported by the target.
+    #[serde(rename = "open")]
     pub open: bool,
 }
 
-/// One target, as its entry in the platform's list says.
+/// One target, as its registration in the platform's list describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Target {
-    /// Its id. A target that starts again may have it again, so it names no start: see [`crate::Incarnation`].
+    /// Id of the target. A target may restart under the same id, so it does not identify a start: see [`crate::Incarnation`].
     pub id: String,
-    /// When its present start began, in milliseconds since 1970 by its own clock; none where targets do not tell.
+    /// Time of the current start, in milliseconds since 1970 by the target's own clock; none if targets do not report it.
     pub born_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// Name of the service that the target belongs to.
     pub service: String,
-    /// Where it serves HTTP.
+    /// Address at which it serves HTTP.
     pub address: SocketAddr,
-    /// Hall that it stands in.
+    /// Hall of the target's box.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Most requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
+    #[serde(rename = "standing")]
     pub standing: Standing,
-    /// Its place in a group of ranks, if it has one.
+    /// Membership in a group of ranks, if it has one.
     pub membership: Option<Membership>,
-    /// Whether another entry of its service named its address later. It may be a target that lost power, whose entry
-    /// has not lapsed yet; or the later entry may be of another writer, and this is the target that is there.
+    /// Whether a later registration of the same service has the same address. Either this target lost power and its
+    /// registration has not expired yet, or the later registration is from another writer and this target still runs.
+    #[serde(rename = "superseded")]
     pub superseded: bool,
 }
 
 impl Target {
-    /// Sixteen bits that tell its present start from others of the same target, as far as that can be told from so few: loads
-    /// carry them. 0 where targets do not tell when they began.
+    /// A 16-bit mark that load reports carry to distinguish the current start of the target from its other starts. 0 if targets do
+    /// not report when they started.
     pub fn start_mark(&self) -> u16 {
         start_mark(self.born_ms)
     }
 }
 
-/// The mark of a start that began at `born_ms`: never 0, which stands for one that does not tell.
+/// Computes the mark of a start at `born_ms`; 0 only for a target that does not report when it started.
 pub fn start_mark(born_ms: Option<u64>) -> u16 {
     let Some(born_ms) = born_ms else { return 0 };
-    // Starts of one target are further apart than a millisecond and hardly ever a multiple of 65 seconds to the millisecond.
+    // Two starts of one target share a mark only if they are a multiple of 65.535 seconds apart, to the millisecond.
     u16::try_from(born_ms % u64::from(u16::MAX)).map_or(1, |mark| mark + 1)
 }
 
-/// All targets, as one reading of the platform's list gave them.
+/// All targets, as read from the platform's list at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Target>", into = "Vec<Target>")]
 pub struct Roster {
-    /// Targets, ordered by id.
+    /// Targets, sorted by id.
     pub targets: Vec<Target>,
     digest: u64,
 }
@@ -95,7 +99,7 @@
 }
 
 impl Roster {
-    /// A roster of `targets`, put into order.
+    /// Creates a roster of `targets`, which it sorts by id.
     pub fn new(mut targets: Vec<Target>) -> Self {
         targets.sort_by(|left, right| left.id.cmp(&right.id));
         let mut hasher = DefaultHasher::new();
@@ -104,26 +108,28 @@
         Self { targets, digest }
     }
 
-    /// A roster of targets, each with the place in the platform's list at which its start showed up. Of several at one
-    /// address all but the last are marked: a target that lost power has an entry until it lapses, and what is sent to it
-    /// meets its successor. None is left out, as the last one may be of another writer.
+    /// Creates a roster of targets, each with the position in the platform's list at which its start first appeared.
+    ///
+    /// Of several targets of one service at one address all but the latest are marked as superseded: a target that lost power
+    /// stays registered until its registration expires, and requests to its address reach the successor. None is removed, because
+    /// the latest registration may be from another writer.
     pub fn of_latest<P: Copy + Default + Ord>(listed: Vec<(Target, P)>) -> Self {
         let mut latest: HashMap<(SocketAddr, String), P> = HashMap::with_capacity(listed.len());
-        for (target, since) in &listed {
-            let last = latest.entry((target.address, target.service.clone())).or_default();
-            *last = (*last).max(*since);
+        for (target, first_position) in &listed {
+            let latest_position = latest.entry((target.address, target.service.clone())).or_default();
+            *latest_position = (*latest_position).max(*first_position);
         }
-        let mark = |(target, since): (Target, P)| Target {
+        let mark = |(target, first_position): (Target, P)| Target {
             superseded: latest
                 .get(&(target.address, target.service.clone()))
-                .is_some_and(|last| since < *last),
+                .is_some_and(|latest_position| first_position < *latest_position),
             ..target
         };
         Self::new(listed.into_iter().map(mark).collect())
     }
 
-    /// A digest of all of it: processes tell each other by it whether they have the same roster. Programs of different
-    /// builds may differ in it; they then send more than they need to.
+    /// A digest of the roster, by which processes detect whether they have the same one. Different builds may compute different
+    /// digests of the same roster; they then exchange it more often than necessary.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/crates/sparscale_catalog/src/routes.rs
+++ b/crates/sparscale_catalog/src/routes.rs
@@ -4,36 +4,36 @@
 
 use crate::document::Route;
 
-/// Names a route of one catalog.
+/// Index of a route in its catalog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteKey(pub(crate) usize);
 
-/// Names a service of one catalog.
+/// Index of a service in its catalog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceKey(pub(crate) usize);
 
-/// Routes by host and prefix.
+/// An index of routes by host and path prefix.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Table {
+pub(crate) struct RouteTable {
     hosts: HashMap<String, HashMap<String, RouteKey>>,
 }
 
-impl Table {
+impl RouteTable {
     pub(crate) fn new(routes: &[Route]) -> Self {
         let mut hosts: HashMap<String, HashMap<String, RouteKey>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            // Two routes of one place: the earlier one stands, as operators read them.
+            // Of two routes with the same host and prefix the first one applies, in the order in which operators read them.
             prefixes.entry(route.prefix.clone()).or_insert(RouteKey(index));
         }
         Self { hosts }
     }
 
-    /// The route of a request; the host may carry a port.
+    /// Finds the route of a request; `host` may include a port.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let prefixes = self.hosts.get(&without_port(host).to_ascii_lowercase())?;
-        let ends = path.match_indices('/').map(|(index, _)| index + 1);
-        ends.rev().find_map(|end| prefixes.get(&path[..end]).copied())
+        let prefix_ends = path.match_indices('/').map(|(index, _)| index + 1);
+        prefix_ends.rev().find_map(|end| prefixes.get(&path[..end]).copied())
     }
 }
 
