--- a/crates/sparscale_catalog/src/document.rs
+++ b/crates/sparscale_catalog/src/document.rs
@@ -94,7 +94,7 @@
     pub public: bool,
 }
 
-/// A group of interchangeable targets.
+/// A service: all targets of one kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Unique name.
--- a/crates/sparscale_catalog/src/roster.rs
+++ b/crates/sparscale_catalog/src/roster.rs
@@ -67,7 +67,7 @@
 /// Computes the mark of a start at `born_ms`; 0 only for a target that does not report when it started.
 pub fn start_mark(born_ms: Option<u64>) -> u16 {
     let Some(born_ms) = born_ms else { return 0 };
-    // Two starts of one target share a mark only if they are a multiple of 65.535 seconds apart, to the millisecond.
+    // Two starts of one target share a mark only if they are a multiple of 65.535 seconds apart to the millisecond, which is rare.
     u16::try_from(born_ms % u64::from(u16::MAX)).map_or(1, |mark| mark + 1)
 }
 
