--- a/crates/sparscale_soak/src/caller.rs
+++ b/crates/sparscale_soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends one request after the other to one entry, and notes what it gets.
+//! Callers: each sends requests to one entry, one at a time, and records the outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,23 +22,22 @@
 use crate::platform::RouteKind;
 use crate::stage::Stage;
 
-/// Time that a caller waits beyond the deadline that it told, before it notes that nothing came.
+/// Time past the deadline announced in the request after which a caller records that no response came.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(3);
-/// Time that a connection may take to come about.
 const CONNECT: Duration = Duration::from_secs(1);
-/// Pause between two requests of a caller, in milliseconds.
+/// Delay before each request of a caller, in milliseconds.
 const PAUSE: std::ops::Range<u64> = 20..120;
 
-/// What a caller does with its connections.
+/// How a caller uses its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Habit {
-    /// It keeps one open until the entry closes it.
+    /// Keeps a connection open until the entry closes it.
     Keeps,
-    /// It opens one for each request.
+    /// Opens a connection for each request.
     Opens,
 }
 
-/// One caller.
+/// A caller of one entry.
 pub(crate) struct Caller {
     pub(crate) entry: usize,
     address: SocketAddr,
@@ -47,12 +46,12 @@
     book: Arc<Book>,
     random: ChaCha8Rng,
     kept: Option<SendRequest<Full<Bytes>>>,
-    /// Body of all its requests; one of its own for each if none.
+    /// Body of all its requests; if none, each request gets a body of its own.
     pub(crate) body: Option<&'static str>,
 }
 
 impl Caller {
-    /// A caller of `entry` that draws from `random`.
+    /// Creates a caller of `entry` that draws random numbers from `random`.
     pub(crate) fn new(stage: &Stage, entry: usize, habit: Habit, random: ChaCha8Rng) -> Self {
         Self {
             entry,
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Sends requests until `over`.
+    /// Sends requests until `stopped` is set.
     pub(crate) async fn run(mut self, mut over: watch::Receiver<bool>) {
         while !*over.borrow_and_update() {
             let pause = Duration::from_millis(self.random.random_range(PAUSE));
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Sends one request to route number `route` and notes what comes of it.
+    /// Sends one request to the route with index `route` and records the outcome.
     pub(crate) async fn ask(&mut self, route: usize, key: &str) -> Outcome {
         let route = &ROUTES[route];
         let id = format!("{:016x}", self.random.random::<u64>());
@@ -87,7 +86,7 @@
             .await
             .unwrap_or(Outcome::Nothing);
         if outcome == Outcome::Nothing {
-            // Dropping the connection tells the entry that nobody waits any more.
+            // Closing the connection shows the entry that the caller no longer waits.
             self.kept = None;
         }
         self.book.open().attempts.push(Attempt {
@@ -129,7 +128,7 @@
         let stream = opened.ok()?.ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
-            // What it ends with shows in the answers.
+            // A connection error shows up in the response.
             let _ended = connection.await;
         });
         Some(sender)
@@ -147,7 +146,7 @@
     }
 }
 
-/// Body of a request.
+/// Body of the request with this id.
 pub(crate) fn body(id: &str) -> String {
     format!("body of {id}")
 }
@@ -174,7 +173,7 @@
     }
 }
 
-/// Whether requests of `kind` are answered by events.
+/// Whether responses to requests of `kind` are event streams.
 pub(crate) fn is_stream(kind: RouteKind) -> bool {
     matches!(kind, RouteKind::Stream | RouteKind::Resumable)
 }
--- a/crates/sparscale_soak/src/check.rs
+++ b/crates/sparscale_soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from what callers and targets saw.
+//! Checks the promises of the system against what callers and targets observed.
 
 mod pressure;
 
@@ -12,21 +12,20 @@
 use crate::platform::{Bounds, RouteKind};
 use crate::target;
 
-/// Time without trouble after which an entry and the store count as in touch (the users' `contact_ms`).
+/// Time without faults after which an entry and the store count as in contact (`contact_ms` in the requirements).
 const CONTACT: Duration = Duration::from_secs(3);
-/// Sends of a request that ended three targets that may still come.
+/// Sends that may still follow for a request under which three targets have crashed.
 const MOST_LATE: usize = 3;
-/// Time that a request may be on its way through a slow link.
+/// Longest time that a request may spend on a slow link.
 const ON_THE_WAY: Duration = Duration::from_millis(400);
-/// Time beyond its deadline in which a final answer has to have come: some for a busy machine.
+/// Time past its deadline by which a final response must have arrived; the margin allows for a busy machine.
 const LATE: Duration = Duration::from_secs(1);
 
-/// A broken promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Violation {
-    /// Its name.
+    /// Name of the promise that was broken.
     pub(crate) promise: &'static str,
-    /// What happened.
+    /// What was observed.
     pub(crate) what: String,
 }
 
@@ -69,13 +68,13 @@
     by_request
 }
 
-/// What may run at most once runs at most once.
+/// Reports a request of an at-most-once route that ran more than once.
 fn ran_twice(attempt: &Attempt, runs: &[&Run]) -> Option<String> {
     let once = matches!(attempt.kind, RouteKind::Once | RouteKind::Stream);
     (once && runs.len() > 1).then(|| format!("{:?} ran {} times", attempt.kind, runs.len()))
 }
 
-/// An answer that promises that nothing has run is true, now and later.
+/// Reports a response that promises that the request was not run although it ran, at any time.
 fn ran_nevertheless(attempt: &Attempt, runs: &[&Run]) -> Option<String> {
     let Outcome::Answered(answer) = &attempt.outcome else {
         return None;
@@ -85,7 +84,8 @@
     Some(format!("{} although {} ran it", answer.status, run.target))
 }
 
-/// An answer is that of a target that ran the request, whole, or not whole and said so; events come in order.
+/// Reports a 200 response that names no target that ran the request, whose body differs from what was sent, or whose
+/// events are out of order. A truncated body must be marked as such and be a prefix of the expected one.
 fn wrong_answer(attempt: &Attempt, runs: &[&Run]) -> Option<String> {
     let Outcome::Answered(answer) = &attempt.outcome else {
         return None;
@@ -113,7 +113,7 @@
     }
 }
 
-/// Nobody is told that a route is not there which always was, or that a key is not in force which is.
+/// Reports a 404 for a route, all of which exist throughout, and a 401 for a key that is active.
 fn denied(attempt: &Attempt, acknowledged: &[Acknowledged], bounds: &Bounds) -> Option<String> {
     let Outcome::Answered(answer) = &attempt.outcome else {
         return None;
@@ -122,8 +122,8 @@
     denied.then(|| format!("{} for {}", answer.status, attempt.key))
 }
 
-/// Whether the key of an attempt was in force all the time, for long enough that every entry either knew it or knew
-/// that it did not know the newest configuration.
+/// Whether the key of a request was active throughout, for so long that every entry either knew the key or knew that
+/// its configuration was out of date.
 fn is_in_force(attempt: &Attempt, acknowledged: &[Acknowledged], bounds: &Bounds) -> bool {
     let at_start = (0..KEYS).any(|key| attempt.key == format!("key-{key}"));
     let granted = acknowledged.iter().any(|known| {
@@ -136,19 +136,21 @@
     (at_start || granted) && !taken
 }
 
-/// A request gets its final answer by its deadline from an entry that runs.
+/// Reports a request without a final response by its deadline, unless its entry was stopped, killed or frozen
+/// meanwhile.
 fn no_end(attempt: &Attempt, troubles: &[Trouble]) -> Option<String> {
     let took = attempt.ended.saturating_duration_since(attempt.began);
     let nothing = attempt.outcome == Outcome::Nothing || took > DEADLINE + LATE;
     let harmed = troubles.iter().any(|trouble| {
-        // A stream that is on its way may last longer than an entry that stops waits for it.
+        // A stream in progress may outlast the time that a stopping entry waits for it.
         let own = harms(trouble.fault, attempt.entry) || trouble.fault == Fault::Stall;
         own && overlaps(trouble, attempt.began, attempt.ended, PATIENCE)
     });
     (nothing && !harmed).then(|| format!("{:?} after {} ms", attempt.outcome, took.as_millis()))
 }
 
-/// An entry that is asked to stop finishes what it has passed on, if nothing else goes wrong.
+/// Reports a response truncated by a stopping entry, which must finish forwarded requests; only if no other fault was
+/// near.
 fn cut_by_stop(attempt: &Attempt, runs: &[&Run], troubles: &[Trouble]) -> Option<String> {
     let cut = match &attempt.outcome {
         Outcome::Closed | Outcome::Nothing => true,
@@ -176,7 +178,7 @@
     (stopped && only).then(|| format!("cut: {:?}", attempt.outcome))
 }
 
-/// A target that is leaving gets nothing new from an entry that is in touch.
+/// Reports a request that ran on a draining target although its entry was in contact and should have stopped sending.
 fn sent_to_leaving(attempt: &Attempt, runs: &[&Run], ledger: &Ledger, bounds: &Bounds) -> Option<String> {
     let run = runs.iter().find(|run| {
         ledger.acknowledged.iter().any(|acknowledged| {
@@ -188,7 +190,7 @@
         .then(|| format!("ran on {} which had left", run.target))
 }
 
-/// A key that was taken away runs nowhere once the bound has passed, whatever else happens.
+/// Reports requests that ran with a revoked key after the bound for revocations; no fault excuses this.
 fn ran_after_revocation(ledger: &Ledger, bounds: &Bounds) -> Vec<Violation> {
     let revoked = ledger.acknowledged.iter().filter_map(|known| match &known.what {
         Change::Revoked(key) => Some((key, known.stands)),
@@ -209,9 +211,10 @@
     broken.collect()
 }
 
-/// Arrivals beyond the first of each request stay within the budget that all entries share (the platform's retry budget):
-/// in any window, a part of what callers sent in it, in the one before it or in the one half a window before it,
-/// whichever is most, and the slack.
+/// Checks repeated arrivals against the retry budget that all entries share.
+///
+/// In any window they may reach a fraction of the requests that callers sent in it, in the window before it or in the
+/// one half a window before it (the largest of the three), plus the slack.
 fn overspent(ledger: &Ledger, bounds: &Bounds) -> Option<Violation> {
     let mut known = BTreeSet::new();
     let further = ledger
@@ -237,8 +240,8 @@
     })
 }
 
-/// A request under which three targets have ended reaches targets three times more at most, from entries that were in touch
-/// for long enough to know.
+/// Reports a request that crashed three targets and then reached targets more than three more times, counting only
+/// entries that were in contact for long enough to know of the crashes.
 fn deadly_sends(ledger: &Ledger) -> Vec<Violation> {
     let paths: BTreeSet<&str> = ledger.ends.iter().map(|end| end.path.as_str()).collect();
     let entries: BTreeMap<&str, usize> = ledger
@@ -263,7 +266,7 @@
     paths.into_iter().filter_map(judge).collect()
 }
 
-/// Whether nothing has harmed an entry, or the store, for as long as `lately`.
+/// Whether no fault affected the entry or the store during `window` before `at`.
 fn in_touch(troubles: &[Trouble], entry: usize, at: Instant, lately: Duration) -> bool {
     !troubles.iter().any(|trouble| {
         let store = matches!(
@@ -281,13 +284,13 @@
     })
 }
 
-/// How many of `times` lie in the budget's window that begins at `from`.
+/// Number of `times` in the budget window that begins at `from`.
 fn within(times: &[Instant], from: Instant, window: Duration) -> usize {
     let inside = times.iter().filter(|at| **at >= from && **at < from + window);
     inside.count()
 }
 
-/// The entry that a fault ends or stops, if it is a single one.
+/// The single entry that a fault kills, freezes or stops, if there is one.
 fn entry_of(fault: Fault) -> Option<usize> {
     match fault {
         Fault::Kill { entry }
@@ -299,7 +302,7 @@
     }
 }
 
-/// Whether a fault ends or stops this entry.
+/// Whether a fault kills, freezes or stops this entry.
 fn harms(fault: Fault, entry: usize) -> bool {
     let all = matches!(fault, Fault::KillAll { .. } | Fault::StopAll { .. } | Fault::FreezeAll);
     all || entry_of(fault) == Some(entry)
@@ -312,7 +315,7 @@
     )
 }
 
-/// Whether a trouble was there from `margin` before `from` until `to`.
+/// Whether a fault was active between `margin` before `from` and `to`.
 fn overlaps(trouble: &Trouble, from: Instant, to: Instant, margin: Duration) -> bool {
     trouble.from <= to && trouble.to + margin >= from
 }
--- a/crates/sparscale_soak/src/check/pressure.rs
+++ b/crates/sparscale_soak/src/check/pressure.rs
@@ -1,4 +1,4 @@
-//! What targets ask of those that send to them is kept.
+//! Checks that entries respect the backpressure that targets signal: backoff, rate limits and draining.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -9,19 +9,19 @@
 use crate::mood::Mood;
 use crate::places::{RATE, REST};
 
-/// Time after a word of a target in which what is under way may still arrive.
+/// Time after a response of a target during which requests that are already in flight may still arrive.
 const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Requests that may reach a target while it rests.
+/// Requests that may reach a target during its backoff.
 const MOST_RESTING: usize = 2;
-/// Window over which a limited target counts.
+/// Window over which the requests to a rate-limited target are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Times its rate that it bears in a window, and requests besides.
+/// Multiple of its rate limit that a target accepts in a window, and a number of requests on top.
 const FACTOR: f64 = 1.5;
 const BURST: f64 = 5.0;
-/// Time after a target's word that it leaves in which it may still get requests.
+/// Time after a target announces that it is draining during which it may still get requests.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// An arrival, and the attempt that it belongs to.
+/// An arrival and the caller's request that it belongs to.
 #[derive(Clone, Copy)]
 struct Sent<'a> {
     arrival: &'a Arrival,
@@ -59,7 +59,7 @@
     found
 }
 
-/// No entry sends more than a few requests to a target that it was asked to leave alone.
+/// Reports an entry that sends more than a few requests to a target that asked it to back off.
 fn sent_while_resting(sent: &[Sent<'_>], troubles: &[&Trouble]) -> Option<String> {
     let asked = sent.iter().filter(|sent| sent.arrival.mood == Mood::Tired);
     asked.clone().find_map(|word| {
@@ -75,7 +75,7 @@
     })
 }
 
-/// All entries that were told keep together to a rate.
+/// Reports entries that together exceed the rate limit that a target announced to them.
 fn sent_beyond_rate(sent: &[Sent<'_>], troubles: &[&Trouble]) -> Option<String> {
     let limited: Vec<&Sent<'_>> = sent.iter().filter(|sent| sent.arrival.mood == Mood::Limited).collect();
     let first = limited.first()?.arrival.at;
@@ -84,7 +84,7 @@
         .into_iter()
         .filter_map(|entry| {
             let own = limited.iter().find(|sent| sent.attempt.entry == entry)?;
-            // An answer may be on its way as long as a request.
+            // A response may take as long on a slow link as a request.
             Some((entry, own.arrival.at + UNDER_WAY + ON_THE_WAY))
         })
         .collect();
@@ -102,7 +102,8 @@
     })
 }
 
-/// A target that has told an entry that it leaves gets nothing from it that a caller sent later than that.
+/// Reports a request sent to a target after the target told that entry that it is draining; requests that callers sent
+/// earlier are allowed.
 fn sent_after_word(sent: &[Sent<'_>], troubles: &[&Trouble]) -> Option<String> {
     let words = sent.iter().filter(|sent| sent.arrival.mood == Mood::Leaving);
     words.clone().find_map(|word| {
@@ -120,7 +121,7 @@
     })
 }
 
-/// Whether an entry, or its way to the target, was harmed in that time.
+/// Whether a fault affected an entry, or its link to the target, in that time.
 fn is_harmed(troubles: &[&Trouble], entry: usize, from: Instant, to: Instant) -> bool {
     let harming = |fault: Fault| harms(fault, entry) || matches!(fault, Fault::Stall | Fault::TargetLink { .. });
     troubles
--- a/crates/sparscale_soak/src/command.rs
+++ b/crates/sparscale_soak/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the program, and the output of each round.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,12 +12,11 @@
 use crate::platform::Platform;
 use crate::round::{self, Report, Round};
 
-/// Name of the program.
 const NAME: &str = "soak";
-/// Violations of one round that are printed.
+/// Violations printed per round.
 const PRINTED: usize = 8;
 
-/// Plays the rounds that the command line names; fails if a promise was broken or a round could not be played.
+/// Runs the rounds that the command line selects; fails if a promise was broken or a round could not be run.
 pub async fn run(platform: Arc<dyn Platform>) -> ExitCode {
     let matches = command().get_matches();
     if !is_meant(&matches) {
@@ -38,7 +37,7 @@
     if broken { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// The rounds that the command line asks for.
+/// Rounds selected by the options of the command line.
 fn named(matches: &ArgMatches) -> Vec<Round> {
     let first = number(matches, "seed", 1);
     let plan = match matches.get_one::<String>("plan").map(String::as_str) {
@@ -65,8 +64,7 @@
     (first..first + number(matches, "rounds", 1)).map(round).collect()
 }
 
-/// The rounds of every run of all tests: each plan, seeds that found more repeats than the budget allows, and one round with
-/// many entries.
+/// Rounds of a full test run: each plan, seeds that once exceeded the retry budget, and one round with many entries.
 fn usual() -> Vec<Round> {
     let round = |plan, seed, seconds, size| Round {
         seed,
@@ -104,7 +102,7 @@
         .long("plan")
         .value_parser(["single", "series", "returns", "restores", "deadly", "groups", "pressed"])
         .help("Faults one at a time, or also in series and all together, with targets that return under their ids, with a store that comes back from older copies, with requests that end what runs them, with a group of engines and its agents, or with targets that limit their rate, ask for rest or say that they leave [single]");
-    // `cargo test NAME` hands names to every test program.
+    // `cargo test NAME` passes the names to every test program.
     let names = Arg::new("names")
         .num_args(0..)
         .help("Names of tests; rounds are played if there are none, or if this program's is meant");
@@ -133,7 +131,7 @@
     matches.get_one(name).copied().unwrap_or(usual)
 }
 
-/// Plays one round and prints what it showed; tells whether all promises held.
+/// Runs one round and prints its report; returns whether all promises held.
 async fn play(platform: Arc<dyn Platform>, round: Round) -> bool {
     let seed = round.seed;
     let folder = folder(seed);
@@ -185,12 +183,12 @@
     }
 }
 
-/// Where the files of a round go.
+/// Directory for the logs and settings files of a round.
 fn folder(seed: u64) -> PathBuf {
     std::env::temp_dir().join(format!("sparscale-soak-{}-{seed}", std::process::id()))
 }
 
-/// The logs of a round in which everything held are of no use.
+/// Removes the files of a round without violations.
 fn remove(folder: &Path) {
     if let Err(error) = std::fs::remove_dir_all(folder) {
         println!("  {} stays: {error}", folder.display());
--- a/crates/sparscale_soak/src/drive.rs
+++ b/crates/sparscale_soak/src/drive.rs
@@ -1,4 +1,4 @@
-//! Makes faults happen and mends them.
+//! Injects faults and undoes them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,44 +16,45 @@
 use crate::proxy::Link;
 use crate::stage::Stage;
 
-/// Time after which the store drops the entry of a target that says nothing any more.
+/// Time after which the store drops the registration of a target that stops renewing it.
 const LAPSE: Duration = Duration::from_secs(3);
-/// Time after the store's return in which living targets are listed again.
+/// Time after the store recovers within which running targets are registered again.
 const RETURN: Duration = Duration::from_millis(1_500);
-/// Time that a leaving target serves on after the store has taken it.
+/// Time that a draining target keeps serving after the store has accepted its draining state.
 const SERVES_ON: Duration = Duration::from_secs(4);
 
-/// Longest time for which a store is away that comes back from an older copy, and time after which what others wrote is there again.
+/// Longest outage of a store before it is restored from a snapshot, and time until other writers have written their
+/// lost records again.
 const MOST_AWAY: Duration = Duration::from_secs(3);
 const WRITTEN_AGAIN: Duration = Duration::from_millis(1_500);
-/// Time between two words of a target.
+/// Interval at which targets renew their registrations.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Time in which some entry has read what was written right before.
+/// Time within which at least one entry has read a record just written.
 const READ: Duration = Duration::from_millis(400);
 
-/// Time for which a target is down after a crash.
+/// Time that a target is down after a crash.
 const DOWN: Duration = Duration::from_millis(1_500);
-/// Time between two tries of a caller whose request ends what runs it.
+/// Delay between two requests that crash their targets.
 const BETWEEN_DEADLY: Duration = Duration::from_millis(250);
-/// Time that a process of a series has before its next end.
+/// Time that a process of a series runs before it is killed or stopped again.
 const LIVES: Duration = Duration::from_millis(900);
-/// Longest wait for a change of map, and pause between two looks for one.
+/// Longest wait for a map switch, and interval at which the group is polled for one.
 const BAD_MOMENT: Duration = Duration::from_millis(1_500);
 const GLANCE: Duration = Duration::from_millis(1);
-/// Time in which another agent has followed the one that led.
+/// Time within which another agent has become the leader.
 const FOLLOWED: Duration = Duration::from_secs(2);
-/// Time between two signals to one process, and from its start to its first one.
+/// Delay between two signals to one process, and from its start to the first signal.
 const BETWEEN_SIGNALS: Duration = Duration::from_millis(40);
-/// Time between two configurations of a series.
+/// Delay between two configurations of a series.
 const BETWEEN_CHANGES: Duration = Duration::from_millis(60);
 
-/// Plays one fault from its beginning to its end, and notes when it was there.
+/// Runs one fault from beginning to end and records its period.
 pub(crate) async fn play(stage: Arc<Stage>, planned: Planned) {
     let from = Instant::now();
     let index = {
         let mut ledger = stage.book.open();
         let fault = planned.fault;
-        // Until it is over it may harm anything that happens.
+        // The fault may affect anything until it has ended.
         let to = from + Duration::from_hours(1);
         ledger.troubles.push(Trouble { fault, from, to });
         ledger.troubles.len() - 1
@@ -143,7 +144,7 @@
     }
 }
 
-/// Faults of the group of engines and of its agents.
+/// Applies a fault of the group of engines or of its agents.
 async fn act_on_group(stage: &Stage, fault: Fault, lasts: Duration) {
     match fault {
         Fault::KillAgent { rank } => kill(stage, stage.size.agent(rank), 1, lasts).await,
@@ -178,7 +179,7 @@
     }
 }
 
-/// Sends a request that ends what runs it, each time under a new id.
+/// Sends a request that crashes its target again and again, each time under a new id.
 async fn send_deadly(stage: &Stage, entry: usize, route: usize, lasts: Duration) {
     let mut caller = Caller::new(stage, entry, Habit::Opens, ChaCha8Rng::from_os_rng());
     caller.body = Some(DEADLY);
@@ -189,7 +190,7 @@
     }
 }
 
-/// Lets target `target` crash whenever it says so, and lists its successor when that is there; never ends.
+/// Replaces target `target` whenever it crashes and registers the new incarnation; never returns.
 pub(crate) async fn crash(stage: Arc<Stage>, target: usize) {
     let place = &stage.targets[target];
     let mut crashes = place.target.crashes.subscribe();
@@ -201,7 +202,7 @@
         stage.renew(target).await;
         place.proxy.set(Link::Open);
         stage.list(target, false);
-        // What it ends with is no fault of the entries.
+        // The entries are not to blame for requests that this crash ends.
         let fault = Fault::Die { target };
         stage.book.open().troubles.push(Trouble {
             fault,
@@ -216,7 +217,8 @@
     }
 }
 
-/// Lets targets write their entries again and again, so that a list that came back from a copy soon ends behind where it did.
+/// Renews all registrations of targets at an interval, so that a list restored from a snapshot soon grows past its old
+/// end.
 pub(crate) async fn beat(stage: Arc<Stage>, over: watch::Receiver<bool>) {
     while !*over.borrow() {
         stage.beat();
@@ -224,24 +226,24 @@
     }
 }
 
-/// Kills a process and starts it again after `pause`, `times` times.
+/// Kills a process and restarts it after `delay`, `times` times.
 async fn kill(stage: &Stage, process: usize, times: u32, pause: Duration) {
     for _ in 0..times {
         stage.kill(process).await;
         tokio::time::sleep(pause).await;
         restart(stage, process).await;
-        // Callers find it before the next kill.
+        // Callers reach the process before the next kill.
         tokio::time::sleep(LIVES).await;
     }
 }
 
-/// Number among the processes of the agent that leads the group, as far as the store knows.
+/// Process index of the agent that leads the group, as far as the store knows.
 fn leader(stage: &Stage) -> Option<usize> {
     let rank = stage.store.leader().filter(|rank| *rank < stage.size.ranks);
     rank.map(|rank| stage.size.agent(rank))
 }
 
-/// Waits until the group changes its map, for a while.
+/// Waits until the group switches its map, up to `MAX_MAP_SWITCH_WAIT`: the worst time to lose the leader.
 async fn await_bad_moment(stage: &Stage) {
     let began = Instant::now();
     while !stage.engines.group().is_changing() && began.elapsed() < BAD_MOMENT {
@@ -256,8 +258,8 @@
     }
 }
 
-/// Signals overlap: hang-up before, during and after the stop, and a second request to stop while it stops. The new process
-/// gets a hang-up as early as it can.
+/// Sends overlapping signals: SIGHUP before, during and after the stop, and a second SIGTERM while the process stops.
+/// The new process gets a SIGHUP as early as possible.
 async fn stop_series(stage: &Stage, entry: usize, times: u32) {
     for _ in 0..times {
         stage.signal(entry, Signal::SIGHUP).await;
@@ -280,8 +282,8 @@
     stage.signal(process, Signal::SIGCONT).await;
 }
 
-/// Configurations right after each other: one takes a key away, one puts a key into force, the others change nothing. Most
-/// keys stay, so that most requests are served.
+/// Writes configurations in quick succession: one revokes a key, one grants a key, the others change nothing. Most keys
+/// stay, so that most requests are served.
 async fn change(stage: &Stage, times: u32) {
     revoke(stage, 1 + times as usize % (KEYS - 1)).await;
     for _ in 0..times {
@@ -321,7 +323,8 @@
     }
 }
 
-/// The store is away, and the entries of all targets lapse; they are back a moment after it.
+/// Makes the store unavailable until the registrations of all targets have expired; they are registered again soon
+/// after.
 async fn lapse(stage: &Stage, lasts: Duration) {
     stage.store.set_busy(true);
     tokio::time::sleep(lasts + LAPSE).await;
@@ -335,7 +338,8 @@
     }
 }
 
-/// The store is away and comes back from an older copy; what operators and targets wrote since is written again soon.
+/// Makes the store unavailable and restores it from an older snapshot; operators and targets soon write their lost
+/// records again.
 async fn restore(stage: &Stage, copy: Duration, before: Before, lasts: Duration) {
     let leaves = match before {
         Before::Nothing => None,
@@ -364,7 +368,7 @@
     let back = Instant::now();
     stage.store.set_busy(false);
     if before == Before::Takeover {
-        // Whoever leads now has claimed what the store has forgotten: it knows an earlier one, or none.
+        // The current leader's claim is lost: the store knows an earlier leader or none.
         if let Some(leader) = claimed {
             kill(stage, leader, 1, FOLLOWED).await;
         }
@@ -393,7 +397,7 @@
     stage.list(target, false);
 }
 
-/// The list tells of it only when it has gone.
+/// Drains a target that announces it only in its responses; the list changes once the target has terminated.
 async fn say_leaving(stage: &Stage, target: usize) {
     let place = &stage.targets[target];
     place.target.set_mood(Mood::Leaving);
@@ -404,7 +408,7 @@
     stage.list(target, false);
 }
 
-/// A target dies and starts again under its id, at once or after its entry has gone.
+/// Terminates a target and restarts it under its id, at once or after its registration has expired.
 async fn come_back(stage: &Stage, target: usize, lapsed: bool, lasts: Duration) {
     let place = &stage.targets[target];
     place.proxy.set(Link::Reset);
--- a/crates/sparscale_soak/src/engines.rs
+++ b/crates/sparscale_soak/src/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a group, each reached at its own address.
+//! The engines of a group, each with an address of its own.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,11 +12,10 @@
 use crate::platform::Platform;
 use crate::server::{self, Content};
 
-/// Time of a pass.
 const PASS: Duration = Duration::from_millis(8);
-/// Passes after which demand moves: often enough that most faults meet a change.
+/// Passes between two shifts of demand; frequent enough that most faults coincide with a map switch.
 const SHIFT: u32 = 90;
-/// Time after which a call that stays unanswered is over: longer than anybody waits.
+/// Time after which an unanswered call fails; longer than any client waits.
 const UNANSWERED: Duration = Duration::from_secs(1);
 
 /// All engines of the group.
@@ -26,7 +25,7 @@
 }
 
 impl Engines {
-    /// Starts them, with passes from now on.
+    /// Starts the engines and their passes.
     pub(crate) async fn start(platform: Arc<dyn Platform>, net: Net, size: Size) -> std::io::Result<Arc<Self>> {
         let engines = Arc::new(Self {
             platform,
@@ -65,7 +64,7 @@
     }
 }
 
-/// Lets passes follow each other; never ends.
+/// Runs passes at an interval; never returns.
 async fn run(engines: Arc<Engines>) {
     let mut tick = tokio::time::interval(PASS);
     let mut passes = 0_u32;
--- a/crates/sparscale_soak/src/fault.rs
+++ b/crates/sparscale_soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a round, drawn from its seed.
+//! Faults of a round, drawn from its seed.
 
 use std::time::Duration;
 
@@ -9,139 +9,139 @@
 use crate::places::{KEYS, LATER_KEYS, ROUTES, Size};
 use crate::proxy::Link;
 
-/// One fault.
+/// A fault to inject, or one that the soak detects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The store refuses all calls.
+    /// The store rejects all calls.
     StoreBusy,
-    /// Nobody reaches the store.
+    /// No process can reach the store.
     StoreSilent,
-    /// The same, and targets' entries lapse meanwhile.
+    /// The store rejects all calls, and the registrations of targets expire.
     StoreLapse,
-    /// One entry's way to the store is harmed.
+    /// The link of one entry to the store is impaired.
     StoreLink { entry: usize, link: Link },
-    /// An entry is killed and starts again.
+    /// An entry is killed and restarted.
     Kill { entry: usize },
-    /// An entry stands still.
+    /// An entry is frozen.
     Freeze { entry: usize },
-    /// An entry is asked to stop, and starts again.
+    /// An entry is stopped with SIGTERM and restarted.
     Stop { entry: usize },
-    /// An entry gets a hang-up signal.
+    /// An entry gets a SIGHUP.
     HangUp { entry: usize },
-    /// The way to a target is harmed.
+    /// The link to a target is impaired.
     TargetLink { target: usize, link: Link },
-    /// A target fails.
+    /// A target misbehaves.
     TargetMood { target: usize, mood: Mood },
-    /// A target says that it leaves, leaves, and another comes to its place.
+    /// A target announces in its registration that it is draining, terminates and is replaced.
     Leave { target: usize },
-    /// A target dies, its entry goes later, and another comes to its place.
+    /// A target crashes, its registration expires later, and it is replaced.
     Die { target: usize },
-    /// A key is taken away; the first key stays.
+    /// A key is revoked; the first key never is.
     Revoke { key: usize },
-    /// The same while no entry reaches the store, for longer than a key may be believed in.
+    /// A key is revoked while no entry reaches the store, for longer than an entry may trust its copy of a key.
     RevokeUnseen { key: usize },
-    /// Not drawn: the machine let nothing run for a while, as the soak notices by itself.
+    /// The machine ran nothing for a while; detected by the soak, never drawn.
     Stall,
-    /// A key comes into force while no entry reaches the store.
+    /// A key is granted while no entry reaches the store.
     GrantUnseen { key: usize },
-    /// An entry is killed and started again `times` times, with `pause` between.
+    /// An entry is killed and restarted `times` times, after `delay` each time.
     KillSeries { entry: usize, times: u32, pause: Duration },
-    /// The same with all entries at once.
+    /// All entries are killed and restarted in series at once.
     KillAll { times: u32, pause: Duration },
-    /// An entry gets a hang-up signal, is asked to stop twice over, and starts again, `times` times.
+    /// An entry gets a SIGHUP and two SIGTERMs and is restarted, `times` times.
     StopSeries { entry: usize, times: u32 },
-    /// The same with all entries, whose stops overlap.
+    /// All entries are stopped in series at once; their stops overlap.
     StopAll { times: u32 },
-    /// All entries stand still.
+    /// All entries are frozen.
     FreezeAll,
-    /// All targets fail alike.
+    /// All targets misbehave in the same way.
     AllTargets { mood: Mood },
-    /// Keys are taken away and come into force in quick succession.
+    /// Keys are revoked and granted in quick succession.
     Changes { times: u32 },
-    /// A target dies and starts again under its id; if `lapsed`, after its entry has gone.
+    /// A target terminates and restarts under its id; if `expired`, after its registration has expired.
     Return { target: usize, lapsed: bool },
-    /// The same with all targets.
+    /// All targets restart under their ids.
     ReturnAll { lapsed: bool },
-    /// A request that ends each target which runs it comes to an entry, again and again.
+    /// A request that crashes every target that runs it reaches an entry again and again.
     Deadly { entry: usize, route: usize },
-    /// The store is away for a moment and comes back from a copy that is as old as `copy`; `before` happens right before.
+    /// The store is briefly unavailable and restored from a snapshot of age `snapshot_age`; `before` happens right
+    /// before.
     Restore { copy: Duration, before: Before },
-    /// The agent beside a rank is killed and starts again.
+    /// The agent beside a rank is killed and restarted.
     KillAgent { rank: usize },
-    /// The agent beside a rank stands still.
+    /// The agent beside a rank is frozen.
     FreezeAgent { rank: usize },
-    /// The agent that leads the group is killed, and starts again after the others had time to follow it.
+    /// The agent that leads the group is killed, and restarted after another had time to take over.
     KillLeader,
-    /// The agent that leads the group stands still.
+    /// The agent that leads the group is frozen.
     FreezeLeader,
-    /// All agents are killed and start again.
+    /// All agents are killed and restarted.
     KillAgents,
-    /// The way of a rank's agent to the store is harmed.
+    /// The link of a rank's agent to the store is impaired.
     AgentStoreLink { rank: usize, link: Link },
-    /// Orders to a rank are left unanswered, and most of them are done later.
+    /// Orders to a rank get no response, and most of them are carried out later.
     LateOrders { rank: usize },
-    /// A rank's engine starts again, and the group forms anew.
+    /// A rank's engine restarts, and the group is formed anew.
     EngineReturn { rank: usize },
-    /// A target says in its answers that it leaves, and another comes to its place; its entry in the list does not say so.
+    /// A target announces in its responses, but not in its registration, that it is draining, and is replaced.
     SaysLeaving { target: usize },
-    /// Another writer's records stand in the store's list of targets.
+    /// Records of another writer appear in the store's list of targets.
     Foreign { target: usize },
 }
 
-/// What is written right before the store is restored, so that the copy lacks it.
+/// What is written right before the store is restored, so that the snapshot lacks it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Before {
-    /// Nothing.
     Nothing,
-    /// A key is taken away.
+    /// A key is revoked.
     Revoke { key: usize },
-    /// A target says that it leaves.
+    /// A target announces that it is draining.
     Leave { target: usize },
-    /// The agent that leads the group is killed; the one that follows it is killed right after the store is back.
+    /// The leader of the group is killed; its successor is killed right after the store has recovered.
     Takeover,
 }
 
-/// What kind of faults a round has.
+/// Which faults a round draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Plan {
-    /// One process or target at a time.
+    /// Faults of a single process or target.
     Single,
-    /// The same, and processes, signals and changes in series, all together and overlapping.
+    /// Single faults, and series of kills, signals and changes that also hit all processes at once and overlap.
     Series,
-    /// Targets that start again under their ids and records of another writer, beside the first kind.
+    /// Single faults, targets that restart under their ids, and records of another writer.
     Returns,
-    /// A store that comes back from older copies, beside the first kind, requests that end targets, and entries that all
-    /// start again.
+    /// Single faults, stores restored from older snapshots, requests that crash targets, and restarts of all entries.
     Restores,
-    /// A group of engines whose agents die, stand still and lose the store, which comes back from older copies.
+    /// A group of engines whose agents are killed, frozen and cut off from a store that is restored from older
+    /// snapshots.
     Groups,
-    /// Requests that end the targets which run them, beside the first kind and entries that all start again.
+    /// Single faults, requests that crash the targets that run them, and restarts of all entries.
     Deadly,
-    /// Targets that limit their rate, ask for rest or say that they leave, beside the first kind and entries that all start
-    /// again.
+    /// Single faults, targets that limit their rate, request a backoff or announce that they drain, and restarts of all
+    /// entries.
     Pressed,
 }
 
-/// A fault and when it comes.
+/// A fault and when it is injected.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Planned {
     pub(crate) fault: Fault,
     /// Time from the start of the round.
     pub(crate) at: Duration,
-    /// Time until it is mended, where it does not end by itself.
+    /// Time until the fault is undone, if it doesn't end by itself.
     pub(crate) lasts: Duration,
 }
 
-/// Pause between the beginnings of two faults, in milliseconds.
+/// Time between the beginnings of two faults, in milliseconds.
 const PAUSE: std::ops::Range<u64> = 200..1_500;
-/// Length of a fault, in milliseconds; the longest outlast every bound on beliefs.
+/// Duration of a fault, in milliseconds; the longest exceed every limit on the age of observed state.
 const LASTS: std::ops::Range<u64> = 300..8_000;
-/// Age of the copy that a store comes back from, in milliseconds.
+/// Age of the snapshot that a store is restored from, in milliseconds.
 const COPY: std::ops::Range<u64> = 1_000..10_000;
 /// Delay on a slow link, in milliseconds.
 const SLOW: std::ops::Range<u64> = 20..300;
 
-/// Pause between two kills of a series, in milliseconds; half of the series have none.
+/// Time between two kills of a series, in milliseconds; half of the series have none.
 const KILL_PAUSE: std::ops::Range<u64> = 100..2_500;
 
 impl Fault {
@@ -289,7 +289,7 @@
         }
     }
 
-    /// What it takes hold of; two faults do not hold the same thing at once.
+    /// The resource that the fault occupies; two faults never occupy the same one at once.
     pub(crate) fn holds(self) -> Hold {
         match self {
             Self::StoreBusy | Self::StoreSilent | Self::RevokeUnseen { .. } | Self::GrantUnseen { .. } => Hold::Store,
@@ -324,7 +324,7 @@
     }
 }
 
-/// What a fault takes hold of.
+/// What a fault occupies while it lasts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Hold {
     Store,
@@ -345,7 +345,7 @@
 }
 
 impl Hold {
-    /// Whether two faults cannot be there at once.
+    /// Whether two faults may not be active at once.
     pub(crate) fn excludes(self, other: Self) -> bool {
         match (self, other) {
             (Self::StoreAndTargets, Self::Store | Self::StoreAndTargets | Self::Target(_) | Self::Targets)
@@ -388,7 +388,7 @@
     }
 }
 
-/// The faults of a round of `length`; faults overlap.
+/// Draws the faults of a round of `length`; faults may overlap.
 pub(crate) fn plan(random: &mut ChaCha8Rng, length: Duration, plan: Plan, size: Size) -> Vec<Planned> {
     let mut planned = Vec::new();
     let mut at = Duration::ZERO;
--- a/crates/sparscale_soak/src/group.rs
+++ b/crates/sparscale_soak/src/group.rs
@@ -1,45 +1,45 @@
-//! A stand-in of a group of engines: ranks that begin passes together, each with the map that it was ordered to use.
+//! A stub group of engines: ranks begin passes together, each with the map that it was ordered to use.
 //!
-//! Ranks don't compare maps, as the platform's don't; this does, at each pass. That all ranks begin a pass with the same map,
-//! by its content and not its version alone, hangs on the fences and on the conductors.
+//! Ranks don't compare their maps, and neither do the platform's engines, so this stub compares them at each pass.
+//! Fences and leaders must ensure that all ranks begin a pass with the same map, in content and not only in version.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Sets of a model, its experts, places for them at a rank, and how many may be copied ahead.
+/// Sets of experts in a model.
 pub const SETS: usize = 2;
 /// Experts of each set.
 pub const EXPERTS: usize = 24;
-/// Experts that a rank has room for in a set.
+/// Slots that a rank has for the experts of a set.
 pub const PLACES: usize = 9;
-/// Experts of a set that may be new in a map.
+/// Experts of a set at a rank that a new map may add.
 pub const SPARE: usize = 3;
 
-/// Time that a rank takes to copy what is new in a map.
+/// Time that a rank takes to copy the new experts of a map.
 const COPY: Duration = Duration::from_millis(15);
-/// Time that a group takes to form anew.
+/// Time that a group takes to form again.
 const FORM: Duration = Duration::from_millis(300);
-/// Picks of the expert in demand and of each other one in a pass.
+/// Selections per pass of the expert in demand, and of each other expert.
 const HOT_PICKS: u64 = 400;
 const OTHER_PICKS: u64 = 20;
-/// Experts that demand moves on by.
+/// Number of experts by which the demand moves on.
 const STEP: usize = 7;
-/// Broken passes that are kept.
+/// Passes with differing maps that are recorded.
 const KEPT: usize = 8;
-/// When the first starts began.
+/// Time of the first starts, in milliseconds.
 const BORN_MS: u64 = 1_750_000_000_000;
 
-/// By set and rank, the experts.
+/// The experts of each rank, by set and rank.
 pub type Lists = Vec<Vec<Vec<u16>>>;
 
 /// An order to one rank.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Number of its giver.
+    /// Fence of the agent that gives the order.
     pub fence: u64,
-    /// Epoch of the group that it is for.
+    /// Epoch of the group that the order is for.
     pub epoch: u64,
-    /// What is to be done.
+    /// What the rank is to do.
     pub act: Act,
 }
 
@@ -53,89 +53,89 @@
         /// The whole map.
         map: Lists,
     },
-    /// Take a prepared map as a pass begins.
+    /// Switch to a prepared map at the beginning of a pass.
     Arm {
         /// Version of the map.
         version: u64,
         /// The pass.
         step: u64,
     },
-    /// Do not take it.
+    /// Undo the arming of a map.
     Disarm {
         /// Version of the map.
         version: u64,
     },
-    /// Do not let the group begin a pass.
+    /// Keep the group from beginning a pass.
     Hold {
         /// The pass.
         step: u64,
     },
-    /// Let it.
+    /// Release a held pass.
     Go {
         /// The pass.
         step: u64,
     },
 }
 
-/// What a rank says to an order.
+/// How a rank responds to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ack {
-    /// Done, or it was so already.
+    /// The order was carried out, now or earlier.
     Done,
-    /// It does not fit.
+    /// The order doesn't apply to the state of the rank.
     Unfit,
-    /// A higher fence was seen.
+    /// The rank has seen a higher fence.
     Fenced,
-    /// Nothing; it may be done later.
+    /// No response; the order may be carried out later.
     Lost,
 }
 
-/// A map that a rank holds.
+/// A map as a rank stores it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Map {
     version: u64,
     lists: Arc<Lists>,
 }
 
-/// What one rank knows.
+/// State of one rank.
 #[derive(Debug, Clone)]
 struct Rank {
     map: Map,
     prepared: Option<(Map, Instant)>,
-    /// Highest version that it was told to prepare.
+    /// Highest version that the rank was ordered to prepare.
     highest: u64,
     armed: Option<(u64, u64)>,
     held: Option<u64>,
     fence: u64,
     born_ms: u64,
-    /// Until when orders stay unanswered.
+    /// Time until which orders get no response.
     late_until: Option<Instant>,
 }
 
-/// What a rank reports of itself.
+/// What a rank reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// When its start began, in milliseconds.
+    /// When the current start of the engine began, in milliseconds.
     pub born_ms: u64,
     /// Epoch of the group.
     pub epoch: u64,
     /// Whether the group serves.
     pub open: bool,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// Last pass begun.
+    /// Last pass that began.
     pub step: u64,
     /// Version in use.
     pub map: u64,
-    /// Version that is copied.
+    /// Version that is copied and ready.
     pub prepared: Option<u64>,
-    /// Version and pass of the change that is armed.
+    /// Version and pass of the armed map switch.
     pub armed: Option<(u64, u64)>,
-    /// Pass that may not begin because of this rank.
+    /// Pass that this rank holds.
     pub held: Option<u64>,
 }
 
-/// An order that was taken and left unanswered.
+/// An order that got no response and is carried out later.
 #[derive(Debug)]
 struct Late {
     at: Instant,
@@ -143,7 +143,7 @@
     order: Order,
 }
 
-/// The group.
+/// A group of engines.
 #[derive(Debug)]
 pub struct Group {
     step: u64,
@@ -152,7 +152,7 @@
     ranks: Vec<Rank>,
     hot: usize,
     counts: Vec<u64>,
-    /// Orders that were left unanswered so far, and those of them that are still to be done.
+    /// Number of orders that got no response, and those of them that are still to be carried out.
     unanswered: u32,
     late: Vec<Late>,
     changes: u64,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The group formed anew: maps and what was ordered are forgotten, the fence is not.
+    /// Resets the rank as the group forms again: it loses its maps and orders but keeps its fence.
     fn form(&mut self, ranks: usize) {
         *self = Self {
             fence: self.fence,
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Whether a map names the same sets, and no set of it has more that is new than there is room for.
+    /// Whether a map has the same sets and ranks as the current one, and no rank exceeds its slots or its new experts
+    /// in any set.
     fn fits(&self, map: &Lists) -> bool {
         let known = self.map.lists.iter();
         let sets = known.zip(map).all(|(known, wanted)| {
@@ -254,7 +255,7 @@
 }
 
 impl Group {
-    /// A group of `ranks` ranks with the map that every group starts with.
+    /// Creates a group of `ranks` ranks with the initial map.
     pub fn new(ranks: usize, now: Instant) -> Self {
         Self {
             step: 0,
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Begins the next pass, if it may begin, after what was left for later is done.
+    /// Carries out orders that are due, then begins the next pass unless it is held or the group still forms.
     pub fn pass(&mut self, now: Instant) {
         self.do_late(now);
         let next = self.step + 1;
@@ -304,11 +305,11 @@
         }
     }
 
-    /// Takes an order to `rank`.
+    /// Handles an order to `rank`.
     pub fn order(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
         if self.ranks[rank].late_until.is_some_and(|until| now < until) {
             self.unanswered += 1;
-            // Some are never done, the others after those that follow.
+            // Some orders are never carried out, the others after later ones.
             if !self.unanswered.is_multiple_of(3) {
                 let at = now + COPY * 10 * (self.unanswered % 7);
                 self.late.push(Late { at, rank, order });
@@ -338,17 +339,17 @@
     fn do_late(&mut self, now: Instant) {
         let due: Vec<Late> = self.late.extract_if(.., |late| late.at <= now).collect();
         for late in due {
-            // Nobody hears what it says.
+            // The outcome of a late order reaches no one.
             let _word = self.take(late.rank, late.order, now);
         }
     }
 
-    /// Orders to `rank` stay unanswered until `until`; most of them are done later.
+    /// Withholds responses to orders to `rank` until `deadline`; most of these orders are carried out later.
     pub(crate) fn leave_unanswered(&mut self, rank: usize, until: Instant) {
         self.ranks[rank].late_until = Some(until);
     }
 
-    /// The engine of `rank` starts again: it has forgotten everything, and the group forms anew.
+    /// Restarts the engine of `rank`, which loses all state; the group forms again.
     pub(crate) fn restart(&mut self, rank: usize, now: Instant) {
         self.epoch += 1;
         self.opens = now + FORM;
@@ -359,12 +360,12 @@
         self.counts.fill(0);
     }
 
-    /// Demand moves to another expert.
+    /// Moves the demand to another expert.
     pub(crate) fn shift(&mut self) {
         self.hot = (self.hot + STEP) % EXPERTS;
     }
 
-    /// What `rank` reports.
+    /// Returns the report of `rank`.
     pub fn report(&self, rank: usize, now: Instant) -> Report {
         let known = &self.ranks[rank];
         Report {
@@ -380,36 +381,36 @@
         }
     }
 
-    /// How often each expert was picked, set after set.
+    /// Expert selection counts, one set after the other.
     pub fn counts(&self) -> &[u64] {
         &self.counts
     }
 
-    /// Experts of `rank` by set.
+    /// Experts of `rank`, by set.
     pub fn experts(&self, rank: usize) -> Vec<&[u16]> {
         let lists = self.ranks[rank].map.lists.iter();
         lists.map(|set| set[rank].as_slice()).collect()
     }
 
-    /// Whether ranks wait for a change of map: a bad moment to lose its conductor.
+    /// Whether a map switch is in progress at a rank.
     pub(crate) fn is_changing(&self) -> bool {
         self.ranks
             .iter()
             .any(|rank| rank.armed.is_some() || rank.held.is_some())
     }
 
-    /// Changes of map that all ranks took in one pass.
+    /// Number of map switches that all ranks made in the same pass.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Passes that began with more than one map; the first ones only.
+    /// Descriptions of the first passes that began with differing maps.
     pub(crate) fn mixed(&self) -> &[String] {
         &self.mixed
     }
 }
 
-/// Experts dealt in turn.
+/// Deals the experts to the ranks in turn.
 fn first_map(ranks: usize) -> Lists {
     let of_rank = |rank: usize| {
         let experts = (0..EXPERTS as u16).filter(|expert| usize::from(*expert) % ranks.max(1) == rank);
--- a/crates/sparscale_soak/src/ledger.rs
+++ b/crates/sparscale_soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What happened in a round, as callers, targets and the soak itself saw it.
+//! Events of a round, as observed by callers, targets and the soak itself.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -18,30 +18,30 @@
     pub(crate) at: Instant,
 }
 
-/// A request reached a target, which ran it or not.
+/// A request reached a target, whether or not the target ran it.
 #[derive(Debug, Clone)]
 pub(crate) struct Arrival {
     pub(crate) request: String,
-    /// Path of a request that ends what runs it; none for others.
+    /// Path of a request that crashes its target; none for others.
     pub(crate) deadly: Option<String>,
     pub(crate) at: Instant,
-    /// The start of the target that it reached.
+    /// The start of the target that the request reached.
     pub(crate) start: Start,
-    /// What the target asked at that time.
+    /// How the target behaved at that time.
     pub(crate) mood: Mood,
 }
 
 /// One start of a target.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Start {
-    /// Number of the target.
+    /// Index of the target.
     pub(crate) target: usize,
     pub(crate) incarnation: String,
-    /// When it began, in milliseconds.
+    /// Time of the start, in milliseconds.
     pub(crate) born_ms: u64,
 }
 
-/// A target ended under a request.
+/// A request crashed a target.
 #[derive(Debug, Clone)]
 pub(crate) struct End {
     /// Path of the request.
@@ -49,21 +49,21 @@
     pub(crate) at: Instant,
 }
 
-/// What a caller got.
+/// How a caller's request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// No connection came about.
+    /// No connection could be opened.
     Unreached,
-    /// The connection ended before an answer began.
+    /// The connection closed before a response began.
     Closed,
-    /// An answer.
+    /// A response arrived, in full or in part.
     Answered(Answer),
-    /// Nothing, until the caller gave up.
+    /// No response arrived before the caller timed out.
     Nothing,
 }
 
 impl Outcome {
-    /// A short name for counts.
+    /// Short name for the counts of the summary.
     pub(crate) fn name(&self) -> String {
         match self {
             Self::Unreached => "unreached".to_owned(),
@@ -75,14 +75,14 @@
     }
 }
 
-/// An answer as a caller read it.
+/// A response as a caller read it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    /// Incarnation in the digest, if there was one.
+    /// Incarnation in the digest header, if the response had one.
     pub(crate) digest: Option<String>,
     pub(crate) body: String,
-    /// Whether it came to its end.
+    /// Whether the body was received in full.
     pub(crate) whole: bool,
 }
 
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Attempt {
     pub(crate) request: String,
-    /// Entry that it was sent to.
+    /// Index of the entry that it was sent to.
     pub(crate) entry: usize,
     pub(crate) kind: RouteKind,
     pub(crate) key: String,
@@ -99,7 +99,7 @@
     pub(crate) outcome: Outcome,
 }
 
-/// Something that the soak did.
+/// The period in which a fault was active.
 #[derive(Debug, Clone)]
 pub(crate) struct Trouble {
     pub(crate) fault: Fault,
@@ -107,28 +107,28 @@
     pub(crate) to: Instant,
 }
 
-/// Something that the store acknowledged.
+/// A change that the store acknowledged.
 #[derive(Debug, Clone)]
 pub(crate) struct Acknowledged {
     pub(crate) what: Change,
-    /// When it was acknowledged first.
+    /// Time of the first acknowledgement.
     pub(crate) at: Instant,
-    /// Since when it stands: a store that came back from an older copy had lost it meanwhile.
+    /// Time since when the change holds: a store restored from an older snapshot had lost it meanwhile.
     pub(crate) stands: Instant,
 }
 
-/// What was acknowledged.
+/// What the store acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// A key is no longer in force.
+    /// A key was revoked.
     Revoked(String),
-    /// A key is in force from now on.
+    /// A key was granted.
     Granted(String),
-    /// An incarnation is leaving.
+    /// An incarnation is draining.
     Leaving(String),
 }
 
-/// Something that a process did by itself.
+/// An unexpected event of a process.
 #[derive(Debug, Clone)]
 pub(crate) struct Incident {
     /// Name of the process.
@@ -136,7 +136,7 @@
     pub(crate) what: String,
 }
 
-/// All of it.
+/// All events of a round.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     pub(crate) arrivals: Vec<Arrival>,
@@ -148,12 +148,12 @@
     pub(crate) incidents: Vec<Incident>,
 }
 
-/// A ledger that all tasks write.
+/// An event log that all tasks share.
 #[derive(Debug, Default)]
 pub(crate) struct Book(Mutex<Ledger>);
 
 impl Book {
-    /// The ledger; entries are added whole, so one that a panic left is whole.
+    /// Locks the log. Events are added whole, so the log is consistent even after a panic.
     pub(crate) fn open(&self) -> MutexGuard<'_, Ledger> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -163,7 +163,7 @@
         self.open().acknowledged.push(Acknowledged { what, at, stands: at });
     }
 
-    /// Notes that what was acknowledged after `copied` was lost and is now acknowledged again.
+    /// Moves the changes acknowledged after the snapshot at `snapshot_at` to now, when they are written again.
     pub(crate) fn acknowledge_again(&self, copied: Instant) {
         let now = Instant::now();
         let mut ledger = self.open();
--- a/crates/sparscale_soak/src/lib.rs
+++ b/crates/sparscale_soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A fault soak: the real entry programs as processes before stand-ins of targets and of a platform's store, with
-//! faults that a seed draws, and the promises to callers and targets checked from outside.
+//! A fault-injection soak test. It runs the real entry programs as processes against stub targets and a stub of the
+//! platform's store, injects faults drawn from a seed, and checks the promises to callers and targets from outside.
 //!
-//! In rounds with a group, agents run beside stand-ins of its engines, which compare their maps at each pass.
+//! In rounds with a group, agents run beside stub engines, which compare their maps at each pass.
 //!
 //! Faults come from loopback proxies in front of the store and of each target, from signals to the processes, and from
-//! the stand-ins themselves. Links between the entries are harmed only by processes that stand still or die.
+//! the stubs themselves. Links between the entries are affected only by processes that are frozen or killed.
 
 mod caller;
 mod check;
--- a/crates/sparscale_soak/src/mood.rs
+++ b/crates/sparscale_soak/src/mood.rs
@@ -1,20 +1,20 @@
-//! How targets fail.
+//! How stub targets misbehave.
 
-/// How a target behaves.
+/// Behavior of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mood {
-    /// It runs what it gets.
+    /// Runs every request.
     Well,
-    /// It runs, and answers 500.
+    /// Runs requests and responds with status 500.
     Errors,
-    /// It runs nothing and says so.
+    /// Rejects requests without running them, and marks the response so.
     Full,
-    /// It runs, and breaks its answers off.
+    /// Runs requests and aborts response bodies.
     BreaksOff,
-    /// It runs, and names a rate that it takes from all entries.
+    /// Runs requests and announces a rate limit for all entries together.
     Limited,
-    /// It runs nothing, and asks each entry for rest.
+    /// Rejects requests without running them, and asks each entry to back off.
     Tired,
-    /// It runs, and says that it leaves.
+    /// Runs requests and announces that it is draining.
     Leaving,
 }
--- a/crates/sparscale_soak/src/places.rs
+++ b/crates/sparscale_soak/src/places.rs
@@ -1,44 +1,44 @@
-//! Addresses, routes and spans of the soak.
+//! Addresses, routes, sizes and times of a round.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 use crate::platform::{Route, RouteKind};
 
-/// How much runs in a round.
+/// Number of processes and stubs in a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Size {
     pub(crate) entries: usize,
     pub(crate) targets: usize,
-    /// Ranks of the group of engines, each with an agent; none in rounds without a group.
+    /// Ranks of the group of engines, each with an agent; zero in rounds without a group.
     pub(crate) ranks: usize,
 }
 
 impl Size {
-    /// Processes of the system.
+    /// Number of processes: entries and agents.
     pub(crate) fn processes(self) -> usize {
         self.entries + self.ranks
     }
 
-    /// Number among the processes of the agent beside `rank`.
+    /// Process index of the agent beside `rank`.
     pub(crate) fn agent(self, rank: usize) -> usize {
         self.entries + rank
     }
 }
 
-/// Usual size of a round.
+/// Default size of a round.
 pub(crate) const USUAL: Size = Size {
     entries: 3,
     targets: 4,
     ranks: 0,
 };
-/// Ranks of the group in rounds with one.
+/// Ranks in rounds with a group.
 pub(crate) const RANKS: usize = 4;
-/// Most processes, and most targets, that have addresses.
+/// Most processes, and most targets, that the address layout allows.
 pub(crate) const MOST: usize = 60;
-/// Keys at the start; one is never taken away, and most outlast a round.
+/// Keys at the start; the first is never revoked, and most last for the whole round.
 pub(crate) const KEYS: usize = 12;
-/// Further keys, which callers use from the start and which come into force during a round, if they do.
+/// Further keys that callers use from the start and that may be granted during a round.
 pub(crate) const LATER_KEYS: usize = 3;
 /// Host of all routes.
 pub(crate) const HOST: &str = "soak.example";
@@ -46,20 +46,18 @@
 pub(crate) const SERVICE: &str = "soak";
 /// Service of the group of engines.
 pub(crate) const MODEL: &str = "model";
-/// Name of that group.
+/// Name of the group of engines.
 pub const GROUP: &str = "model-0";
-/// Events of a stream.
 pub(crate) const EVENTS: u64 = 12;
-/// Body of a request that ends each target which runs it.
+/// Body of a request that crashes every target that runs it.
 pub(crate) const DEADLY: &str = "crashes what runs it";
-/// Requests a second that a target takes which limits them.
+/// Rate limit of a rate-limited target, in requests per second.
 pub(crate) const RATE: f64 = 1.0;
-/// Rest that a tired target asks for.
+/// Backoff that a target requests.
 pub(crate) const REST: Duration = Duration::from_secs(3);
-/// Time that a caller waits, also told to the entry.
+/// Time that a caller waits, which it also announces to the entry.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(3);
 
-/// The routes.
 pub(crate) const ROUTES: [Route; 4] = [
     Route {
         name: "calc",
@@ -86,18 +84,18 @@
 const CALLERS_PORT: u16 = 8_000;
 const READY_PORT: u16 = 8_001;
 const METRICS_PORT: u16 = 9_464;
-/// Port at which entries talk to each other.
+/// Port for links between entries.
 pub(crate) const PEER_PORT: u16 = 7_520;
 const STORE_PORT: u16 = 8_600;
 const TARGET_PORT: u16 = 8_080;
 
-/// First host number of the entries and agents, of their ways to the store, of targets as they are listed and as they listen.
+/// First host numbers of entries and agents, of their proxies to the store, and of targets as registered and as bound.
 const ENTRY_HOST: usize = 10;
 const STORE_HOST: usize = ENTRY_HOST + MOST;
 const LISTED_HOST: usize = STORE_HOST + MOST;
 const TARGET_HOST: usize = LISTED_HOST + MOST;
 
-/// The part of loopback that one round uses, so that rounds beside each other do not meet.
+/// The loopback network of one round, so that concurrent rounds don't share addresses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Net {
     high: u8,
@@ -105,10 +103,10 @@
 }
 
 impl Net {
-    /// A part for this process and round.
+    /// Selects the network for this process and round.
     pub(crate) fn of(process: u32, round: u64) -> Self {
         Self {
-            // 127.0 is left to everybody else.
+            // 127.0 is left to other programs.
             high: (process % 250) as u8 + 1,
             low: ((u64::from(process / 250) + round) % 250) as u8 + 1,
         }
@@ -118,7 +116,7 @@
         IpAddr::V4(Ipv4Addr::new(127, self.high, self.low, host as u8))
     }
 
-    /// Address of the machine of process `index`.
+    /// Address of process `index`.
     pub(crate) fn machine(self, index: usize) -> IpAddr {
         self.ip(ENTRY_HOST + index)
     }
@@ -139,27 +137,26 @@
         SocketAddr::new(self.machine(index), PEER_PORT)
     }
 
-    /// The engine on the machine of agent `index`.
+    /// The engine beside the agent with process index `index`.
     pub(crate) fn engine(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machine(index), TARGET_PORT)
     }
 
-    /// The store itself.
     pub(crate) fn store(self) -> SocketAddr {
         SocketAddr::new(self.ip(1), STORE_PORT)
     }
 
-    /// Where process `index` reaches the store.
+    /// Proxy through which process `index` reaches the store.
     pub(crate) fn store_for(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip(STORE_HOST + index), STORE_PORT)
     }
 
-    /// Where target `index` is listed.
+    /// Registered address of target `index`, where its proxy listens.
     pub(crate) fn listed(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip(LISTED_HOST + index), TARGET_PORT)
     }
 
-    /// Where target `index` listens.
+    /// Address that target `index` binds.
     pub(crate) fn target(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip(TARGET_HOST + index), TARGET_PORT)
     }
--- a/crates/sparscale_soak/src/platform.rs
+++ b/crates/sparscale_soak/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the soak asks of a platform, whose wire it does not know.
+//! The interface to a platform: settings files, wire formats and header names, which the soak itself doesn't know.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use crate::group::Group;
 use crate::records::{Record, Records};
 
-/// What the platform holds the system to, for settings files and for the checks.
+/// Limits that the system must keep, for settings files and for the checks.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Time after the acknowledgement of a revocation after which the key runs nowhere.
+    /// Time after the acknowledgement of a revocation from which the key runs nowhere.
     pub revoked: Duration,
-    /// Time after which a leaving target gets nothing new.
+    /// Time after which a draining target gets no new requests.
     pub left: Duration,
-    /// Time in which a new configuration is in force.
+    /// Time within which a new configuration is active.
     pub applied: Duration,
-    /// Time that an entry has to end after it was asked to.
+    /// Time that an entry has to terminate after SIGTERM.
     pub grace: Duration,
-    /// Further sends for each request.
+    /// Retries allowed per request.
     pub budget_ratio: f64,
-    /// Further sends in any case, in each window.
+    /// Retries allowed in each window regardless of the number of requests.
     pub budget_slack: f64,
-    /// The window of that budget.
+    /// Window of the retry budget.
     pub budget_window: Duration,
 }
 
-/// Times are those of both of the users' sheets. The budget is far below theirs, so that the few requests of a round
-/// can exceed it.
+/// Limits of most rounds. The times are the required ones; the retry budget is far below the required one, so that the
+/// few requests of a round can exceed it.
 pub const BOUNDS: Bounds = Bounds {
     revoked: Duration::from_secs(5),
     left: Duration::from_secs(2),
@@ -42,84 +42,84 @@
     budget_window: Duration::from_secs(10),
 };
 
-/// The same for rounds in which processes start again in series: a slack that each of them would share in.
+/// Limits for rounds with series of restarts: the slack covers the share of each restarted process.
 pub(crate) const SERIES_BOUNDS: Bounds = Bounds {
     budget_slack: 12.0,
     ..BOUNDS
 };
 
-/// Where one entry runs.
+/// Addresses and limits for the settings file of one entry.
 #[derive(Debug, Clone)]
 pub struct EntryPlace {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Its address; ports are alike on all of them.
+    /// Address of the entry; all entries use the same ports.
     pub address: IpAddr,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Where it tells its figures.
+    /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// Port for other processes of the system.
+    /// Port for links to other processes of the system.
     pub peer_port: u16,
-    /// The other entries.
+    /// Peer addresses of other entries.
     pub seeds: Vec<SocketAddr>,
-    /// Where it reaches the store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// What it is held to.
+    /// Limits that the entry must keep.
     pub bounds: Bounds,
 }
 
-/// Where one agent runs.
+/// Addresses for the settings file of one agent.
 #[derive(Debug, Clone)]
 pub struct AgentPlace {
-    /// Its name.
+    /// Name of the agent.
     pub name: String,
-    /// Its address; ports are alike on all machines.
+    /// Address of the agent; all agents use the same ports.
     pub address: IpAddr,
-    /// Where it tells its figures.
+    /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// Port for other processes of the system.
+    /// Port for links to other processes of the system.
     pub peer_port: u16,
-    /// Entries.
+    /// Peer addresses of entries.
     pub seeds: Vec<SocketAddr>,
-    /// The engine beside it.
+    /// The engine beside the agent.
     pub engine: SocketAddr,
     /// Service of that engine.
     pub service: &'static str,
-    /// Where it reaches the store.
+    /// Address of the store.
     pub store: SocketAddr,
 }
 
-/// How a route's requests may be handled.
+/// How requests of a route may be handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Repeatable,
-    /// They run at most once.
+    /// Requests run at most once.
     Once,
-    /// A stream of events that runs at most once.
+    /// An event stream that runs at most once.
     Stream,
-    /// A stream that another target may continue.
+    /// An event stream that another target may resume.
     Resumable,
 }
 
-/// A route of the soak; all lead to one service.
+/// A route of the soak; all routes lead to one service.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: &'static str,
-    /// What paths begin with.
+    /// Prefix of the paths that it matches.
     pub prefix: &'static str,
-    /// What its requests may suffer.
+    /// How its requests may be handled.
     pub kind: RouteKind,
 }
 
-/// A configuration.
+/// A configuration of the system.
 #[derive(Debug, Clone)]
 pub struct Offer {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
     /// Host of all routes.
     pub host: &'static str,
@@ -127,81 +127,81 @@
     pub service: &'static str,
     /// The routes.
     pub routes: &'static [Route],
-    /// Keys in force; each belongs to a workspace of the same name.
+    /// Active keys; each belongs to a workspace of the same name.
     pub keys: Vec<String>,
     /// Service whose engines form a group, if there is one; no route leads to it.
     pub model: Option<&'static str>,
 }
 
-/// An engine's place in its group.
+/// Membership of an engine in its group.
 #[derive(Debug, Clone, Copy)]
 pub struct Rank {
     /// Name of the group.
     pub group: &'static str,
     /// Epoch of the group.
     pub epoch: u64,
-    /// Number of the rank.
+    /// Index of the rank.
     pub number: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
 }
 
-/// A target's entry in the list.
+/// Registration of a target in the store's list.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    /// Name of the incarnation.
+    /// Incarnation of the target.
     pub id: String,
-    /// Its service.
+    /// Service of the target.
     pub service: &'static str,
-    /// Where it is reached.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the target is draining.
     pub leaving: bool,
-    /// When its present start began, in milliseconds.
+    /// When the current start of the target began, in milliseconds.
     pub born_ms: u64,
-    /// Its place in a group, if it has one.
+    /// Membership in a group, if the target has one.
     pub rank: Option<Rank>,
 }
 
-/// Speaks a platform's wire.
+/// A platform's settings files and wire formats.
 pub trait Platform: Send + Sync {
-    /// Name of the program of an entry, built beside the soak.
+    /// Name of the entry program, built beside the soak.
     fn program(&self) -> &'static str;
 
-    /// Name of the program of an agent.
+    /// Name of the agent program.
     fn agent_program(&self) -> &'static str;
 
-    /// An agent's settings file.
+    /// Contents of an agent's settings file.
     fn agent_settings(&self, place: &AgentPlace) -> String;
 
-    /// The rank whose agent was the last to claim that it leads the group, if one did.
+    /// The rank whose agent was the last to claim the lead of the group, if any did.
     fn leader(&self, records: &Records) -> Option<usize>;
 
-    /// The answer of an engine of the group to a call; none if it leaves the call unanswered.
+    /// Response of an engine of the group to a call; none if the engine leaves the call unanswered.
     fn answer_of_engine(&self, call: &Request<Bytes>, rank: usize, group: &mut Group) -> Option<Response<Full<Bytes>>>;
 
-    /// Text of an entry's settings file.
+    /// Contents of an entry's settings file.
     fn settings(&self, place: &EntryPlace) -> String;
 
-    /// Header names.
+    /// Header names of the platform.
     fn dialect(&self) -> Dialect;
 
-    /// A configuration as a record.
+    /// Encodes a configuration as a record.
     fn offer(&self, offer: &Offer) -> Record;
 
-    /// A target's entry as a record.
+    /// Encodes the registration of a target as a record.
     fn listed(&self, listed: &Listed) -> Record;
 
-    /// Records of another writer in the list of targets, each under a key of its own, that name no target to use or
-    /// copy `listed`.
+    /// Records of another writer in the list of targets, each under its own key, that name no usable target or copy
+    /// `listed`.
     fn foreign(&self, listed: &Listed) -> Vec<Record>;
 
     /// Whether the system itself writes `topic`.
     fn is_own(&self, topic: &str) -> bool;
 
-    /// Says in an answer of the store how often it came back from an older copy.
+    /// Adds to a response of the store how often the store was restored from an older snapshot.
     fn stamp(&self, answer: &mut Response<Full<Bytes>>, era: u64);
 
-    /// The store's answer to a call while it holds `records`, to which a call may add.
+    /// Response of the store to a call, given its `records`, to which the call may add.
     fn answer(&self, call: &Request<Bytes>, records: &mut Records) -> Response<Full<Bytes>>;
 }
--- a/crates/sparscale_soak/src/proxy.rs
+++ b/crates/sparscale_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that harms what passes through it.
+//! A TCP proxy on loopback that impairs the connections through it.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -9,27 +9,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes taken up at once.
 const BUFFER: usize = 16 << 10;
-/// Pause before a link that could not listen tries again.
+/// Delay before a proxy that failed to bind its address retries.
 const BIND_PAUSE: Duration = Duration::from_millis(20);
 
-/// State of a link.
+/// State of the link through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Link {
-    /// Everything passes.
+    /// Forwards everything.
     Open,
-    /// Everything passes this much later.
+    /// Forwards everything with this delay.
     Slow(Duration),
-    /// Nothing passes, and nobody is told.
+    /// Drops everything in both directions; neither side is notified.
     Silent,
-    /// Nothing passes towards the server.
+    /// Drops everything towards the server.
     CutUp,
-    /// Nothing passes towards the client.
+    /// Drops everything towards the client.
     CutDown,
-    /// Connections are reset.
+    /// Resets connections.
     Reset,
-    /// Nothing listens, and connections are reset.
+    /// Resets connections and stops listening.
     Closed,
 }
 
@@ -57,14 +56,14 @@
     }
 }
 
-/// One proxy.
+/// A proxy in front of one server.
 #[derive(Debug)]
 pub(crate) struct Proxy {
     link: watch::Sender<Link>,
 }
 
 impl Proxy {
-    /// Passes connections to `listen` on to `server`.
+    /// Starts a proxy that forwards connections from `listen` to `server`.
     pub(crate) async fn start(listen: SocketAddr, server: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let link = watch::Sender::new(Link::Open);
@@ -72,13 +71,12 @@
         Ok(Self { link })
     }
 
-    /// Sets the state of the link.
     pub(crate) fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
 }
 
-/// Accepts while the link is not closed, and listens anew once it is open again.
+/// Accepts connections while the link is not closed, and binds again once it is reopened.
 async fn accept(listener: TcpListener, listen: SocketAddr, server: SocketAddr, mut link: watch::Receiver<Link>) {
     let mut listening = Some(listener);
     loop {
@@ -118,13 +116,14 @@
     let (server_read, server_write) = upstream.into_split();
     let mut up = pin!(pump(client_read, server_write, Way::Up, link.clone()));
     let mut down = pin!(pump(server_read, client_write, Way::Down, link));
-    // The rest of an answer is still passed on after its caller has stopped sending, and the other way round.
+    // Each direction continues after the other has ended: a response is forwarded after its caller has finished
+    // sending.
     let broken = tokio::select! {
         ended = &mut up => ended == Ended::Broken || down.await == Ended::Broken,
         ended = &mut down => ended == Ended::Broken || up.await == Ended::Broken,
     };
     if broken {
-        // Zero linger makes the kernel send a reset when the last handle is gone.
+        // With zero linger, the kernel sends a reset once the last handle is closed.
         let _unsupported = client_again.set_linger(Some(Duration::ZERO));
     }
 }
@@ -135,7 +134,7 @@
     Broken,
 }
 
-/// Passes bytes on one way. A connection that lost bytes is broken as soon as the link changes again.
+/// Forwards bytes in one direction. A connection that lost bytes breaks as soon as the link changes again.
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way, mut link: watch::Receiver<Link>) -> Ended {
     let mut buffer = vec![0; BUFFER];
     let mut lost = false;
@@ -156,7 +155,7 @@
             Err(_error) => return Ended::Broken,
             Ok(_) if state.swallows(way) => lost = true,
             Ok(0) => {
-                // The other side may have gone first.
+                // The receiver may have closed the connection already.
                 let _gone = to.shutdown().await;
                 return Ended::Closed;
             }
@@ -168,7 +167,7 @@
             }
         }
         if lost {
-            // Nothing more is read: what was lost cannot be made good.
+            // Reading stops here: the dropped bytes can't be recovered.
             let _gone = link.changed().await;
         }
     }
--- a/crates/sparscale_soak/src/records.rs
+++ b/crates/sparscale_soak/src/records.rs
@@ -1,33 +1,33 @@
-//! What the stand-in of the store holds: for each topic, all records in order.
+//! Records of the stub store, in order for each topic.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
 use bytes::Bytes;
 
-/// One record; without a value it drops its key.
+/// A record of a topic; without a value it deletes its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Topic that it belongs to.
+    /// Topic of the record.
     pub topic: &'static str,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value.
+    /// Value, or none to delete the key.
     pub value: Option<Bytes>,
 }
 
-/// All records.
+/// All records of the store.
 #[derive(Debug, Default)]
 pub struct Records {
     topics: BTreeMap<&'static str, Vec<Record>>,
-    /// When each record was added, in the same order.
+    /// When each record was added, in the order of `topics`.
     added: BTreeMap<&'static str, Vec<Instant>>,
-    /// How often it came back from an older copy.
+    /// How often the store was restored from an older snapshot.
     era: u64,
 }
 
 impl Records {
-    /// Adds a record at the end of its topic.
+    /// Appends a record to its topic.
     pub fn add(&mut self, record: Record) {
         self.added.entry(record.topic).or_default().push(Instant::now());
         self.topics.entry(record.topic).or_default().push(record);
@@ -38,7 +38,7 @@
         self.topics.get(topic).map_or(&[], Vec::as_slice)
     }
 
-    /// The newest record of each key of `topic` that was not dropped.
+    /// Latest value of each key of `topic` that is not deleted.
     pub fn newest(&self, topic: &str) -> BTreeMap<&str, &Bytes> {
         let mut newest = BTreeMap::new();
         for record in self.of(topic) {
@@ -50,12 +50,13 @@
         newest
     }
 
-    /// How often it came back from an older copy.
+    /// How often the store was restored from an older snapshot.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// Comes back from a copy made at `copied`; tells the newest lost record of each key, in the order in which they were written.
+    /// Restores the state of `snapshot_at`; returns the latest lost record of each key, in the order in which they were
+    /// written.
     pub(crate) fn restore(&mut self, copied: Instant) -> Vec<Record> {
         self.era += 1;
         let mut lost = Vec::new();
@@ -75,7 +76,7 @@
         newest
     }
 
-    /// Whether the key of `record` was written since `when`.
+    /// Whether the key of `record` was written after `since`.
     pub(crate) fn is_written_since(&self, record: &Record, when: Instant) -> bool {
         let records = self.of(record.topic);
         let added = self.added.get(record.topic).map_or(&[][..], Vec::as_slice);
--- a/crates/sparscale_soak/src/round.rs
+++ b/crates/sparscale_soak/src/round.rs
@@ -1,4 +1,5 @@
-//! One round: everything starts, faults come while callers call, everything is mended, and the promises are checked.
+//! Runs one round: starts everything, injects faults while callers send requests, undoes the faults, and checks the
+//! promises.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -20,51 +21,50 @@
 use crate::platform::{BOUNDS, Platform, SERIES_BOUNDS};
 use crate::stage::Stage;
 
-/// Time in which entries have to be ready at the start.
+/// Time within which entries must be ready at the start.
 const START: Duration = Duration::from_secs(20);
-/// Time after the last fault in which every entry has to serve every route again: what the platform takes for being in
-/// touch, what a request may take, and some for a busy machine.
+/// Time after the last fault within which every entry must serve every route: the platform's contact time, the time of
+/// a request, and a margin for a busy machine.
 const RECOVERY: Duration = Duration::from_secs(12);
-/// Pause between two looks at the processes.
+/// Interval at which the processes are checked.
 const LOOK: Duration = Duration::from_millis(250);
-/// Time by which a look at the processes is late if the machine lets nothing run: bounds in time say nothing then.
+/// Delay of a check beyond its interval that shows that the machine ran nothing; bounds on time don't apply then.
 const STALL: Duration = Duration::from_millis(500);
-/// Time after the last request in which a promise that nothing will run may still be broken.
+/// Time after the last request during which a request reported as not run may still run, which breaks a promise.
 const AFTERMATH: Duration = Duration::from_secs(2);
-/// Random numbers of callers are drawn apart from those of the plan.
+/// Random stream of the callers, separate from that of the plan.
 const CALLERS_STREAM: u64 = 1;
 
-/// Entries up to which callers have all habits at each; beyond, a machine would be busy with callers alone.
+/// Most entries with several callers at each; with more entries, callers alone would saturate the machine.
 const FEW_ENTRIES: usize = 6;
 
-/// Rounds that this process has begun. Stand-ins of a round listen on after it, so each has addresses of its own.
+/// Rounds that this process has started. Stubs keep listening after their round, so each round needs its own addresses.
 static PLAYED: AtomicU64 = AtomicU64::new(0);
 
-/// One round.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Round {
     pub(crate) seed: u64,
-    /// Time in which faults come.
+    /// Time span in which faults are injected.
     pub(crate) length: Duration,
     pub(crate) plan: Plan,
     pub(crate) size: Size,
 }
 
-/// What a round showed.
+/// Result of a round.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub(crate) requests: usize,
-    /// How many requests ended in each way.
+    /// Number of requests by outcome.
     pub(crate) outcomes: BTreeMap<String, usize>,
     pub(crate) faults: usize,
-    /// Changes of map.
+    /// Number of map switches.
     pub(crate) changes: u64,
-    /// How often the machine let nothing run for a while.
+    /// How often the machine ran nothing for a while.
     pub(crate) stalls: usize,
     pub(crate) violations: Vec<Violation>,
 }
 
-/// Plays a round; files go to `folder`.
+/// Runs a round, with its files in `folder`.
 pub(crate) async fn play(platform: Arc<dyn Platform>, round: Round, folder: &Path) -> Result<Report, String> {
     let net = Net::of(std::process::id(), PLAYED.fetch_add(1, Ordering::SeqCst));
     let bounds = match round.plan {
@@ -91,7 +91,7 @@
         .map_err(|missing| format!("at the start {missing}"))?;
     let over = watch::Sender::new(false);
     let callers = call(stage, seed, &over);
-    // Callers end their last requests after the round is over, and the machine may let nothing run then, too.
+    // Callers finish their last requests after the stop, and the machine may stall during that time, too.
     let ended = watch::Sender::new(false);
     let watching = tokio::spawn(watch_processes(Arc::clone(stage), ended.subscribe()));
     for target in 0..size.targets {
@@ -143,7 +143,7 @@
     })
 }
 
-/// Starts callers at all entries, two habits at each.
+/// Starts callers at all entries: three each, or one each with many entries.
 fn call(stage: &Arc<Stage>, seed: u64, over: &watch::Sender<bool>) -> Vec<JoinHandle<()>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(CALLERS_STREAM);
@@ -161,7 +161,8 @@
         .collect()
 }
 
-/// Plays faults at their times and waits until all are over; one whose thing is held by another is left out.
+/// Injects faults at their times and waits until all have ended; skips a fault whose resource is occupied. Returns the
+/// number of injected faults.
 async fn harm(stage: &Arc<Stage>, planned: Vec<Planned>) -> usize {
     let began = tokio::time::Instant::now();
     let mut ongoing: Vec<(Hold, JoinHandle<()>)> = Vec::new();
@@ -177,7 +178,7 @@
         ongoing.push((hold, tokio::spawn(drive::play(Arc::clone(stage), fault))));
     }
     for (_, task) in ongoing {
-        // A panic of the soak's own shows in its output.
+        // A panic of the soak itself shows in its output.
         let _ended = task.await;
     }
     played
@@ -215,7 +216,7 @@
     Ok(())
 }
 
-/// Waits until the group has taken another map in one pass, and goes on, if there is a group.
+/// Waits until the group, if there is one, has switched its map in one pass.
 async fn await_change(stage: &Arc<Stage>, limit: Duration) -> Result<(), String> {
     if stage.size.ranks == 0 {
         return Ok(());
--- a/crates/sparscale_soak/src/server.rs
+++ b/crates/sparscale_soak/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! A small HTTP server for the stubs.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Why an answer breaks off.
+/// Error of a response body that the soak aborts.
 #[derive(Debug)]
 pub(crate) struct Broken;
 
@@ -26,23 +26,23 @@
 
 impl std::error::Error for Broken {}
 
-/// Content of an answer.
+/// Body of a response.
 pub(crate) type Content = UnsyncBoxBody<Bytes, Broken>;
 
-/// A whole answer, as the server sends it.
+/// Converts a complete response to the body type of the server.
 pub(crate) fn boxed(mut answer: Response<Full<Bytes>>) -> Response<Content> {
     let content = std::mem::take(answer.body_mut());
     answer.map(|_taken| content.map_err(|never: Infallible| match never {}).boxed_unsync())
 }
 
-/// The answer of a stand-in that does nothing now.
+/// Response of a stub that is unavailable.
 pub(crate) fn unavailable() -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     answer
 }
 
-/// Answers requests at `address` with `handle`, on a task that goes on after this returns.
+/// Serves requests at `address` with `handle`, on a task that continues after this returns.
 pub(crate) async fn serve<H, F>(address: SocketAddr, handle: H) -> std::io::Result<()>
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
@@ -58,7 +58,7 @@
                 async move { Ok::<_, Infallible>(answer.await) }
             });
             tokio::spawn(async move {
-                // A caller that leaves ends the connection; callers' sides are judged elsewhere.
+                // A client that disconnects ends the connection; the checks judge the callers' side.
                 let _ended = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
--- a/crates/sparscale_soak/src/stage.rs
+++ b/crates/sparscale_soak/src/stage.rs
@@ -1,4 +1,4 @@
-//! All processes and stand-ins of a round.
+//! All processes and stubs of a round.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -17,29 +17,29 @@
 use crate::store::Store;
 use crate::target::Target;
 
-/// Time beyond its grace in which a process has to have ended: some for a busy machine.
+/// Time past the shutdown timeout by which a process must have terminated; the margin allows for a busy machine.
 const LATE: Duration = Duration::from_secs(2);
-/// Pause between two looks at a process.
+/// Interval at which a stopping process is polled.
 const LOOK: Duration = Duration::from_millis(20);
-/// Entries that an entry's settings name, at most.
+/// Most entries that a settings file names as seeds.
 const SEEDS: usize = 3;
-/// Most memory that a process may hold, in kilobytes: several times what it has at rest.
+/// Most resident memory of a process, in kilobytes: several times its use when idle.
 const MEMORY_KB: u64 = 64 << 10;
 
-/// One target and what leads to it.
+/// A target and the proxy in front of it.
 pub(crate) struct TargetPlace {
     pub(crate) target: Arc<Target>,
     pub(crate) proxy: Proxy,
-    /// Incarnations so far.
+    /// Number of the current incarnation.
     incarnations: Mutex<u32>,
 }
 
-/// One entry or agent: its process, while there is one.
+/// An entry or agent and its process, if it runs.
 struct Slot {
     name: String,
     program: &'static str,
     process: Mutex<Option<Process>>,
-    /// Whether the process was asked to end.
+    /// Whether the process was asked to terminate.
     stopping: AtomicBool,
     log: PathBuf,
     settings: PathBuf,
@@ -53,7 +53,7 @@
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) book: Arc<Book>,
     pub(crate) store: Arc<Store>,
-    /// For each process, its way to the store.
+    /// Proxies to the store, one for each process.
     pub(crate) store_proxies: Vec<Proxy>,
     pub(crate) targets: Vec<TargetPlace>,
     pub(crate) engines: Arc<Engines>,
@@ -63,7 +63,7 @@
 }
 
 impl Stage {
-    /// Starts everything; files go to `folder`.
+    /// Starts everything, with its files in `folder`.
     pub(crate) async fn start(
         platform: Arc<dyn Platform>,
         net: Net,
@@ -183,7 +183,6 @@
         self.platform.settings(&place)
     }
 
-    /// Starts a process.
     pub(crate) async fn start_process(&self, process: usize) -> Result<(), String> {
         let slot = &self.processes[process];
         let arguments = [slot.settings.display().to_string()];
@@ -202,14 +201,14 @@
         }
     }
 
-    /// Ends a process at once.
+    /// Kills a process.
     pub(crate) async fn kill(&self, index: usize) {
         if let Some(process) = self.processes[index].process.lock().await.take() {
             process.kill();
         }
     }
 
-    /// Asks a process to end, and waits until it has.
+    /// Asks a process to terminate, waits until it has, and kills it after the timeout.
     pub(crate) async fn stop(&self, index: usize) {
         self.processes[index].stopping.store(true, Ordering::SeqCst);
         self.signal(index, Signal::SIGTERM).await;
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Notes processes that have ended by themselves, that hold too much, or whose log tells of a panic.
+    /// Records processes that have terminated on their own or use too much memory.
     pub(crate) async fn look_at_processes(&self) {
         for (index, slot) in self.processes.iter().enumerate() {
             let mut process = slot.process.lock().await;
@@ -257,7 +256,7 @@
         }
     }
 
-    /// Notes panics that the logs tell of.
+    /// Records panics that the logs show.
     pub(crate) fn look_at_logs(&self) {
         for (index, slot) in self.processes.iter().enumerate() {
             match std::fs::read_to_string(&slot.log) {
@@ -268,14 +267,14 @@
         }
     }
 
-    /// Ends all processes.
+    /// Kills all processes.
     pub(crate) async fn end(&self) {
         for index in 0..self.processes.len() {
             self.kill(index).await;
         }
     }
 
-    /// Lists target `index` in the store.
+    /// Registers target `index` in the store.
     pub(crate) fn list(&self, index: usize, leaving: bool) {
         let listed = Listed {
             id: self.targets[index].target.incarnation(),
@@ -288,7 +287,7 @@
         self.store.add(self.platform.listed(&listed));
     }
 
-    /// Lists an engine of the group in the store.
+    /// Registers an engine of the group in the store.
     pub(crate) fn list_rank(&self, rank: usize) {
         let report = self.engines.group().report(rank, Instant::now());
         let listed = Listed {
@@ -307,7 +306,7 @@
         self.store.add(self.platform.listed(&listed));
     }
 
-    /// All targets write their entries again.
+    /// Renews the registrations of all targets.
     pub(crate) fn beat(&self) {
         let any = Listed {
             id: String::new(),
@@ -320,7 +319,7 @@
         self.store.beat(self.platform.listed(&any).topic);
     }
 
-    /// Drops the entry of an incarnation.
+    /// Removes the registration of an incarnation.
     pub(crate) fn unlist(&self, index: usize, id: String) {
         let listed = Listed {
             id,
@@ -335,7 +334,7 @@
         self.store.add(record);
     }
 
-    /// Writes records of another writer, beside the entry of target `index`.
+    /// Writes records of another writer, some of which copy the registration of target `index`.
     pub(crate) fn add_foreign(&self, index: usize) {
         let listed = Listed {
             id: self.targets[index].target.incarnation(),
@@ -350,7 +349,7 @@
         }
     }
 
-    /// Drops them.
+    /// Deletes the records of another writer.
     pub(crate) fn drop_foreign(&self) {
         let listed = Listed {
             id: String::new(),
@@ -366,7 +365,7 @@
         }
     }
 
-    /// Begins the next incarnation of target `index`.
+    /// Starts the next incarnation of target `index`.
     pub(crate) async fn renew(&self, index: usize) {
         let place = &self.targets[index];
         let mut incarnations = place.incarnations.lock().await;
@@ -374,7 +373,7 @@
         place.target.become_new(incarnation(index, *incarnations));
     }
 
-    /// Takes a key away; tells whether it was there.
+    /// Revokes a key; returns whether it was active.
     pub(crate) async fn revoke(&self, key: &str) -> bool {
         let mut offer = self.offer.lock().await;
         let before = offer.keys.len();
@@ -394,7 +393,7 @@
         self.store.add(self.platform.offer(&offer));
     }
 
-    /// Puts a key into force; tells whether it was not.
+    /// Grants a key; returns whether it was inactive.
     pub(crate) async fn grant(&self, key: &str) -> bool {
         let mut offer = self.offer.lock().await;
         if offer.keys.iter().any(|known| known == key) {
@@ -406,7 +405,7 @@
         true
     }
 
-    /// Notes something that a process did by itself.
+    /// Records an unexpected event of a process.
     pub(crate) fn note(&self, process: usize, what: String) {
         let process = self.processes[process].name.clone();
         self.book.open().incidents.push(Incident { process, what });
@@ -417,7 +416,7 @@
     format!("t{target}-{number}")
 }
 
-/// Resident memory of a process; none once it is gone.
+/// Resident memory of a process; none once it has terminated.
 fn resident_kb(id: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/crates/sparscale_soak/src/store.rs
+++ b/crates/sparscale_soak/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: holds records, and may refuse all calls or forget targets' entries.
+//! A stub of the platform's store. It can reject all calls and be restored from an older snapshot.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,6 @@
 use crate::records::{Record, Records};
 use crate::server::{self, Content};
 
-/// The store.
 pub(crate) struct Store {
     platform: Arc<dyn Platform>,
     records: Mutex<Records>,
@@ -21,7 +20,7 @@
 }
 
 impl Store {
-    /// Starts it at `address`.
+    /// Starts the store at `address`.
     pub(crate) async fn start(platform: Arc<dyn Platform>, address: SocketAddr) -> std::io::Result<Arc<Self>> {
         let store = Arc::new(Self {
             platform,
@@ -37,7 +36,7 @@
         Ok(store)
     }
 
-    /// Adds a record; it is acknowledged when this returns.
+    /// Adds a record, which is acknowledged when this returns.
     pub(crate) fn add(&self, record: Record) {
         self.records().add(record);
     }
@@ -47,12 +46,12 @@
         self.platform.leader(&self.records())
     }
 
-    /// Whether calls are refused.
+    /// Sets whether calls are rejected.
     pub(crate) fn set_busy(&self, busy: bool) {
         self.busy.store(busy, Ordering::SeqCst);
     }
 
-    /// Writes the newest record of each key of `topic` again, as its writers do.
+    /// Writes the latest record of each key of `topic` again, as its writers do.
     pub(crate) fn beat(&self, topic: &'static str) {
         let mut records = self.records();
         let newest = records.newest(topic).into_iter();
@@ -67,14 +66,15 @@
         }
     }
 
-    /// Comes back from a copy made at `copied`, with what the system itself wrote since gone. Tells what others wrote since.
+    /// Restores the state of `snapshot_at` and returns the lost records of other writers; those of the system itself
+    /// stay lost.
     pub(crate) fn restore(&self, copied: Instant) -> Vec<Record> {
         let mut lost = self.records().restore(copied);
         lost.retain(|record| !self.platform.is_own(record.topic));
         lost
     }
 
-    /// Adds a record that was lost, unless its key was written since.
+    /// Adds a lost record, unless its key was written after `since`.
     pub(crate) fn add_again(&self, record: Record, since: Instant) {
         let mut records = self.records();
         if !records.is_written_since(&record, since) {
--- a/crates/sparscale_soak/src/target.rs
+++ b/crates/sparscale_soak/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a target: runs requests, notes each run, and fails in several ways.
+//! A stub target: runs requests, records each run, and misbehaves on demand.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,29 +19,28 @@
 use crate::places::{DEADLY, EVENTS, RATE, REST};
 use crate::server::{self, Broken, Content};
 
-/// Shortest and longest time that a plain request runs.
+/// Time that a plain request runs, in milliseconds.
 const RUN: std::ops::Range<u64> = 5..60;
-/// When the first starts began; only later ones have to be later.
+/// Time of the first starts, in milliseconds; later starts only have to be later.
 const BORN_MS: u64 = 1_750_000_000_000;
-/// Time between two events.
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
-/// Events after which a stream breaks off.
+/// Events after which a stream is aborted.
 const BROKEN_AFTER: u64 = 4;
 
-/// One target; incarnations follow each other at its address.
+/// A target; its incarnations succeed each other at one address.
 pub(crate) struct Target {
     index: usize,
     book: Arc<Book>,
     dialect: Dialect,
     state: Mutex<State>,
-    /// Counts its crashes.
+    /// Number of crashes so far.
     pub(crate) crashes: watch::Sender<u64>,
 }
 
 #[derive(Debug, Clone)]
 struct State {
     incarnation: String,
-    /// When its present start began, in milliseconds.
+    /// When the current start began, in milliseconds.
     born_ms: u64,
     mood: Mood,
 }
@@ -80,22 +79,22 @@
         self.state().mood = mood;
     }
 
-    /// The next incarnation begins.
+    /// Replaces the incarnation.
     pub(crate) fn become_new(&self, incarnation: String) {
         self.state().incarnation = incarnation;
     }
 
-    /// It starts again under its id.
+    /// Restarts under the same id.
     pub(crate) fn start_again(&self) {
         self.state().born_ms += 1_000;
     }
 
-    /// When its present start began, in milliseconds.
+    /// When the current start began, in milliseconds.
     pub(crate) fn born_ms(&self) -> u64 {
         self.state().born_ms
     }
 
-    /// Name of the incarnation that runs.
+    /// Name of the current incarnation.
     pub(crate) fn incarnation(&self) -> String {
         self.state().incarnation.clone()
     }
@@ -108,7 +107,7 @@
         let state = self.state().clone();
         let (head, body) = request.into_parts();
         let id = text(&head.headers, &self.dialect.request_id);
-        // A request that is not whole is not run.
+        // An incomplete request is not run.
         let Ok(body) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
             return self.refusal(StatusCode::BAD_REQUEST, &id);
         };
@@ -144,7 +143,7 @@
             let at = Instant::now();
             self.book.open().ends.push(End { path, at });
             self.crashes.send_modify(|crashes| *crashes += 1);
-            // Its connections are reset.
+            // The proxy in front of the target resets its connections.
             return std::future::pending().await;
         }
         let after = text(&head.headers, &HeaderName::from_static("last-event-id"));
@@ -185,12 +184,12 @@
     }
 }
 
-/// Content of a plain answer: the id and the body of its request.
+/// Body of a plain response: the id and the body of its request.
 pub(crate) fn expected(id: &str, body: &str) -> String {
     format!("{id} {body}")
 }
 
-/// One event of a stream.
+/// Text of one event of a stream.
 pub(crate) fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
@@ -229,7 +228,7 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// A value that cannot stand in a header is left out; checks then miss it.
+/// Sets a header; leaves it out if the value is invalid, so that the checks miss it.
 fn insert(answer: &mut Response<Content>, name: &HeaderName, value: &str) {
     if let Ok(value) = value.parse() {
         answer.headers_mut().insert(name.clone(), value);
