--- a/crates/sparscale_soak/src/mood.rs
+++ b/crates/sparscale_soak/src/behavior.rs
@@ -2,19 +2,19 @@
 
 /// Behavior of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Mood {
+pub(crate) enum Behavior {
     /// Runs every request.
-    Well,
+    Healthy,
     /// Runs requests and responds with status 500.
-    Errors,
+    ServerErrors,
     /// Rejects requests without running them, and marks the response so.
-    Full,
+    Rejecting,
     /// Runs requests and aborts response bodies.
-    BreaksOff,
+    AbortingBody,
     /// Runs requests and announces a rate limit for all entries together.
-    Limited,
+    RateLimited,
     /// Rejects requests without running them, and asks each entry to back off.
-    Tired,
+    RequestingBackoff,
     /// Runs requests and announces that it is draining.
-    Leaving,
+    Draining,
 }
--- a/crates/sparscale_soak/src/caller.rs
+++ b/crates/sparscale_soak/src/caller.rs
@@ -17,115 +17,123 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use crate::ledger::{Answer, Attempt, Book, Outcome};
-use crate::places::{DEADLINE, HOST, KEYS, LATER_KEYS, ROUTES};
+use crate::environment::Environment;
+use crate::event_log::{Answer, CallerRequest, Outcome, SharedEventLog};
+use crate::layout::{CALLER_TIMEOUT, HOST, INITIAL_KEY_COUNT, LATER_KEY_COUNT, ROUTES};
 use crate::platform::RouteKind;
-use crate::stage::Stage;
 
 /// Time past the deadline announced in the request after which a caller records that no response came.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(3);
-const CONNECT: Duration = Duration::from_secs(1);
+pub(crate) const CALLER_TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay before each request of a caller, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 20..120;
+const REQUEST_DELAY_MS: std::ops::Range<u64> = 20..120;
 
 /// How a caller uses its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Habit {
+pub(crate) enum ConnectionUse {
     /// Keeps a connection open until the entry closes it.
-    Keeps,
+    KeepAlive,
     /// Opens a connection for each request.
-    Opens,
+    PerRequest,
 }
 
 /// A caller of one entry.
 pub(crate) struct Caller {
     pub(crate) entry: usize,
     address: SocketAddr,
-    habit: Habit,
+    connection_use: ConnectionUse,
     dialect: Dialect,
-    book: Arc<Book>,
+    event_log: Arc<SharedEventLog>,
     random: ChaCha8Rng,
-    kept: Option<SendRequest<Full<Bytes>>>,
+    idle_connection: Option<SendRequest<Full<Bytes>>>,
     /// Body of all its requests; if none, each request gets a body of its own.
     pub(crate) body: Option<&'static str>,
 }
 
 impl Caller {
     /// Creates a caller of `entry` that draws random numbers from `random`.
-    pub(crate) fn new(stage: &Stage, entry: usize, habit: Habit, random: ChaCha8Rng) -> Self {
+    pub(crate) fn new(
+        environment: &Environment,
+        entry: usize,
+        connection_use: ConnectionUse,
+        random: ChaCha8Rng,
+    ) -> Self {
         Self {
             entry,
-            address: stage.net.callers(entry),
-            habit,
-            dialect: stage.platform.dialect(),
-            book: Arc::clone(&stage.book),
+            address: environment.net.caller_address(entry),
+            connection_use,
+            dialect: environment.platform.dialect(),
+            event_log: Arc::clone(&environment.event_log),
             random,
-            kept: None,
+            idle_connection: None,
             body: None,
         }
     }
 
     /// Sends requests until `stopped` is set.
-    pub(crate) async fn run(mut self, mut over: watch::Receiver<bool>) {
-        while !*over.borrow_and_update() {
-            let pause = Duration::from_millis(self.random.random_range(PAUSE));
-            tokio::time::sleep(pause).await;
+    pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
+        while !*stopped.borrow_and_update() {
+            let delay = Duration::from_millis(self.random.random_range(REQUEST_DELAY_MS));
+            tokio::time::sleep(delay).await;
             let route = self.random.random_range(0..ROUTES.len());
-            let key = format!("key-{}", self.random.random_range(0..KEYS + LATER_KEYS));
-            self.ask(route, &key).await;
+            let key = format!(
+                "key-{}",
+                self.random.random_range(0..INITIAL_KEY_COUNT + LATER_KEY_COUNT)
+            );
+            self.send(route, &key).await;
         }
     }
 
     /// Sends one request to the route with index `route` and records the outcome.
-    pub(crate) async fn ask(&mut self, route: usize, key: &str) -> Outcome {
+    pub(crate) async fn send(&mut self, route: usize, key: &str) -> Outcome {
         let route = &ROUTES[route];
         let id = format!("{:016x}", self.random.random::<u64>());
-        let began = Instant::now();
-        let talk = self.talk(route.prefix, &id, key);
-        let outcome = tokio::time::timeout(DEADLINE + PATIENCE, talk)
+        let sent_at = Instant::now();
+        let exchange = self.exchange(route.prefix, &id, key);
+        let outcome = tokio::time::timeout(CALLER_TIMEOUT + CALLER_TIMEOUT_MARGIN, exchange)
             .await
             .unwrap_or(Outcome::Nothing);
         if outcome == Outcome::Nothing {
             // Closing the connection shows the entry that the caller no longer waits.
-            self.kept = None;
+            self.idle_connection = None;
         }
-        self.book.open().attempts.push(Attempt {
-            request: id,
+        self.event_log.lock().caller_requests.push(CallerRequest {
+            request_id: id,
             entry: self.entry,
             kind: route.kind,
             key: key.to_owned(),
-            began,
-            ended: Instant::now(),
+            sent_at,
+            ended_at: Instant::now(),
             outcome: outcome.clone(),
         });
         outcome
     }
 
-    async fn talk(&mut self, prefix: &str, id: &str, key: &str) -> Outcome {
+    async fn exchange(&mut self, prefix: &str, id: &str, key: &str) -> Outcome {
         let Some(mut connection) = self.connection().await else {
             return Outcome::Unreached;
         };
         let Ok(request) = self.request(prefix, id, key) else {
             return Outcome::Unreached;
         };
-        let Ok(answer) = connection.send_request(request).await else {
+        let Ok(response) = connection.send_request(request).await else {
             return Outcome::Closed;
         };
-        let answer = read(answer, &self.dialect).await;
-        if self.habit == Habit::Keeps && answer.whole {
-            self.kept = Some(connection);
+        let response = read_response(response, &self.dialect).await;
+        if self.connection_use == ConnectionUse::KeepAlive && response.whole {
+            self.idle_connection = Some(connection);
         }
-        Outcome::Answered(answer)
+        Outcome::Answered(response)
     }
 
     async fn connection(&mut self) -> Option<SendRequest<Full<Bytes>>> {
-        if let Some(mut kept) = self.kept.take()
-            && kept.ready().await.is_ok()
+        if let Some(mut idle_connection) = self.idle_connection.take()
+            && idle_connection.ready().await.is_ok()
         {
-            return Some(kept);
+            return Some(idle_connection);
         }
-        let opened = tokio::time::timeout(CONNECT, TcpStream::connect(self.address)).await;
-        let stream = opened.ok()?.ok()?;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
+        let stream = connected.ok()?.ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
             // A connection error shows up in the response.
@@ -139,20 +147,20 @@
             .header(HOST_HEADER, HOST)
             .header(AUTHORIZATION, format!("Bearer {key}"))
             .header(&self.dialect.request_id, id)
-            .header(&self.dialect.deadline, DEADLINE.as_millis().to_string())
+            .header(&self.dialect.deadline, CALLER_TIMEOUT.as_millis().to_string())
             .body(Full::new(Bytes::from(
-                self.body.map_or_else(|| body(id), str::to_owned),
+                self.body.map_or_else(|| request_body(id), str::to_owned),
             )))
     }
 }
 
 /// Body of the request with this id.
-pub(crate) fn body(id: &str) -> String {
+pub(crate) fn request_body(id: &str) -> String {
     format!("body of {id}")
 }
 
-async fn read(answer: Response<Incoming>, dialect: &Dialect) -> Answer {
-    let (head, mut content) = answer.into_parts();
+async fn read_response(response: Response<Incoming>, dialect: &Dialect) -> Answer {
+    let (head, mut content) = response.into_parts();
     let mut bytes = BytesMut::new();
     let mut whole = true;
     while let Some(frame) = content.frame().await {
--- a/crates/sparscale_soak/src/command.rs
+++ b/crates/sparscale_soak/src/command.rs
@@ -8,37 +8,41 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use crate::fault::Plan;
-use crate::places::{MOST, RANKS, Size, USUAL};
+use crate::layout::{DEFAULT_SIZE, GROUP_RANK_COUNT, MAX_HOSTS_PER_KIND, Size};
 use crate::platform::Platform;
 use crate::round::{self, Report, Round};
 
 const NAME: &str = "soak";
 /// Violations printed per round.
-const PRINTED: usize = 8;
+const MAX_PRINTED_VIOLATIONS: usize = 8;
 
 /// Runs the rounds that the command line selects; fails if a promise was broken or a round could not be run.
 pub async fn run(platform: Arc<dyn Platform>) -> ExitCode {
     let matches = command().get_matches();
-    if !is_meant(&matches) {
+    if !is_selected(&matches) {
         return ExitCode::SUCCESS;
     }
     let rounds = if ["seed", "rounds", "seconds", "plan", "entries", "targets"]
         .iter()
         .any(|name| matches.contains_id(name))
     {
-        named(&matches)
+        selected_rounds(&matches)
     } else {
-        usual()
+        default_rounds()
     };
-    let mut broken = false;
+    let mut has_violations = false;
     for round in rounds {
-        broken |= !play(Arc::clone(&platform), round).await;
+        has_violations |= !run_round(Arc::clone(&platform), round).await;
+    }
+    if has_violations {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
     }
-    if broken { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 /// Rounds selected by the options of the command line.
-fn named(matches: &ArgMatches) -> Vec<Round> {
+fn selected_rounds(matches: &ArgMatches) -> Vec<Round> {
     let first = number(matches, "seed", 1);
     let plan = match matches.get_one::<String>("plan").map(String::as_str) {
         Some("series") => Plan::Series,
@@ -50,9 +54,13 @@
         _ => Plan::Single,
     };
     let size = Size {
-        entries: number(matches, "entries", USUAL.entries as u64) as usize,
-        targets: number(matches, "targets", USUAL.targets as u64) as usize,
-        ranks: if plan == Plan::Groups { RANKS } else { USUAL.ranks },
+        entry_count: number(matches, "entries", DEFAULT_SIZE.entry_count as u64) as usize,
+        target_count: number(matches, "targets", DEFAULT_SIZE.target_count as u64) as usize,
+        rank_count: if plan == Plan::Groups {
+            GROUP_RANK_COUNT
+        } else {
+            DEFAULT_SIZE.rank_count
+        },
     };
     let length = Duration::from_secs(number(matches, "seconds", 12));
     let round = |seed| Round {
@@ -64,30 +72,33 @@
     (first..first + number(matches, "rounds", 1)).map(round).collect()
 }
 
-/// Rounds of a full test run: each plan, seeds that once exceeded the retry budget, and one round with many entries.
-fn usual() -> Vec<Round> {
+/// Rounds of a full test run: each plan, seeds whose faults can push retries over the budget, and one round with many entries.
+fn default_rounds() -> Vec<Round> {
     let round = |plan, seed, seconds, size| Round {
         seed,
         length: Duration::from_secs(seconds),
         plan,
         size,
     };
-    let many = Size {
-        entries: 12,
-        targets: 12,
-        ranks: 0,
+    let many_entries = Size {
+        entry_count: 12,
+        target_count: 12,
+        rank_count: 0,
+    };
+    let with_group = Size {
+        rank_count: GROUP_RANK_COUNT,
+        ..DEFAULT_SIZE
     };
-    let grouped = Size { ranks: RANKS, ..USUAL };
     vec![
-        round(Plan::Single, 1, 12, USUAL),
-        round(Plan::Series, 101, 20, USUAL),
-        round(Plan::Series, 103, 20, USUAL),
-        round(Plan::Series, 2, 12, many),
-        round(Plan::Returns, 201, 15, USUAL),
-        round(Plan::Restores, 401, 15, USUAL),
-        round(Plan::Deadly, 301, 15, USUAL),
-        round(Plan::Groups, 501, 15, grouped),
-        round(Plan::Pressed, 604, 15, USUAL),
+        round(Plan::Single, 1, 12, DEFAULT_SIZE),
+        round(Plan::Series, 101, 20, DEFAULT_SIZE),
+        round(Plan::Series, 103, 20, DEFAULT_SIZE),
+        round(Plan::Series, 2, 12, many_entries),
+        round(Plan::Returns, 201, 15, DEFAULT_SIZE),
+        round(Plan::Restores, 401, 15, DEFAULT_SIZE),
+        round(Plan::Deadly, 301, 15, DEFAULT_SIZE),
+        round(Plan::Groups, 501, 15, with_group),
+        round(Plan::Pressed, 604, 15, DEFAULT_SIZE),
     ]
 }
 
@@ -95,26 +106,26 @@
     let count =
         |name: &'static str, help: &'static str| Arg::new(name).long(name).value_parser(value_parser!(u64)).help(help);
     let size = |name: &'static str, help: &'static str| {
-        let range = value_parser!(u64).range(1..=(MOST - RANKS) as u64);
+        let range = value_parser!(u64).range(1..=(MAX_HOSTS_PER_KIND - GROUP_RANK_COUNT) as u64);
         Arg::new(name).long(name).value_parser(range).help(help)
     };
     let plan = Arg::new("plan")
         .long("plan")
         .value_parser(["single", "series", "returns", "restores", "deadly", "groups", "pressed"])
-        .help("Faults one at a time, or also in series and all together, with targets that return under their ids, with a store that comes back from older copies, with requests that end what runs them, with a group of engines and its agents, or with targets that limit their rate, ask for rest or say that they leave [single]");
+        .help("Single faults; series of faults that also hit all processes at once; targets that restart under their ids; stores restored from older snapshots; requests that crash their targets; a group of engines and its agents; or targets that limit their rate, request a backoff or drain [single]");
     // `cargo test NAME` passes the names to every test program.
     let names = Arg::new("names")
         .num_args(0..)
-        .help("Names of tests; rounds are played if there are none, or if this program's is meant");
+        .help("Names of tests; rounds run if there are none or if one matches this program");
     let nocapture = Arg::new("nocapture")
         .long("nocapture")
         .action(ArgAction::SetTrue)
-        .help("Taken, as by other test programs; nothing is captured here");
+        .help("Accepted as by other test programs; this one never captures output");
     Command::new(NAME)
-        .about("Plays rounds of faults against real processes and checks the promises from outside")
+        .about("Runs rounds of faults against real processes and checks the promises from outside")
         .arg(count("seed", "Seed of the first round [1]"))
         .arg(count("rounds", "Number of rounds, each with the next seed [1]"))
-        .arg(count("seconds", "Time in which faults come in a round [12]"))
+        .arg(count("seconds", "Seconds in which faults are injected in a round [12]"))
         .arg(size("entries", "Entries of a round [3]"))
         .arg(size("targets", "Targets of a round [4]"))
         .arg(plan)
@@ -122,82 +133,82 @@
         .arg(nocapture)
 }
 
-fn is_meant(matches: &ArgMatches) -> bool {
+fn is_selected(matches: &ArgMatches) -> bool {
     let mut names = matches.get_many::<String>("names").unwrap_or_default().peekable();
     names.peek().is_none() || names.any(|name| NAME.contains(name.as_str()))
 }
 
-fn number(matches: &ArgMatches, name: &str, usual: u64) -> u64 {
-    matches.get_one(name).copied().unwrap_or(usual)
+fn number(matches: &ArgMatches, name: &str, default: u64) -> u64 {
+    matches.get_one(name).copied().unwrap_or(default)
 }
 
 /// Runs one round and prints its report; returns whether all promises held.
-async fn play(platform: Arc<dyn Platform>, round: Round) -> bool {
+async fn run_round(platform: Arc<dyn Platform>, round: Round) -> bool {
     let seed = round.seed;
-    let folder = folder(seed);
-    let report = match clear(&folder) {
-        Ok(()) => round::play(platform, round, &folder).await,
-        Err(error) => Err(format!("{}: {error}", folder.display())),
+    let directory = directory(seed);
+    let report = match create_empty_directory(&directory) {
+        Ok(()) => round::run(platform, round, &directory).await,
+        Err(error) => Err(format!("{}: {error}", directory.display())),
     };
     match report {
         Ok(report) => {
-            print(round, &report, &folder);
+            print_report(round, &report, &directory);
             if report.violations.is_empty() {
-                remove(&folder);
+                remove_directory(&directory);
             }
             report.violations.is_empty()
         }
         Err(error) => {
-            println!("seed {seed}: not played: {error}; logs in {}", folder.display());
+            println!("seed {seed}: not played: {error}; logs in {}", directory.display());
             false
         }
     }
 }
 
-fn print(round: Round, report: &Report, folder: &Path) {
+fn print_report(round: Round, report: &Report, directory: &Path) {
     let Report {
-        requests,
-        outcomes,
-        faults,
-        changes,
-        stalls,
+        request_count,
+        outcome_counts,
+        fault_count,
+        map_switch_count,
+        stall_count,
         violations,
     } = report;
-    let counts: Vec<String> = outcomes
+    let counts: Vec<String> = outcome_counts
         .iter()
         .map(|(name, count)| format!("{name}: {count}"))
         .collect();
     println!(
-        "seed {}, {:?}, {} entries: {faults} faults, {changes} changes of map, {stalls} stalls of the machine, {requests} requests ({}), {} broken promises",
+        "seed {}, {:?}, {} entries: {fault_count} faults, {map_switch_count} changes of map, {stall_count} stalls of the machine, {request_count} requests ({}), {} broken promises",
         round.seed,
         round.plan,
-        round.size.entries,
+        round.size.entry_count,
         counts.join(", "),
         violations.len()
     );
-    for violation in violations.iter().take(PRINTED) {
-        println!("  {}: {}", violation.promise, violation.what);
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("  {}: {}", violation.promise, violation.details);
     }
     if !violations.is_empty() {
-        println!("  logs in {}", folder.display());
+        println!("  logs in {}", directory.display());
     }
 }
 
 /// Directory for the logs and settings files of a round.
-fn folder(seed: u64) -> PathBuf {
+fn directory(seed: u64) -> PathBuf {
     std::env::temp_dir().join(format!("sparscale-soak-{}-{seed}", std::process::id()))
 }
 
 /// Removes the files of a round without violations.
-fn remove(folder: &Path) {
-    if let Err(error) = std::fs::remove_dir_all(folder) {
-        println!("  {} stays: {error}", folder.display());
+fn remove_directory(directory: &Path) {
+    if let Err(error) = std::fs::remove_dir_all(directory) {
+        println!("  {} stays: {error}", directory.display());
     }
 }
 
-fn clear(folder: &Path) -> std::io::Result<()> {
-    if folder.exists() {
-        std::fs::remove_dir_all(folder)?;
+fn create_empty_directory(directory: &Path) -> std::io::Result<()> {
+    if directory.exists() {
+        std::fs::remove_dir_all(directory)?;
     }
-    std::fs::create_dir_all(folder)
+    std::fs::create_dir_all(directory)
 }
--- a/crates/sparscale_soak/src/engines.rs
+++ b/crates/sparscale_soak/src/engines.rs
@@ -8,15 +8,15 @@
 use hyper::body::Incoming;
 
 use crate::group::Group;
-use crate::places::{Net, Size};
+use crate::layout::{Net, Size};
 use crate::platform::Platform;
 use crate::server::{self, Content};
 
-const PASS: Duration = Duration::from_millis(8);
+const PASS_INTERVAL: Duration = Duration::from_millis(8);
 /// Passes between two shifts of demand; frequent enough that most faults coincide with a map switch.
-const SHIFT: u32 = 90;
+const PASSES_PER_DEMAND_SHIFT: u32 = 90;
 /// Time after which an unanswered call fails; longer than any client waits.
-const UNANSWERED: Duration = Duration::from_secs(1);
+const UNANSWERED_CALL_TIME: Duration = Duration::from_secs(1);
 
 /// All engines of the group.
 pub(crate) struct Engines {
@@ -29,18 +29,18 @@
     pub(crate) async fn start(platform: Arc<dyn Platform>, net: Net, size: Size) -> std::io::Result<Arc<Self>> {
         let engines = Arc::new(Self {
             platform,
-            group: Mutex::new(Group::new(size.ranks, Instant::now())),
+            group: Mutex::new(Group::new(size.rank_count, Instant::now())),
         });
-        for rank in 0..size.ranks {
-            let serving = Arc::clone(&engines);
-            server::serve(net.engine(size.agent(rank)), move |request| {
-                let engines = Arc::clone(&serving);
-                async move { engines.answer(rank, request).await }
+        for rank in 0..size.rank_count {
+            let server_engines = Arc::clone(&engines);
+            server::serve(net.engine_address(size.agent_index(rank)), move |request| {
+                let engines = Arc::clone(&server_engines);
+                async move { engines.handle(rank, request).await }
             })
             .await?;
         }
-        if size.ranks > 0 {
-            tokio::spawn(run(Arc::clone(&engines)));
+        if size.rank_count > 0 {
+            tokio::spawn(run_passes(Arc::clone(&engines)));
         }
         Ok(engines)
     }
@@ -49,31 +49,31 @@
         self.group.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, rank: usize, request: Request<Incoming>) -> Response<Content> {
+    async fn handle(&self, rank: usize, request: Request<Incoming>) -> Response<Content> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(http_body_util::Collected::to_bytes);
-        let answer = body.ok().and_then(|body| {
+        let response = body.ok().and_then(|body| {
             let call = Request::from_parts(head, body);
             self.platform.answer_of_engine(&call, rank, &mut self.group())
         });
-        let Some(answer) = answer else {
-            tokio::time::sleep(UNANSWERED).await;
+        let Some(response) = response else {
+            tokio::time::sleep(UNANSWERED_CALL_TIME).await;
             return server::boxed(server::unavailable());
         };
-        server::boxed(answer)
+        server::boxed(response)
     }
 }
 
 /// Runs passes at an interval; never returns.
-async fn run(engines: Arc<Engines>) {
-    let mut tick = tokio::time::interval(PASS);
-    let mut passes = 0_u32;
+async fn run_passes(engines: Arc<Engines>) {
+    let mut interval = tokio::time::interval(PASS_INTERVAL);
+    let mut pass_count = 0_u32;
     loop {
-        tick.tick().await;
-        passes += 1;
+        interval.tick().await;
+        pass_count += 1;
         let mut group = engines.group();
-        if passes.is_multiple_of(SHIFT) {
-            group.shift();
+        if pass_count.is_multiple_of(PASSES_PER_DEMAND_SHIFT) {
+            group.shift_demand();
         }
         group.pass(Instant::now());
     }
--- a/crates/sparscale_soak/src/ledger.rs
+++ b/crates/sparscale_soak/src/event_log.rs
@@ -3,50 +3,50 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
+use crate::behavior::Behavior;
 use crate::fault::Fault;
-use crate::mood::Mood;
 use crate::platform::RouteKind;
 
 /// A target began to run a request.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
-    pub(crate) request: String,
+    pub(crate) request_id: String,
     /// Incarnation of the target.
-    pub(crate) target: String,
+    pub(crate) incarnation: String,
     /// Workspace that the entry named.
     pub(crate) workspace: String,
-    pub(crate) at: Instant,
+    pub(crate) started_at: Instant,
 }
 
 /// A request reached a target, whether or not the target ran it.
 #[derive(Debug, Clone)]
 pub(crate) struct Arrival {
-    pub(crate) request: String,
+    pub(crate) request_id: String,
     /// Path of a request that crashes its target; none for others.
-    pub(crate) deadly: Option<String>,
-    pub(crate) at: Instant,
+    pub(crate) crash_path: Option<String>,
+    pub(crate) arrived_at: Instant,
     /// The start of the target that the request reached.
-    pub(crate) start: Start,
+    pub(crate) target_start: TargetStart,
     /// How the target behaved at that time.
-    pub(crate) mood: Mood,
+    pub(crate) behavior: Behavior,
 }
 
 /// One start of a target.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Start {
+pub(crate) struct TargetStart {
     /// Index of the target.
     pub(crate) target: usize,
     pub(crate) incarnation: String,
     /// Time of the start, in milliseconds.
-    pub(crate) born_ms: u64,
+    pub(crate) started_at_ms: u64,
 }
 
 /// A request crashed a target.
 #[derive(Debug, Clone)]
-pub(crate) struct End {
+pub(crate) struct Crash {
     /// Path of the request.
     pub(crate) path: String,
-    pub(crate) at: Instant,
+    pub(crate) crashed_at: Instant,
 }
 
 /// How a caller's request ended.
@@ -64,7 +64,7 @@
 
 impl Outcome {
     /// Short name for the counts of the summary.
-    pub(crate) fn name(&self) -> String {
+    pub(crate) fn label(&self) -> String {
         match self {
             Self::Unreached => "unreached".to_owned(),
             Self::Closed => "closed".to_owned(),
@@ -88,33 +88,33 @@
 
 /// One request of a caller.
 #[derive(Debug, Clone)]
-pub(crate) struct Attempt {
-    pub(crate) request: String,
+pub(crate) struct CallerRequest {
+    pub(crate) request_id: String,
     /// Index of the entry that it was sent to.
     pub(crate) entry: usize,
     pub(crate) kind: RouteKind,
     pub(crate) key: String,
-    pub(crate) began: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) sent_at: Instant,
+    pub(crate) ended_at: Instant,
     pub(crate) outcome: Outcome,
 }
 
 /// The period in which a fault was active.
 #[derive(Debug, Clone)]
-pub(crate) struct Trouble {
+pub(crate) struct FaultPeriod {
     pub(crate) fault: Fault,
-    pub(crate) from: Instant,
-    pub(crate) to: Instant,
+    pub(crate) started_at: Instant,
+    pub(crate) ended_at: Instant,
 }
 
 /// A change that the store acknowledged.
 #[derive(Debug, Clone)]
-pub(crate) struct Acknowledged {
-    pub(crate) what: Change,
+pub(crate) struct AcknowledgedChange {
+    pub(crate) change: Change,
     /// Time of the first acknowledgement.
-    pub(crate) at: Instant,
+    pub(crate) acknowledged_at: Instant,
     /// Time since when the change holds: a store restored from an older snapshot had lost it meanwhile.
-    pub(crate) stands: Instant,
+    pub(crate) effective_since: Instant,
 }
 
 /// What the store acknowledged.
@@ -125,51 +125,58 @@
     /// A key was granted.
     Granted(String),
     /// An incarnation is draining.
-    Leaving(String),
+    Draining(String),
 }
 
 /// An unexpected event of a process.
 #[derive(Debug, Clone)]
 pub(crate) struct Incident {
     /// Name of the process.
-    pub(crate) process: String,
-    pub(crate) what: String,
+    pub(crate) process_name: String,
+    pub(crate) details: String,
 }
 
 /// All events of a round.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct EventLog {
     pub(crate) arrivals: Vec<Arrival>,
     pub(crate) runs: Vec<Run>,
-    pub(crate) ends: Vec<End>,
-    pub(crate) attempts: Vec<Attempt>,
-    pub(crate) troubles: Vec<Trouble>,
-    pub(crate) acknowledged: Vec<Acknowledged>,
+    pub(crate) crashes: Vec<Crash>,
+    pub(crate) caller_requests: Vec<CallerRequest>,
+    pub(crate) fault_periods: Vec<FaultPeriod>,
+    pub(crate) acknowledged_changes: Vec<AcknowledgedChange>,
     pub(crate) incidents: Vec<Incident>,
 }
 
 /// An event log that all tasks share.
 #[derive(Debug, Default)]
-pub(crate) struct Book(Mutex<Ledger>);
+pub(crate) struct SharedEventLog(Mutex<EventLog>);
 
-impl Book {
+impl SharedEventLog {
     /// Locks the log. Events are added whole, so the log is consistent even after a panic.
-    pub(crate) fn open(&self) -> MutexGuard<'_, Ledger> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, EventLog> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn acknowledge(&self, what: Change) {
-        let at = Instant::now();
-        self.open().acknowledged.push(Acknowledged { what, at, stands: at });
+    pub(crate) fn record_acknowledgement(&self, change: Change) {
+        let acknowledged_at = Instant::now();
+        self.lock().acknowledged_changes.push(AcknowledgedChange {
+            change,
+            acknowledged_at,
+            effective_since: acknowledged_at,
+        });
     }
 
     /// Moves the changes acknowledged after the snapshot at `snapshot_at` to now, when they are written again.
-    pub(crate) fn acknowledge_again(&self, copied: Instant) {
+    pub(crate) fn reset_acknowledgements(&self, snapshot_at: Instant) {
         let now = Instant::now();
-        let mut ledger = self.open();
-        let lost = ledger.acknowledged.iter_mut().filter(|known| known.stands > copied);
-        for known in lost {
-            known.stands = now;
+        let mut event_log = self.lock();
+        let lost = event_log
+            .acknowledged_changes
+            .iter_mut()
+            .filter(|acknowledged| acknowledged.effective_since > snapshot_at);
+        for acknowledged in lost {
+            acknowledged.effective_since = now;
         }
     }
 }
--- a/crates/sparscale_soak/src/fault.rs
+++ b/crates/sparscale_soak/src/fault.rs
@@ -5,19 +5,19 @@
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::mood::Mood;
-use crate::places::{KEYS, LATER_KEYS, ROUTES, Size};
+use crate::behavior::Behavior;
+use crate::layout::{INITIAL_KEY_COUNT, LATER_KEY_COUNT, ROUTES, Size};
 use crate::proxy::Link;
 
 /// A fault to inject, or one that the soak detects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// The store rejects all calls.
-    StoreBusy,
+    StoreRejecting,
     /// No process can reach the store.
-    StoreSilent,
+    StoreUnreachable,
     /// The store rejects all calls, and the registrations of targets expire.
-    StoreLapse,
+    RegistrationsExpire,
     /// The link of one entry to the store is impaired.
     StoreLink { entry: usize, link: Link },
     /// An entry is killed and restarted.
@@ -31,42 +31,49 @@
     /// The link to a target is impaired.
     TargetLink { target: usize, link: Link },
     /// A target misbehaves.
-    TargetMood { target: usize, mood: Mood },
+    TargetBehavior { target: usize, behavior: Behavior },
     /// A target announces in its registration that it is draining, terminates and is replaced.
-    Leave { target: usize },
+    DrainTarget { target: usize },
     /// A target crashes, its registration expires later, and it is replaced.
-    Die { target: usize },
+    CrashTarget { target: usize },
     /// A key is revoked; the first key never is.
     Revoke { key: usize },
     /// A key is revoked while no entry reaches the store, for longer than an entry may trust its copy of a key.
-    RevokeUnseen { key: usize },
+    RevokeDuringOutage { key: usize },
     /// The machine ran nothing for a while; detected by the soak, never drawn.
     Stall,
     /// A key is granted while no entry reaches the store.
-    GrantUnseen { key: usize },
-    /// An entry is killed and restarted `times` times, after `delay` each time.
-    KillSeries { entry: usize, times: u32, pause: Duration },
+    GrantDuringOutage { key: usize },
+    /// An entry is killed and restarted `repeat_count` times, after `delay` each time.
+    KillSeries {
+        entry: usize,
+        repeat_count: u32,
+        delay: Duration,
+    },
     /// All entries are killed and restarted in series at once.
-    KillAll { times: u32, pause: Duration },
-    /// An entry gets a SIGHUP and two SIGTERMs and is restarted, `times` times.
-    StopSeries { entry: usize, times: u32 },
+    KillAll { repeat_count: u32, delay: Duration },
+    /// An entry gets a SIGHUP and two SIGTERMs and is restarted, `repeat_count` times.
+    StopSeries { entry: usize, repeat_count: u32 },
     /// All entries are stopped in series at once; their stops overlap.
-    StopAll { times: u32 },
+    StopAll { repeat_count: u32 },
     /// All entries are frozen.
     FreezeAll,
     /// All targets misbehave in the same way.
-    AllTargets { mood: Mood },
+    AllTargets { behavior: Behavior },
     /// Keys are revoked and granted in quick succession.
-    Changes { times: u32 },
+    KeyChanges { repeat_count: u32 },
     /// A target terminates and restarts under its id; if `expired`, after its registration has expired.
-    Return { target: usize, lapsed: bool },
+    RestartTarget { target: usize, expired: bool },
     /// All targets restart under their ids.
-    ReturnAll { lapsed: bool },
+    RestartAllTargets { expired: bool },
     /// A request that crashes every target that runs it reaches an entry again and again.
-    Deadly { entry: usize, route: usize },
+    CrashRequests { entry: usize, route: usize },
     /// The store is briefly unavailable and restored from a snapshot of age `snapshot_age`; `before` happens right
     /// before.
-    Restore { copy: Duration, before: Before },
+    Restore {
+        snapshot_age: Duration,
+        before: BeforeRestore,
+    },
     /// The agent beside a rank is killed and restarted.
     KillAgent { rank: usize },
     /// The agent beside a rank is frozen.
@@ -80,23 +87,24 @@
     /// The link of a rank's agent to the store is impaired.
     AgentStoreLink { rank: usize, link: Link },
     /// Orders to a rank get no response, and most of them are carried out later.
-    LateOrders { rank: usize },
+    UnansweredOrders { rank: usize },
     /// A rank's engine restarts, and the group is formed anew.
-    EngineReturn { rank: usize },
+    RestartEngine { rank: usize },
     /// A target announces in its responses, but not in its registration, that it is draining, and is replaced.
-    SaysLeaving { target: usize },
+    DrainByHeader { target: usize },
     /// Records of another writer appear in the store's list of targets.
-    Foreign { target: usize },
+    ForeignRecords { target: usize },
 }
 
 /// What is written right before the store is restored, so that the snapshot lacks it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Before {
+pub(crate) enum BeforeRestore {
+    /// Nothing is written.
     Nothing,
     /// A key is revoked.
     Revoke { key: usize },
     /// A target announces that it is draining.
-    Leave { target: usize },
+    Drain { target: usize },
     /// The leader of the group is killed; its successor is killed right after the store has recovered.
     Takeover,
 }
@@ -112,8 +120,8 @@
     Returns,
     /// Single faults, stores restored from older snapshots, requests that crash targets, and restarts of all entries.
     Restores,
-    /// A group of engines whose agents are killed, frozen and cut off from a store that is restored from older
-    /// snapshots.
+    /// A group of engines whose agents are killed, are frozen or lose their link to the store, which is restored from
+    /// older snapshots.
     Groups,
     /// Single faults, requests that crash the targets that run them, and restarts of all entries.
     Deadly,
@@ -124,103 +132,115 @@
 
 /// A fault and when it is injected.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedFault {
     pub(crate) fault: Fault,
     /// Time from the start of the round.
-    pub(crate) at: Duration,
+    pub(crate) offset: Duration,
     /// Time until the fault is undone, if it doesn't end by itself.
-    pub(crate) lasts: Duration,
+    pub(crate) duration: Duration,
 }
 
 /// Time between the beginnings of two faults, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 200..1_500;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 200..1_500;
 /// Duration of a fault, in milliseconds; the longest exceed every limit on the age of observed state.
-const LASTS: std::ops::Range<u64> = 300..8_000;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..8_000;
 /// Age of the snapshot that a store is restored from, in milliseconds.
-const COPY: std::ops::Range<u64> = 1_000..10_000;
+const SNAPSHOT_AGE_MS: std::ops::Range<u64> = 1_000..10_000;
 /// Delay on a slow link, in milliseconds.
-const SLOW: std::ops::Range<u64> = 20..300;
+const LINK_DELAY_MS: std::ops::Range<u64> = 20..300;
 
-/// Time between two kills of a series, in milliseconds; half of the series have none.
-const KILL_PAUSE: std::ops::Range<u64> = 100..2_500;
+/// Time that a killed process of a series stays down, in milliseconds; half of the series have none.
+const KILL_DELAY_MS: std::ops::Range<u64> = 100..2_500;
 
 impl Fault {
     fn draw_series(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entries);
-        let pause = Duration::from_millis(random.random_range(KILL_PAUSE));
-        let pause = if random.random() { pause } else { Duration::ZERO };
-        let times = random.random_range(1..6);
+        let entry = random.random_range(0..size.entry_count);
+        let delay = Duration::from_millis(random.random_range(KILL_DELAY_MS));
+        let delay = if random.random() { delay } else { Duration::ZERO };
+        let repeat_count = random.random_range(1..6);
         match random.random_range(0..14) {
-            0 | 1 => Self::KillSeries { entry, times, pause },
-            2 | 3 => Self::KillAll { times, pause },
-            4 => Self::StopSeries { entry, times },
-            5 => Self::StopAll { times: times.min(2) },
+            0 | 1 => Self::KillSeries {
+                entry,
+                repeat_count,
+                delay,
+            },
+            2 | 3 => Self::KillAll { repeat_count, delay },
+            4 => Self::StopSeries { entry, repeat_count },
+            5 => Self::StopAll {
+                repeat_count: repeat_count.min(2),
+            },
             6 => Self::FreezeAll,
             7..=9 => Self::AllTargets {
-                mood: draw_mood(random),
+                behavior: draw_behavior(random),
+            },
+            10 => Self::KeyChanges {
+                repeat_count: repeat_count * 4,
             },
-            10 => Self::Changes { times: times * 4 },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_deadly(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entries);
+        let entry = random.random_range(0..size.entry_count);
         let route = random.random_range(0..ROUTES.len());
         match random.random_range(0..8) {
-            0..=3 => Self::Deadly { entry, route },
+            0..=3 => Self::CrashRequests { entry, route },
             4 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_pressed(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let target = random.random_range(0..size.targets);
-        let mood = if random.random() { Mood::Limited } else { Mood::Tired };
+        let target = random.random_range(0..size.target_count);
+        let behavior = if random.random() {
+            Behavior::RateLimited
+        } else {
+            Behavior::RequestingBackoff
+        };
         match random.random_range(0..10) {
-            0..=3 => Self::TargetMood { target, mood },
-            4 => Self::AllTargets { mood },
-            5 | 6 => Self::SaysLeaving { target },
+            0..=3 => Self::TargetBehavior { target, behavior },
+            4 => Self::AllTargets { behavior },
+            5 | 6 => Self::DrainByHeader { target },
             7 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_restores(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let copy = Duration::from_millis(random.random_range(COPY));
+        let snapshot_age = Duration::from_millis(random.random_range(SNAPSHOT_AGE_MS));
         let before = match random.random_range(0..4) {
-            0 => Before::Revoke {
-                key: random.random_range(1..KEYS),
+            0 => BeforeRestore::Revoke {
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            1 => Before::Leave {
-                target: random.random_range(0..size.targets),
+            1 => BeforeRestore::Drain {
+                target: random.random_range(0..size.target_count),
             },
-            _ => Before::Nothing,
+            _ => BeforeRestore::Nothing,
         };
         match random.random_range(0..8) {
-            0..=3 => Self::Restore { copy, before },
+            0..=3 => Self::Restore { snapshot_age, before },
             4 => Self::draw_deadly(random, size),
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_groups(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let copy = Duration::from_millis(random.random_range(COPY));
-        let rank = random.random_range(0..size.ranks);
+        let snapshot_age = Duration::from_millis(random.random_range(SNAPSHOT_AGE_MS));
+        let rank = random.random_range(0..size.rank_count);
         match random.random_range(0..16) {
             0..=2 => Self::Restore {
-                copy,
-                before: Before::Takeover,
+                snapshot_age,
+                before: BeforeRestore::Takeover,
             },
             3 => Self::Restore {
-                copy,
-                before: Before::Nothing,
+                snapshot_age,
+                before: BeforeRestore::Nothing,
             },
             4 | 5 => Self::KillLeader,
             6 | 7 => Self::FreezeLeader,
@@ -231,34 +251,34 @@
                 rank,
                 link: draw_link(random),
             },
-            12 | 13 => Self::LateOrders { rank },
-            14 => Self::EngineReturn { rank },
+            12 | 13 => Self::UnansweredOrders { rank },
+            14 => Self::RestartEngine { rank },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_returns(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let target = random.random_range(0..size.targets);
-        let lapsed = random.random();
+        let target = random.random_range(0..size.target_count);
+        let expired = random.random();
         match random.random_range(0..10) {
-            0..=2 => Self::Return { target, lapsed },
-            3 => Self::ReturnAll { lapsed },
-            4 | 5 => Self::Foreign { target },
+            0..=2 => Self::RestartTarget { target, expired },
+            3 => Self::RestartAllTargets { expired },
+            4 | 5 => Self::ForeignRecords { target },
             6 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entries);
-        let target = random.random_range(0..size.targets);
+        let entry = random.random_range(0..size.entry_count);
+        let target = random.random_range(0..size.target_count);
         match random.random_range(0..16) {
-            0 => Self::StoreBusy,
-            1 => Self::StoreSilent,
-            2 => Self::StoreLapse,
+            0 => Self::StoreRejecting,
+            1 => Self::StoreUnreachable,
+            2 => Self::RegistrationsExpire,
             3 => Self::StoreLink {
                 entry,
                 link: draw_link(random),
@@ -271,62 +291,65 @@
                 target,
                 link: draw_link(random),
             },
-            10 => Self::TargetMood {
+            10 => Self::TargetBehavior {
                 target,
-                mood: draw_mood(random),
+                behavior: draw_behavior(random),
             },
-            11 => Self::Leave { target },
-            12 => Self::Die { target },
+            11 => Self::DrainTarget { target },
+            12 => Self::CrashTarget { target },
             13 => Self::Revoke {
-                key: random.random_range(1..KEYS),
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            14 => Self::RevokeUnseen {
-                key: random.random_range(1..KEYS),
+            14 => Self::RevokeDuringOutage {
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            _ => Self::GrantUnseen {
-                key: random.random_range(KEYS..KEYS + LATER_KEYS),
+            _ => Self::GrantDuringOutage {
+                key: random.random_range(INITIAL_KEY_COUNT..INITIAL_KEY_COUNT + LATER_KEY_COUNT),
             },
         }
     }
 
     /// The resource that the fault occupies; two faults never occupy the same one at once.
-    pub(crate) fn holds(self) -> Hold {
+    pub(crate) fn resource(self) -> Resource {
         match self {
-            Self::StoreBusy | Self::StoreSilent | Self::RevokeUnseen { .. } | Self::GrantUnseen { .. } => Hold::Store,
+            Self::StoreRejecting
+            | Self::StoreUnreachable
+            | Self::RevokeDuringOutage { .. }
+            | Self::GrantDuringOutage { .. } => Resource::Store,
             Self::Restore {
-                before: Before::Takeover,
+                before: BeforeRestore::Takeover,
                 ..
-            } => Hold::StoreAndAgents,
-            Self::StoreLapse | Self::Restore { .. } => Hold::StoreAndTargets,
-            Self::StoreLink { entry, .. } => Hold::StoreLink(entry),
+            } => Resource::StoreAndAgents,
+            Self::RegistrationsExpire | Self::Restore { .. } => Resource::StoreAndTargets,
+            Self::StoreLink { entry, .. } => Resource::StoreLink(entry),
             Self::Kill { entry }
             | Self::Freeze { entry }
             | Self::Stop { entry }
             | Self::HangUp { entry }
             | Self::KillSeries { entry, .. }
-            | Self::StopSeries { entry, .. } => Hold::Entry(entry),
-            Self::KillAll { .. } | Self::StopAll { .. } | Self::FreezeAll => Hold::Entries,
-            Self::AllTargets { .. } | Self::ReturnAll { .. } => Hold::Targets,
-            Self::Changes { .. } => Hold::Keys,
+            | Self::StopSeries { entry, .. } => Resource::Entry(entry),
+            Self::KillAll { .. } | Self::StopAll { .. } | Self::FreezeAll => Resource::Entries,
+            Self::AllTargets { .. } | Self::RestartAllTargets { .. } => Resource::Targets,
+            Self::KeyChanges { .. } => Resource::Keys,
             Self::TargetLink { target, .. }
-            | Self::TargetMood { target, .. }
-            | Self::Leave { target }
-            | Self::SaysLeaving { target }
-            | Self::Die { target }
-            | Self::Return { target, .. } => Hold::Target(target),
-            Self::Stall | Self::Foreign { .. } | Self::Deadly { .. } => Hold::Nothing,
-            Self::Revoke { key } => Hold::Key(key),
-            Self::KillAgent { rank } | Self::FreezeAgent { rank } => Hold::Agent(rank),
-            Self::KillLeader | Self::FreezeLeader | Self::KillAgents => Hold::Agents,
-            Self::AgentStoreLink { rank, .. } => Hold::AgentStoreLink(rank),
-            Self::LateOrders { rank } | Self::EngineReturn { rank } => Hold::Engine(rank),
+            | Self::TargetBehavior { target, .. }
+            | Self::DrainTarget { target }
+            | Self::DrainByHeader { target }
+            | Self::CrashTarget { target }
+            | Self::RestartTarget { target, .. } => Resource::Target(target),
+            Self::Stall | Self::ForeignRecords { .. } | Self::CrashRequests { .. } => Resource::Nothing,
+            Self::Revoke { key } => Resource::Key(key),
+            Self::KillAgent { rank } | Self::FreezeAgent { rank } => Resource::Agent(rank),
+            Self::KillLeader | Self::FreezeLeader | Self::KillAgents => Resource::Agents,
+            Self::AgentStoreLink { rank, .. } => Resource::AgentStoreLink(rank),
+            Self::UnansweredOrders { rank } | Self::RestartEngine { rank } => Resource::Engine(rank),
         }
     }
 }
 
 /// What a fault occupies while it lasts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum Resource {
     Store,
     StoreAndTargets,
     StoreAndAgents,
@@ -344,9 +367,9 @@
     Nothing,
 }
 
-impl Hold {
+impl Resource {
     /// Whether two faults may not be active at once.
-    pub(crate) fn excludes(self, other: Self) -> bool {
+    pub(crate) fn conflicts_with(self, other: Self) -> bool {
         match (self, other) {
             (Self::StoreAndTargets, Self::Store | Self::StoreAndTargets | Self::Target(_) | Self::Targets)
             | (Self::Store | Self::Target(_) | Self::Targets, Self::StoreAndTargets)
@@ -372,30 +395,30 @@
 
 fn draw_link(random: &mut ChaCha8Rng) -> Link {
     match random.random_range(0..5) {
-        0 => Link::Slow(Duration::from_millis(random.random_range(SLOW))),
-        1 => Link::Silent,
-        2 => Link::CutUp,
-        3 => Link::CutDown,
+        0 => Link::Delayed(Duration::from_millis(random.random_range(LINK_DELAY_MS))),
+        1 => Link::Blackhole,
+        2 => Link::DropUpstream,
+        3 => Link::DropDownstream,
         _ => Link::Reset,
     }
 }
 
-fn draw_mood(random: &mut ChaCha8Rng) -> Mood {
+fn draw_behavior(random: &mut ChaCha8Rng) -> Behavior {
     match random.random_range(0..3) {
-        0 => Mood::Errors,
-        1 => Mood::Full,
-        _ => Mood::BreaksOff,
+        0 => Behavior::ServerErrors,
+        1 => Behavior::Rejecting,
+        _ => Behavior::AbortingBody,
     }
 }
 
 /// Draws the faults of a round of `length`; faults may overlap.
-pub(crate) fn plan(random: &mut ChaCha8Rng, length: Duration, plan: Plan, size: Size) -> Vec<Planned> {
+pub(crate) fn draw_faults(random: &mut ChaCha8Rng, length: Duration, plan: Plan, size: Size) -> Vec<PlannedFault> {
     let mut planned = Vec::new();
-    let mut at = Duration::ZERO;
+    let mut offset = Duration::ZERO;
     loop {
-        at += Duration::from_millis(random.random_range(PAUSE));
-        let lasts = Duration::from_millis(random.random_range(LASTS));
-        if at + lasts >= length {
+        offset += Duration::from_millis(random.random_range(FAULT_INTERVAL_MS));
+        let duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
+        if offset + duration >= length {
             return planned;
         }
         let fault = match plan {
@@ -407,6 +430,10 @@
             Plan::Groups => Fault::draw_groups(random, size),
             Plan::Pressed => Fault::draw_pressed(random, size),
         };
-        planned.push(Planned { fault, at, lasts });
+        planned.push(PlannedFault {
+            fault,
+            offset,
+            duration,
+        });
     }
 }
--- a/crates/sparscale_soak/src/group.rs
+++ b/crates/sparscale_soak/src/group.rs
@@ -16,18 +16,18 @@
 pub const SPARE: usize = 3;
 
 /// Time that a rank takes to copy the new experts of a map.
-const COPY: Duration = Duration::from_millis(15);
+const MAP_COPY_TIME: Duration = Duration::from_millis(15);
 /// Time that a group takes to form again.
-const FORM: Duration = Duration::from_millis(300);
+const GROUP_RESET_TIME: Duration = Duration::from_millis(300);
 /// Selections per pass of the expert in demand, and of each other expert.
-const HOT_PICKS: u64 = 400;
-const OTHER_PICKS: u64 = 20;
+const HOT_SELECTIONS: u64 = 400;
+const OTHER_SELECTIONS: u64 = 20;
 /// Number of experts by which the demand moves on.
-const STEP: usize = 7;
+const HOT_EXPERT_STEP: usize = 7;
 /// Passes with differing maps that are recorded.
-const KEPT: usize = 8;
+const MAX_MIXED_PASSES: usize = 8;
 /// Time of the first starts, in milliseconds.
-const BORN_MS: u64 = 1_750_000_000_000;
+const FIRST_START_MS: u64 = 1_750_000_000_000;
 
 /// The experts of each rank, by set and rank.
 pub type Lists = Vec<Vec<Vec<u16>>>;
@@ -101,15 +101,17 @@
 #[derive(Debug, Clone)]
 struct Rank {
     map: Map,
+    /// The map being copied, and when the copy is complete.
     prepared: Option<(Map, Instant)>,
     /// Highest version that the rank was ordered to prepare.
-    highest: u64,
+    highest_version: u64,
+    /// Version and pass of the armed map switch.
     armed: Option<(u64, u64)>,
-    held: Option<u64>,
+    held_step: Option<u64>,
     fence: u64,
-    born_ms: u64,
+    started_at_ms: u64,
     /// Time until which orders get no response.
-    late_until: Option<Instant>,
+    unanswered_until: Option<Instant>,
 }
 
 /// What a rank reports about itself.
@@ -137,8 +139,8 @@
 
 /// An order that got no response and is carried out later.
 #[derive(Debug)]
-struct Late {
-    at: Instant,
+struct LateOrder {
+    apply_at: Instant,
     rank: usize,
     order: Order,
 }
@@ -148,75 +150,78 @@
 pub struct Group {
     step: u64,
     epoch: u64,
-    opens: Instant,
+    opens_at: Instant,
     ranks: Vec<Rank>,
-    hot: usize,
-    counts: Vec<u64>,
+    hot_expert: usize,
+    selection_counts: Vec<u64>,
     /// Number of orders that got no response, and those of them that are still to be carried out.
-    unanswered: u32,
-    late: Vec<Late>,
-    changes: u64,
-    mixed: Vec<String>,
+    unanswered_count: u32,
+    late_orders: Vec<LateOrder>,
+    map_switch_count: u64,
+    mixed_passes: Vec<String>,
 }
 
 impl Rank {
-    fn new(ranks: usize, born_ms: u64) -> Self {
+    fn new(rank_count: usize, started_at_ms: u64) -> Self {
         let map = Map {
             version: 0,
-            lists: Arc::new(first_map(ranks)),
+            lists: Arc::new(initial_map(rank_count)),
         };
         Self {
             map,
             prepared: None,
-            highest: 0,
+            highest_version: 0,
             armed: None,
-            held: None,
+            held_step: None,
             fence: 0,
-            born_ms,
-            late_until: None,
+            started_at_ms,
+            unanswered_until: None,
         }
     }
 
     /// Resets the rank as the group forms again: it loses its maps and orders but keeps its fence.
-    fn form(&mut self, ranks: usize) {
+    fn reset(&mut self, rank_count: usize) {
         *self = Self {
             fence: self.fence,
-            ..Self::new(ranks, self.born_ms)
+            ..Self::new(rank_count, self.started_at_ms)
         };
     }
 
-    fn do_order(&mut self, act: Act, step: u64, now: Instant) -> bool {
+    fn apply(&mut self, act: Act, step: u64, now: Instant) -> bool {
         match act {
             Act::Prepare { version, map } => {
-                let fits = version > self.highest && self.armed.is_none() && self.fits(&map);
-                if fits {
-                    self.highest = version;
+                let is_applicable = version > self.highest_version && self.armed.is_none() && self.is_compatible(&map);
+                if is_applicable {
+                    self.highest_version = version;
                     let lists = Arc::new(map);
-                    self.prepared = Some((Map { version, lists }, now + COPY));
+                    self.prepared = Some((Map { version, lists }, now + MAP_COPY_TIME));
                 }
-                fits
+                is_applicable
             }
-            Act::Arm { version, step: at } => {
-                let prepared = self.copied(now) == Some(version);
-                let fits = prepared && at > step;
-                if fits {
-                    self.armed = Some((version, at));
+            Act::Arm {
+                version,
+                step: switch_step,
+            } => {
+                let is_ready = self.ready_version(now) == Some(version);
+                let is_applicable = is_ready && switch_step > step;
+                if is_applicable {
+                    self.armed = Some((version, switch_step));
                 }
-                fits
+                is_applicable
             }
             Act::Disarm { version } => {
                 self.armed = self.armed.filter(|(armed, _)| *armed != version);
                 self.map.version != version
             }
             Act::Hold { step: held } => {
-                let fits = self.held == Some(held) || (self.held.is_none() && held > step);
-                if fits {
-                    self.held = Some(held);
+                let is_applicable = self.held_step == Some(held) || (self.held_step.is_none() && held > step);
+                if is_applicable {
+                    self.held_step = Some(held);
                 }
-                fits
+                is_applicable
             }
             Act::Go { step: held } => {
-                self.held = self.held.filter(|step| *step != held);
+                self.held_step = self.held_step.filter(|step| *step != held);
                 true
             }
         }
@@ -224,26 +229,26 @@
 
     /// Whether a map has the same sets and ranks as the current one, and no rank exceeds its slots or its new experts
     /// in any set.
-    fn fits(&self, map: &Lists) -> bool {
-        let known = self.map.lists.iter();
-        let sets = known.zip(map).all(|(known, wanted)| {
-            let ranks = known.iter().zip(wanted);
-            known.len() == wanted.len()
-                && ranks.into_iter().all(|(known, wanted)| {
-                    let new = wanted.iter().filter(|expert| !known.contains(expert)).count();
-                    new <= SPARE && wanted.len() <= PLACES
+    fn is_compatible(&self, map: &Lists) -> bool {
+        let current = self.map.lists.iter();
+        let sets_match = current.zip(map).all(|(current, proposed)| {
+            let ranks = current.iter().zip(proposed);
+            current.len() == proposed.len()
+                && ranks.into_iter().all(|(current, proposed)| {
+                    let new_count = proposed.iter().filter(|expert| !current.contains(expert)).count();
+                    new_count <= SPARE && proposed.len() <= PLACES
                 })
         });
-        sets && map.len() == self.map.lists.len()
+        sets_match && map.len() == self.map.lists.len()
     }
 
-    fn copied(&self, now: Instant) -> Option<u64> {
-        let prepared = self.prepared.as_ref().filter(|(_, ready)| *ready <= now);
+    fn ready_version(&self, now: Instant) -> Option<u64> {
+        let prepared = self.prepared.as_ref().filter(|(_, ready_at)| *ready_at <= now);
         prepared.map(|(map, _)| map.version)
     }
 
-    fn begin(&mut self, step: u64) -> bool {
-        if self.armed.is_none_or(|(_, at)| at != step) {
+    fn begin_pass(&mut self, step: u64) -> bool {
+        if self.armed.is_none_or(|(_, switch_step)| switch_step != step) {
             return false;
         }
         self.armed = None;
@@ -255,71 +260,71 @@
 }
 
 impl Group {
-    /// Creates a group of `ranks` ranks with the initial map.
-    pub fn new(ranks: usize, now: Instant) -> Self {
+    /// Creates a group of `rank_count` ranks with the initial map.
+    pub fn new(rank_count: usize, now: Instant) -> Self {
         Self {
             step: 0,
             epoch: 1,
-            opens: now,
-            ranks: vec![Rank::new(ranks, BORN_MS); ranks],
-            hot: 0,
-            counts: vec![0; SETS * EXPERTS],
-            unanswered: 0,
-            late: Vec::new(),
-            changes: 0,
-            mixed: Vec::new(),
+            opens_at: now,
+            ranks: vec![Rank::new(rank_count, FIRST_START_MS); rank_count],
+            hot_expert: 0,
+            selection_counts: vec![0; SETS * EXPERTS],
+            unanswered_count: 0,
+            late_orders: Vec::new(),
+            map_switch_count: 0,
+            mixed_passes: Vec::new(),
         }
     }
 
     /// Carries out orders that are due, then begins the next pass unless it is held or the group still forms.
     pub fn pass(&mut self, now: Instant) {
-        self.do_late(now);
+        self.apply_late_orders(now);
         let next = self.step + 1;
-        if now < self.opens || self.ranks.iter().any(|rank| rank.held == Some(next)) {
+        if now < self.opens_at || self.ranks.iter().any(|rank| rank.held_step == Some(next)) {
             return;
         }
         self.step = next;
-        let began = self.ranks.iter_mut().map(|rank| rank.begin(next));
-        let changed = began.filter(|changed| *changed).count();
-        self.changes += u64::from(changed == self.ranks.len());
-        self.compare();
-        for (index, count) in self.counts.iter_mut().enumerate() {
-            let hot = index % EXPERTS == self.hot;
-            *count += if hot { HOT_PICKS } else { OTHER_PICKS };
+        let switched = self.ranks.iter_mut().map(|rank| rank.begin_pass(next));
+        let switched_count = switched.filter(|is_switched| *is_switched).count();
+        self.map_switch_count += u64::from(switched_count == self.ranks.len());
+        self.compare_maps();
+        for (index, count) in self.selection_counts.iter_mut().enumerate() {
+            let is_hot = index % EXPERTS == self.hot_expert;
+            *count += if is_hot { HOT_SELECTIONS } else { OTHER_SELECTIONS };
         }
     }
 
-    fn compare(&mut self) {
+    fn compare_maps(&mut self) {
         let Some((first, others)) = self.ranks.split_first() else {
             return;
         };
         let versions = || self.ranks.iter().map(|rank| rank.map.version).collect::<Vec<_>>();
-        if others.iter().any(|rank| rank.map != first.map) && self.mixed.len() < KEPT {
-            let what = format!(
+        if others.iter().any(|rank| rank.map != first.map) && self.mixed_passes.len() < MAX_MIXED_PASSES {
+            let description = format!(
                 "pass {} of epoch {} began with maps {:?}",
                 self.step,
                 self.epoch,
                 versions()
             );
-            self.mixed.push(what);
+            self.mixed_passes.push(description);
         }
     }
 
     /// Handles an order to `rank`.
     pub fn order(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
-        if self.ranks[rank].late_until.is_some_and(|until| now < until) {
-            self.unanswered += 1;
+        if self.ranks[rank].unanswered_until.is_some_and(|deadline| now < deadline) {
+            self.unanswered_count += 1;
             // Some orders are never carried out, the others after later ones.
-            if !self.unanswered.is_multiple_of(3) {
-                let at = now + COPY * 10 * (self.unanswered % 7);
-                self.late.push(Late { at, rank, order });
+            if !self.unanswered_count.is_multiple_of(3) {
+                let apply_at = now + MAP_COPY_TIME * 10 * (self.unanswered_count % 7);
+                self.late_orders.push(LateOrder { apply_at, rank, order });
             }
             return Ack::Lost;
         }
-        self.take(rank, order, now)
+        self.accept_order(rank, order, now)
     }
 
-    fn take(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
+    fn accept_order(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
         if order.epoch != self.epoch {
             return Ack::Unfit;
         }
@@ -329,61 +334,61 @@
             return Ack::Fenced;
         }
         rank.fence = order.fence;
-        if rank.do_order(order.act, step, now) {
+        if rank.apply(order.act, step, now) {
             Ack::Done
         } else {
             Ack::Unfit
         }
     }
 
-    fn do_late(&mut self, now: Instant) {
-        let due: Vec<Late> = self.late.extract_if(.., |late| late.at <= now).collect();
+    fn apply_late_orders(&mut self, now: Instant) {
+        let due: Vec<LateOrder> = self.late_orders.extract_if(.., |late| late.apply_at <= now).collect();
         for late in due {
             // The outcome of a late order reaches no one.
-            let _word = self.take(late.rank, late.order, now);
+            let _outcome = self.accept_order(late.rank, late.order, now);
         }
     }
 
     /// Withholds responses to orders to `rank` until `deadline`; most of these orders are carried out later.
-    pub(crate) fn leave_unanswered(&mut self, rank: usize, until: Instant) {
-        self.ranks[rank].late_until = Some(until);
+    pub(crate) fn withhold_responses(&mut self, rank: usize, deadline: Instant) {
+        self.ranks[rank].unanswered_until = Some(deadline);
     }
 
     /// Restarts the engine of `rank`, which loses all state; the group forms again.
     pub(crate) fn restart(&mut self, rank: usize, now: Instant) {
         self.epoch += 1;
-        self.opens = now + FORM;
-        let ranks = self.ranks.len();
-        self.ranks.iter_mut().for_each(|rank| rank.form(ranks));
-        let born_ms = self.ranks[rank].born_ms + 1_000;
-        self.ranks[rank] = Rank::new(ranks, born_ms);
-        self.counts.fill(0);
+        self.opens_at = now + GROUP_RESET_TIME;
+        let rank_count = self.ranks.len();
+        self.ranks.iter_mut().for_each(|rank| rank.reset(rank_count));
+        let started_at_ms = self.ranks[rank].started_at_ms + 1_000;
+        self.ranks[rank] = Rank::new(rank_count, started_at_ms);
+        self.selection_counts.fill(0);
     }
 
     /// Moves the demand to another expert.
-    pub(crate) fn shift(&mut self) {
-        self.hot = (self.hot + STEP) % EXPERTS;
+    pub(crate) fn shift_demand(&mut self) {
+        self.hot_expert = (self.hot_expert + HOT_EXPERT_STEP) % EXPERTS;
     }
 
     /// Returns the report of `rank`.
     pub fn report(&self, rank: usize, now: Instant) -> Report {
-        let known = &self.ranks[rank];
+        let state = &self.ranks[rank];
         Report {
-            born_ms: known.born_ms,
+            born_ms: state.started_at_ms,
             epoch: self.epoch,
-            open: now >= self.opens,
+            open: now >= self.opens_at,
             size: self.ranks.len(),
             step: self.step,
-            map: known.map.version,
-            prepared: known.copied(now),
-            armed: known.armed,
-            held: known.held,
+            map: state.map.version,
+            prepared: state.ready_version(now),
+            armed: state.armed,
+            held: state.held_step,
         }
     }
 
     /// Expert selection counts, one set after the other.
     pub fn counts(&self) -> &[u64] {
-        &self.counts
+        &self.selection_counts
     }
 
     /// Experts of `rank`, by set.
@@ -393,28 +398,28 @@
     }
 
     /// Whether a map switch is in progress at a rank.
-    pub(crate) fn is_changing(&self) -> bool {
+    pub(crate) fn is_switching_map(&self) -> bool {
         self.ranks
             .iter()
-            .any(|rank| rank.armed.is_some() || rank.held.is_some())
+            .any(|rank| rank.armed.is_some() || rank.held_step.is_some())
     }
 
     /// Number of map switches that all ranks made in the same pass.
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes
+    pub(crate) fn map_switch_count(&self) -> u64 {
+        self.map_switch_count
     }
 
     /// Descriptions of the first passes that began with differing maps.
-    pub(crate) fn mixed(&self) -> &[String] {
-        &self.mixed
+    pub(crate) fn mixed_passes(&self) -> &[String] {
+        &self.mixed_passes
     }
 }
 
 /// Deals the experts to the ranks in turn.
-fn first_map(ranks: usize) -> Lists {
-    let of_rank = |rank: usize| {
-        let experts = (0..EXPERTS as u16).filter(|expert| usize::from(*expert) % ranks.max(1) == rank);
+fn initial_map(rank_count: usize) -> Lists {
+    let experts_of_rank = |rank: usize| {
+        let experts = (0..EXPERTS as u16).filter(|expert| usize::from(*expert) % rank_count.max(1) == rank);
         experts.collect()
     };
-    vec![(0..ranks).map(of_rank).collect(); SETS]
+    vec![(0..rank_count).map(experts_of_rank).collect(); SETS]
 }
--- a/crates/sparscale_soak/src/lib.rs
+++ b/crates/sparscale_soak/src/lib.rs
@@ -6,27 +6,27 @@
 //! Faults come from loopback proxies in front of the store and of each target, from signals to the processes, and from
 //! the stubs themselves. Links between the entries are affected only by processes that are frozen or killed.
 
+mod behavior;
 mod caller;
 mod check;
 mod command;
-mod drive;
 mod engines;
+mod environment;
+mod event_log;
 mod fault;
 mod group;
-mod ledger;
-mod mood;
-mod places;
+mod injection;
+mod layout;
 mod platform;
 mod proxy;
 mod records;
 mod round;
 mod server;
-mod stage;
 mod store;
 mod target;
 
 pub use command::run;
 pub use group::{Ack, Act, EXPERTS, Group, Lists, Order, PLACES, Report, SETS, SPARE};
-pub use places::GROUP;
+pub use layout::GROUP;
 pub use platform::{AgentPlace, Bounds, EntryPlace, Listed, Offer, Platform, Rank, Route, RouteKind};
 pub use records::{Record, Records};
--- a/crates/sparscale_soak/src/proxy.rs
+++ b/crates/sparscale_soak/src/proxy.rs
@@ -9,9 +9,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const BUFFER: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 /// Delay before a proxy that failed to bind its address retries.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// State of the link through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,13 +19,13 @@
     /// Forwards everything.
     Open,
     /// Forwards everything with this delay.
-    Slow(Duration),
+    Delayed(Duration),
     /// Drops everything in both directions; neither side is notified.
-    Silent,
+    Blackhole,
     /// Drops everything towards the server.
-    CutUp,
+    DropUpstream,
     /// Drops everything towards the client.
-    CutDown,
+    DropDownstream,
     /// Resets connections.
     Reset,
     /// Resets connections and stops listening.
@@ -33,24 +33,24 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Up,
     Down,
 }
 
 impl Link {
-    fn swallows(self, way: Way) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
-            Self::Silent => true,
-            Self::CutUp => way == Way::Up,
-            Self::CutDown => way == Way::Down,
-            Self::Open | Self::Slow(_) | Self::Reset | Self::Closed => false,
+            Self::Blackhole => true,
+            Self::DropUpstream => direction == Direction::Up,
+            Self::DropDownstream => direction == Direction::Down,
+            Self::Open | Self::Delayed(_) | Self::Reset | Self::Closed => false,
         }
     }
 
     fn delay(self) -> Duration {
         match self {
-            Self::Slow(delay) => delay,
+            Self::Delayed(delay) => delay,
             _ => Duration::ZERO,
         }
     }
@@ -78,23 +78,23 @@
 
 /// Accepts connections while the link is not closed, and binds again once it is reopened.
 async fn accept(listener: TcpListener, listen: SocketAddr, server: SocketAddr, mut link: watch::Receiver<Link>) {
-    let mut listening = Some(listener);
+    let mut bound = Some(listener);
     loop {
         let closed = *link.borrow_and_update() == Link::Closed;
-        match (&listening, closed) {
+        match (&bound, closed) {
             (Some(listener), false) => tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((client, _)) => drop(tokio::spawn(pass(client, server, link.clone()))),
+                    Ok((client, _)) => drop(tokio::spawn(forward(client, server, link.clone()))),
                     Err(_error) => return,
                 },
                 changed = link.changed() => if changed.is_err() { return },
             },
             (None, false) => match TcpListener::bind(listen).await {
-                Ok(listener) => listening = Some(listener),
-                Err(_error) => tokio::time::sleep(BIND_PAUSE).await,
+                Ok(listener) => bound = Some(listener),
+                Err(_error) => tokio::time::sleep(BIND_RETRY_DELAY).await,
             },
             (_, true) => {
-                listening = None;
+                bound = None;
                 if link.changed().await.is_err() {
                     return;
                 }
@@ -103,7 +103,7 @@
     }
 }
 
-async fn pass(client: TcpStream, server: SocketAddr, link: watch::Receiver<Link>) {
+async fn forward(client: TcpStream, server: SocketAddr, link: watch::Receiver<Link>) {
     let state = *link.borrow();
     if matches!(state, Link::Reset | Link::Closed) {
         return reset(&client);
@@ -111,62 +111,67 @@
     let Ok(upstream) = TcpStream::connect(server).await else {
         return reset(&client);
     };
-    let Ok(client_again) = socket(&client) else { return };
+    let Ok(client_socket) = socket(&client) else { return };
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = upstream.into_split();
-    let mut up = pin!(pump(client_read, server_write, Way::Up, link.clone()));
-    let mut down = pin!(pump(server_read, client_write, Way::Down, link));
+    let mut up = pin!(copy(client_read, server_write, Direction::Up, link.clone()));
+    let mut down = pin!(copy(server_read, client_write, Direction::Down, link));
     // Each direction continues after the other has ended: a response is forwarded after its caller has finished
     // sending.
     let broken = tokio::select! {
-        ended = &mut up => ended == Ended::Broken || down.await == Ended::Broken,
-        ended = &mut down => ended == Ended::Broken || up.await == Ended::Broken,
+        ended = &mut up => ended == DirectionEnd::Broken || down.await == DirectionEnd::Broken,
+        ended = &mut down => ended == DirectionEnd::Broken || up.await == DirectionEnd::Broken,
     };
     if broken {
         // With zero linger, the kernel sends a reset once the last handle is closed.
-        let _unsupported = client_again.set_linger(Some(Duration::ZERO));
+        let _unsupported = client_socket.set_linger(Some(Duration::ZERO));
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ended {
+enum DirectionEnd {
     Closed,
     Broken,
 }
 
 /// Forwards bytes in one direction. A connection that lost bytes breaks as soon as the link changes again.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way, mut link: watch::Receiver<Link>) -> Ended {
-    let mut buffer = vec![0; BUFFER];
-    let mut lost = false;
+async fn copy(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    direction: Direction,
+    mut link: watch::Receiver<Link>,
+) -> DirectionEnd {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut has_dropped = false;
     loop {
         let state = *link.borrow_and_update();
-        if matches!(state, Link::Reset | Link::Closed) || (lost && !state.swallows(way)) {
-            return Ended::Broken;
+        if matches!(state, Link::Reset | Link::Closed) || (has_dropped && !state.drops(direction)) {
+            return DirectionEnd::Broken;
         }
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
             changed = link.changed() => match changed {
                 Ok(()) => continue,
-                Err(_gone) => return Ended::Broken,
+                Err(_gone) => return DirectionEnd::Broken,
             },
         };
         let state = *link.borrow();
         match read {
-            Err(_error) => return Ended::Broken,
-            Ok(_) if state.swallows(way) => lost = true,
+            Err(_error) => return DirectionEnd::Broken,
+            Ok(_) if state.drops(direction) => has_dropped = true,
             Ok(0) => {
                 // The receiver may have closed the connection already.
                 let _gone = to.shutdown().await;
-                return Ended::Closed;
+                return DirectionEnd::Closed;
             }
             Ok(count) => {
                 tokio::time::sleep(state.delay()).await;
                 if to.write_all(&buffer[..count]).await.is_err() {
-                    return Ended::Broken;
+                    return DirectionEnd::Broken;
                 }
             }
         }
-        if lost {
+        if has_dropped {
             // Reading stops here: the dropped bytes can't be recovered.
             let _gone = link.changed().await;
         }
--- a/crates/sparscale_soak/src/records.rs
+++ b/crates/sparscale_soak/src/records.rs
@@ -21,7 +21,7 @@
 pub struct Records {
     topics: BTreeMap<&'static str, Vec<Record>>,
     /// When each record was added, in the order of `topics`.
-    added: BTreeMap<&'static str, Vec<Instant>>,
+    added_at: BTreeMap<&'static str, Vec<Instant>>,
     /// How often the store was restored from an older snapshot.
     era: u64,
 }
@@ -29,7 +29,7 @@
 impl Records {
     /// Appends a record to its topic.
     pub fn add(&mut self, record: Record) {
-        self.added.entry(record.topic).or_default().push(Instant::now());
+        self.added_at.entry(record.topic).or_default().push(Instant::now());
         self.topics.entry(record.topic).or_default().push(record);
     }
 
@@ -57,30 +57,30 @@
 
     /// Restores the state of `snapshot_at`; returns the latest lost record of each key, in the order in which they were
     /// written.
-    pub(crate) fn restore(&mut self, copied: Instant) -> Vec<Record> {
+    pub(crate) fn restore(&mut self, snapshot_at: Instant) -> Vec<Record> {
         self.era += 1;
         let mut lost = Vec::new();
         for (topic, records) in &mut self.topics {
-            let added = self.added.entry(topic).or_default();
-            let kept = added.partition_point(|at| *at <= copied);
-            added.truncate(kept);
-            lost.extend(records.split_off(kept));
+            let added_at = self.added_at.entry(topic).or_default();
+            let kept_count = added_at.partition_point(|at| *at <= snapshot_at);
+            added_at.truncate(kept_count);
+            lost.extend(records.split_off(kept_count));
         }
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         let newest = lost
             .into_iter()
             .rev()
-            .filter(|record| known.insert((record.topic, record.key.clone())));
+            .filter(|record| seen.insert((record.topic, record.key.clone())));
         let mut newest: Vec<Record> = newest.collect();
         newest.reverse();
         newest
     }
 
     /// Whether the key of `record` was written after `since`.
-    pub(crate) fn is_written_since(&self, record: &Record, when: Instant) -> bool {
+    pub(crate) fn is_written_since(&self, record: &Record, since: Instant) -> bool {
         let records = self.of(record.topic);
-        let added = self.added.get(record.topic).map_or(&[][..], Vec::as_slice);
-        let since = added.partition_point(|at| *at <= when);
-        records[since..].iter().any(|later| later.key == record.key)
+        let added_at = self.added_at.get(record.topic).map_or(&[][..], Vec::as_slice);
+        let first_later = added_at.partition_point(|at| *at <= since);
+        records[first_later..].iter().any(|later| later.key == record.key)
     }
 }
--- a/crates/sparscale_soak/src/round.rs
+++ b/crates/sparscale_soak/src/round.rs
@@ -12,34 +12,34 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-use crate::caller::{Caller, Habit};
+use crate::caller::{Caller, ConnectionUse};
 use crate::check::{self, Violation};
-use crate::drive;
-use crate::fault::{self, Fault, Hold, Plan, Planned};
-use crate::ledger::{Outcome, Trouble};
-use crate::places::{DEADLINE, Net, ROUTES, Size};
+use crate::environment::Environment;
+use crate::event_log::{FaultPeriod, Outcome};
+use crate::fault::{self, Fault, Plan, PlannedFault, Resource};
+use crate::injection;
+use crate::layout::{CALLER_TIMEOUT, Net, ROUTES, Size};
 use crate::platform::{BOUNDS, Platform, SERIES_BOUNDS};
-use crate::stage::Stage;
 
 /// Time within which entries must be ready at the start.
-const START: Duration = Duration::from_secs(20);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time after the last fault within which every entry must serve every route: the platform's contact time, the time of
 /// a request, and a margin for a busy machine.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 /// Interval at which the processes are checked.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Delay of a check beyond its interval that shows that the machine ran nothing; bounds on time don't apply then.
-const STALL: Duration = Duration::from_millis(500);
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 /// Time after the last request during which a request reported as not run may still run, which breaks a promise.
-const AFTERMATH: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Random stream of the callers, separate from that of the plan.
 const CALLERS_STREAM: u64 = 1;
 
 /// Most entries with several callers at each; with more entries, callers alone would saturate the machine.
-const FEW_ENTRIES: usize = 6;
+const MAX_ENTRIES_WITH_ALL_CALLERS: usize = 6;
 
 /// Rounds that this process has started. Stubs keep listening after their round, so each round needs its own addresses.
-static PLAYED: AtomicU64 = AtomicU64::new(0);
+static ROUNDS_STARTED: AtomicU64 = AtomicU64::new(0);
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Round {
@@ -53,199 +53,216 @@
 /// Result of a round.
 #[derive(Debug)]
 pub(crate) struct Report {
-    pub(crate) requests: usize,
+    pub(crate) request_count: usize,
     /// Number of requests by outcome.
-    pub(crate) outcomes: BTreeMap<String, usize>,
-    pub(crate) faults: usize,
+    pub(crate) outcome_counts: BTreeMap<String, usize>,
+    pub(crate) fault_count: usize,
     /// Number of map switches.
-    pub(crate) changes: u64,
+    pub(crate) map_switch_count: u64,
     /// How often the machine ran nothing for a while.
-    pub(crate) stalls: usize,
+    pub(crate) stall_count: usize,
     pub(crate) violations: Vec<Violation>,
 }
 
-/// Runs a round, with its files in `folder`.
-pub(crate) async fn play(platform: Arc<dyn Platform>, round: Round, folder: &Path) -> Result<Report, String> {
-    let net = Net::of(std::process::id(), PLAYED.fetch_add(1, Ordering::SeqCst));
+/// Runs a round, with its files in `directory`.
+pub(crate) async fn run(platform: Arc<dyn Platform>, round: Round, directory: &Path) -> Result<Report, String> {
+    let net = Net::new(std::process::id(), ROUNDS_STARTED.fetch_add(1, Ordering::SeqCst));
     let bounds = match round.plan {
         Plan::Single | Plan::Returns | Plan::Restores | Plan::Groups | Plan::Deadly | Plan::Pressed => BOUNDS,
         Plan::Series => SERIES_BOUNDS,
     };
-    let stage = Arc::new(Stage::start(platform, net, round.size, bounds, folder).await?);
-    let report = play_on(&stage, round).await;
-    stage.end().await;
+    let environment = Arc::new(Environment::start(platform, net, round.size, bounds, directory).await?);
+    let report = run_in(&environment, round).await;
+    environment.kill_all().await;
     report
 }
 
-async fn play_on(stage: &Arc<Stage>, round: Round) -> Result<Report, String> {
+async fn run_in(environment: &Arc<Environment>, round: Round) -> Result<Report, String> {
     let Round {
         seed,
         length,
         plan,
         size,
     } = round;
-    let served = await_service(stage, START).await;
-    let changed = await_change(stage, START).await;
+    let served = await_service(environment, STARTUP_TIMEOUT).await;
+    let switched = await_map_switch(environment, STARTUP_TIMEOUT).await;
     served
-        .and(changed)
+        .and(switched)
         .map_err(|missing| format!("at the start {missing}"))?;
-    let over = watch::Sender::new(false);
-    let callers = call(stage, seed, &over);
+    let stopped = watch::Sender::new(false);
+    let callers = spawn_callers(environment, seed, &stopped);
     // Callers finish their last requests after the stop, and the machine may stall during that time, too.
-    let ended = watch::Sender::new(false);
-    let watching = tokio::spawn(watch_processes(Arc::clone(stage), ended.subscribe()));
-    for target in 0..size.targets {
-        tokio::spawn(drive::crash(Arc::clone(stage), target));
+    let callers_ended = watch::Sender::new(false);
+    let watcher = tokio::spawn(watch_processes(Arc::clone(environment), callers_ended.subscribe()));
+    for target in 0..size.target_count {
+        tokio::spawn(injection::replace_after_crashes(Arc::clone(environment), target));
     }
     if matches!(plan, Plan::Restores | Plan::Groups) {
-        tokio::spawn(drive::beat(Arc::clone(stage), over.subscribe()));
+        tokio::spawn(injection::renew_registrations(
+            Arc::clone(environment),
+            stopped.subscribe(),
+        ));
     }
-    let planned = fault::plan(&mut ChaCha8Rng::seed_from_u64(seed), length, plan, size);
-    let faults = harm(stage, planned).await;
-    let recovered = await_service(stage, RECOVERY).await;
-    let followed = await_change(stage, RECOVERY).await;
-    over.send_replace(true);
+    let planned = fault::draw_faults(&mut ChaCha8Rng::seed_from_u64(seed), length, plan, size);
+    let fault_count = inject_faults(environment, planned).await;
+    let recovered = await_service(environment, RECOVERY_TIMEOUT).await;
+    let switched = await_map_switch(environment, RECOVERY_TIMEOUT).await;
+    stopped.send_replace(true);
     for task in callers {
         task.await.map_err(|error| error.to_string())?;
     }
-    ended.send_replace(true);
-    watching.await.map_err(|error| error.to_string())?;
-    tokio::time::sleep(AFTERMATH).await;
-    stage.look_at_logs();
-    let ledger = stage.book.open();
-    let mut violations = check::all(&ledger, &stage.bounds);
-    if let Err(what) = recovered {
+    callers_ended.send_replace(true);
+    watcher.await.map_err(|error| error.to_string())?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    environment.check_logs();
+    let event_log = environment.event_log.lock();
+    let mut violations = check::all(&event_log, &environment.bounds);
+    if let Err(details) = recovered {
         violations.push(Violation {
             promise: "recovery",
-            what: format!("{} s after the last fault {what}", RECOVERY.as_secs()),
+            details: format!("{} s after the last fault {details}", RECOVERY_TIMEOUT.as_secs()),
         });
     }
-    if let Err(what) = followed {
-        violations.push(Violation { promise: "group", what });
+    if let Err(details) = switched {
+        violations.push(Violation {
+            promise: "group",
+            details,
+        });
     }
-    let mixed = stage.engines.group().mixed().to_vec();
-    violations.extend(mixed.into_iter().map(|what| Violation {
+    let mixed_passes = environment.engines.group().mixed_passes().to_vec();
+    violations.extend(mixed_passes.into_iter().map(|details| Violation {
         promise: "one map",
-        what,
+        details,
     }));
-    let mut outcomes = BTreeMap::new();
-    for attempt in &ledger.attempts {
-        *outcomes.entry(attempt.outcome.name()).or_default() += 1;
+    let mut outcome_counts = BTreeMap::new();
+    for caller_request in &event_log.caller_requests {
+        *outcome_counts.entry(caller_request.outcome.label()).or_default() += 1;
     }
-    let stalled = ledger.troubles.iter().filter(|trouble| trouble.fault == Fault::Stall);
+    let stalls = event_log
+        .fault_periods
+        .iter()
+        .filter(|period| period.fault == Fault::Stall);
     Ok(Report {
-        stalls: stalled.count(),
-        requests: ledger.attempts.len(),
-        outcomes,
-        faults,
-        changes: stage.engines.group().changes(),
+        stall_count: stalls.count(),
+        request_count: event_log.caller_requests.len(),
+        outcome_counts,
+        fault_count,
+        map_switch_count: environment.engines.group().map_switch_count(),
         violations,
     })
 }
 
 /// Starts callers at all entries: three each, or one each with many entries.
-fn call(stage: &Arc<Stage>, seed: u64, over: &watch::Sender<bool>) -> Vec<JoinHandle<()>> {
+fn spawn_callers(environment: &Arc<Environment>, seed: u64, stopped: &watch::Sender<bool>) -> Vec<JoinHandle<()>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(CALLERS_STREAM);
-    let each: &[Habit] = if stage.size.entries <= FEW_ENTRIES {
-        &[Habit::Keeps, Habit::Opens, Habit::Opens]
+    let uses: &[ConnectionUse] = if environment.size.entry_count <= MAX_ENTRIES_WITH_ALL_CALLERS {
+        &[
+            ConnectionUse::KeepAlive,
+            ConnectionUse::PerRequest,
+            ConnectionUse::PerRequest,
+        ]
     } else {
-        &[Habit::Keeps]
+        &[ConnectionUse::KeepAlive]
     };
-    let places = (0..stage.size.entries).flat_map(|entry| each.iter().map(move |habit| (entry, *habit)));
-    places
-        .map(|(entry, habit)| {
-            let caller = Caller::new(stage, entry, habit, ChaCha8Rng::from_rng(&mut random));
-            tokio::spawn(caller.run(over.subscribe()))
+    let assignments = (0..environment.size.entry_count)
+        .flat_map(|entry| uses.iter().map(move |connection_use| (entry, *connection_use)));
+    assignments
+        .map(|(entry, connection_use)| {
+            let caller = Caller::new(environment, entry, connection_use, ChaCha8Rng::from_rng(&mut random));
+            tokio::spawn(caller.run(stopped.subscribe()))
         })
         .collect()
 }
 
 /// Injects faults at their times and waits until all have ended; skips a fault whose resource is occupied. Returns the
 /// number of injected faults.
-async fn harm(stage: &Arc<Stage>, planned: Vec<Planned>) -> usize {
-    let began = tokio::time::Instant::now();
-    let mut ongoing: Vec<(Hold, JoinHandle<()>)> = Vec::new();
-    let mut played = 0;
+async fn inject_faults(environment: &Arc<Environment>, planned: Vec<PlannedFault>) -> usize {
+    let started_at = tokio::time::Instant::now();
+    let mut active: Vec<(Resource, JoinHandle<()>)> = Vec::new();
+    let mut injected_count = 0;
     for fault in planned {
-        tokio::time::sleep_until(began + fault.at).await;
-        ongoing.retain(|(_, task)| !task.is_finished());
-        let hold = fault.fault.holds();
-        if ongoing.iter().any(|(other, _)| hold.excludes(*other)) {
+        tokio::time::sleep_until(started_at + fault.offset).await;
+        active.retain(|(_, task)| !task.is_finished());
+        let resource = fault.fault.resource();
+        if active.iter().any(|(other, _)| resource.conflicts_with(*other)) {
             continue;
         }
-        played += 1;
-        ongoing.push((hold, tokio::spawn(drive::play(Arc::clone(stage), fault))));
+        injected_count += 1;
+        active.push((
+            resource,
+            tokio::spawn(injection::inject(Arc::clone(environment), fault)),
+        ));
     }
-    for (_, task) in ongoing {
+    for (_, task) in active {
         // A panic of the soak itself shows in its output.
         let _ended = task.await;
     }
-    played
+    injected_count
 }
 
-async fn watch_processes(stage: Arc<Stage>, ended: watch::Receiver<bool>) {
-    let mut looked = Instant::now();
+async fn watch_processes(environment: Arc<Environment>, ended: watch::Receiver<bool>) {
+    let mut checked_at = Instant::now();
     while !*ended.borrow() {
-        stage.look_at_processes().await;
-        tokio::time::sleep(LOOK).await;
+        environment.check_processes().await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
-        if now.duration_since(looked) > LOOK + STALL {
-            stage.book.open().troubles.push(Trouble {
+        if now.duration_since(checked_at) > CHECK_INTERVAL + STALL_THRESHOLD {
+            environment.event_log.lock().fault_periods.push(FaultPeriod {
                 fault: Fault::Stall,
-                from: looked,
-                to: now,
+                started_at: checked_at,
+                ended_at: now,
             });
         }
-        looked = now;
+        checked_at = now;
     }
 }
 
 /// Waits until every entry has served every route.
-async fn await_service(stage: &Arc<Stage>, limit: Duration) -> Result<(), String> {
-    let began = Instant::now();
-    let mut asking = JoinSet::new();
-    for entry in 0..stage.size.entries {
+async fn await_service(environment: &Arc<Environment>, timeout: Duration) -> Result<(), String> {
+    let started_at = Instant::now();
+    let mut callers = JoinSet::new();
+    for entry in 0..environment.size.entry_count {
         let random = ChaCha8Rng::from_os_rng();
-        let caller = Caller::new(stage, entry, Habit::Opens, random);
-        asking.spawn(ask_until_served(caller, began + limit));
+        let caller = Caller::new(environment, entry, ConnectionUse::PerRequest, random);
+        callers.spawn(send_until_served(caller, started_at + timeout));
     }
-    while let Some(served) = asking.join_next().await {
+    while let Some(served) = callers.join_next().await {
         served.map_err(|error| error.to_string())??;
     }
     Ok(())
 }
 
 /// Waits until the group, if there is one, has switched its map in one pass.
-async fn await_change(stage: &Arc<Stage>, limit: Duration) -> Result<(), String> {
-    if stage.size.ranks == 0 {
+async fn await_map_switch(environment: &Arc<Environment>, timeout: Duration) -> Result<(), String> {
+    if environment.size.rank_count == 0 {
         return Ok(());
     }
-    let before = stage.engines.group().changes();
-    let began = Instant::now();
-    while stage.engines.group().changes() == before {
-        if began.elapsed() > limit {
-            return Err(format!("no change of map within {} s", limit.as_secs()));
+    let initial_count = environment.engines.group().map_switch_count();
+    let started_at = Instant::now();
+    while environment.engines.group().map_switch_count() == initial_count {
+        if started_at.elapsed() > timeout {
+            return Err(format!("no change of map within {} s", timeout.as_secs()));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     Ok(())
 }
 
-async fn ask_until_served(mut caller: Caller, until: Instant) -> Result<(), String> {
+async fn send_until_served(mut caller: Caller, deadline: Instant) -> Result<(), String> {
     for (index, route) in ROUTES.iter().enumerate() {
         loop {
-            let outcome = caller.ask(index, "key-0").await;
+            let outcome = caller.send(index, "key-0").await;
             if is_served(&outcome) {
                 break;
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(format!(
                     "entry {} does not serve {}: {outcome:?}",
                     caller.entry, route.name
                 ));
             }
-            tokio::time::sleep(DEADLINE / 30).await;
+            tokio::time::sleep(CALLER_TIMEOUT / 30).await;
         }
     }
     Ok(())
--- a/crates/sparscale_soak/src/server.rs
+++ b/crates/sparscale_soak/src/server.rs
@@ -16,30 +16,30 @@
 
 /// Error of a response body that the soak aborts.
 #[derive(Debug)]
-pub(crate) struct Broken;
+pub(crate) struct Aborted;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken off by the soak")
+        f.write_str("response body aborted by the soak")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
 /// Body of a response.
-pub(crate) type Content = UnsyncBoxBody<Bytes, Broken>;
+pub(crate) type Content = UnsyncBoxBody<Bytes, Aborted>;
 
 /// Converts a complete response to the body type of the server.
-pub(crate) fn boxed(mut answer: Response<Full<Bytes>>) -> Response<Content> {
-    let content = std::mem::take(answer.body_mut());
-    answer.map(|_taken| content.map_err(|never: Infallible| match never {}).boxed_unsync())
+pub(crate) fn boxed(mut response: Response<Full<Bytes>>) -> Response<Content> {
+    let content = std::mem::take(response.body_mut());
+    response.map(|_body| content.map_err(|never: Infallible| match never {}).boxed_unsync())
 }
 
 /// Response of a stub that is unavailable.
 pub(crate) fn unavailable() -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    answer
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    response
 }
 
 /// Serves requests at `address` with `handle`, on a task that continues after this returns.
@@ -54,8 +54,8 @@
         while let Ok((stream, _)) = listener.accept().await {
             let handle = Arc::clone(&handle);
             let service = service_fn(move |request| {
-                let answer = handle(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handle(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             tokio::spawn(async move {
                 // A client that disconnects ends the connection; the checks judge the callers' side.
--- a/crates/sparscale_soak/src/store.rs
+++ b/crates/sparscale_soak/src/store.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Store {
     platform: Arc<dyn Platform>,
     records: Mutex<Records>,
-    busy: AtomicBool,
+    is_unavailable: AtomicBool,
 }
 
 impl Store {
@@ -25,12 +25,12 @@
         let store = Arc::new(Self {
             platform,
             records: Mutex::default(),
-            busy: AtomicBool::new(false),
+            is_unavailable: AtomicBool::new(false),
         });
-        let serving = Arc::clone(&store);
+        let server_store = Arc::clone(&store);
         server::serve(address, move |request| {
-            let store = Arc::clone(&serving);
-            async move { store.answer(request).await }
+            let store = Arc::clone(&server_store);
+            async move { store.handle(request).await }
         })
         .await?;
         Ok(store)
@@ -47,52 +47,52 @@
     }
 
     /// Sets whether calls are rejected.
-    pub(crate) fn set_busy(&self, busy: bool) {
-        self.busy.store(busy, Ordering::SeqCst);
+    pub(crate) fn set_unavailable(&self, is_unavailable: bool) {
+        self.is_unavailable.store(is_unavailable, Ordering::SeqCst);
     }
 
     /// Writes the latest record of each key of `topic` again, as its writers do.
-    pub(crate) fn beat(&self, topic: &'static str) {
+    pub(crate) fn renew(&self, topic: &'static str) {
         let mut records = self.records();
         let newest = records.newest(topic).into_iter();
-        let again = newest.map(|(key, value)| Record {
+        let rewritten = newest.map(|(key, value)| Record {
             topic,
             key: key.to_owned(),
             value: Some(value.clone()),
         });
-        let again: Vec<Record> = again.collect();
-        for record in again {
+        let rewritten: Vec<Record> = rewritten.collect();
+        for record in rewritten {
             records.add(record);
         }
     }
 
     /// Restores the state of `snapshot_at` and returns the lost records of other writers; those of the system itself
     /// stay lost.
-    pub(crate) fn restore(&self, copied: Instant) -> Vec<Record> {
-        let mut lost = self.records().restore(copied);
+    pub(crate) fn restore(&self, snapshot_at: Instant) -> Vec<Record> {
+        let mut lost = self.records().restore(snapshot_at);
         lost.retain(|record| !self.platform.is_own(record.topic));
         lost
     }
 
     /// Adds a lost record, unless its key was written after `since`.
-    pub(crate) fn add_again(&self, record: Record, since: Instant) {
+    pub(crate) fn add_unless_rewritten(&self, record: Record, since: Instant) {
         let mut records = self.records();
         if !records.is_written_since(&record, since) {
             records.add(record);
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Content> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Content> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(http_body_util::Collected::to_bytes);
-        let mut answer = match body {
-            Ok(body) if !self.busy.load(Ordering::SeqCst) => self
+        let mut response = match body {
+            Ok(body) if !self.is_unavailable.load(Ordering::SeqCst) => self
                 .platform
                 .answer(&Request::from_parts(head, body), &mut self.records()),
             _ => server::unavailable(),
         };
-        self.platform.stamp(&mut answer, self.records().era());
-        server::boxed(answer)
+        self.platform.stamp(&mut response, self.records().era());
+        server::boxed(response)
     }
 
     fn records(&self) -> MutexGuard<'_, Records> {
--- a/crates/sparscale_soak/src/target.rs
+++ b/crates/sparscale_soak/src/target.rs
@@ -14,23 +14,23 @@
 use sparscale_gateway::Dialect;
 use tokio::sync::watch;
 
-use crate::ledger::{Arrival, Book, End, Run, Start};
-use crate::mood::Mood;
-use crate::places::{DEADLY, EVENTS, RATE, REST};
-use crate::server::{self, Broken, Content};
+use crate::behavior::Behavior;
+use crate::event_log::{Arrival, Crash, Run, SharedEventLog, TargetStart};
+use crate::layout::{BACKOFF, CRASH_BODY, EVENTS_PER_STREAM, RATE_LIMIT_PER_SEC};
+use crate::server::{self, Aborted, Content};
 
 /// Time that a plain request runs, in milliseconds.
-const RUN: std::ops::Range<u64> = 5..60;
+const RUN_TIME_MS: std::ops::Range<u64> = 5..60;
 /// Time of the first starts, in milliseconds; later starts only have to be later.
-const BORN_MS: u64 = 1_750_000_000_000;
-const EVENT_PAUSE: Duration = Duration::from_millis(25);
+const FIRST_START_MS: u64 = 1_750_000_000_000;
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 /// Events after which a stream is aborted.
-const BROKEN_AFTER: u64 = 4;
+const EVENTS_BEFORE_ABORT: u64 = 4;
 
 /// A target; its incarnations succeed each other at one address.
 pub(crate) struct Target {
     index: usize,
-    book: Arc<Book>,
+    event_log: Arc<SharedEventLog>,
     dialect: Dialect,
     state: Mutex<State>,
     /// Number of crashes so far.
@@ -41,8 +41,8 @@
 struct State {
     incarnation: String,
     /// When the current start began, in milliseconds.
-    born_ms: u64,
-    mood: Mood,
+    started_at_ms: u64,
+    behavior: Behavior,
 }
 
 impl Target {
@@ -52,46 +52,46 @@
         address: SocketAddr,
         incarnation: String,
         dialect: Dialect,
-        book: Arc<Book>,
+        event_log: Arc<SharedEventLog>,
     ) -> std::io::Result<Arc<Self>> {
-        let mood = Mood::Well;
+        let behavior = Behavior::Healthy;
         let target = Arc::new(Self {
             index,
-            book,
+            event_log,
             dialect,
             state: Mutex::new(State {
                 incarnation,
-                born_ms: BORN_MS,
-                mood,
+                started_at_ms: FIRST_START_MS,
+                behavior,
             }),
             crashes: watch::Sender::new(0),
         });
-        let serving = Arc::clone(&target);
+        let server_target = Arc::clone(&target);
         server::serve(address, move |request| {
-            let target = Arc::clone(&serving);
-            async move { target.answer(request).await }
+            let target = Arc::clone(&server_target);
+            async move { target.handle(request).await }
         })
         .await?;
         Ok(target)
     }
 
-    pub(crate) fn set_mood(&self, mood: Mood) {
-        self.state().mood = mood;
+    pub(crate) fn set_behavior(&self, behavior: Behavior) {
+        self.state().behavior = behavior;
     }
 
     /// Replaces the incarnation.
-    pub(crate) fn become_new(&self, incarnation: String) {
+    pub(crate) fn set_incarnation(&self, incarnation: String) {
         self.state().incarnation = incarnation;
     }
 
     /// Restarts under the same id.
-    pub(crate) fn start_again(&self) {
-        self.state().born_ms += 1_000;
+    pub(crate) fn restart(&self) {
+        self.state().started_at_ms += 1_000;
     }
 
     /// When the current start began, in milliseconds.
-    pub(crate) fn born_ms(&self) -> u64 {
-        self.state().born_ms
+    pub(crate) fn started_at_ms(&self) -> u64 {
+        self.state().started_at_ms
     }
 
     /// Name of the current incarnation.
@@ -103,134 +103,138 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Content> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Content> {
         let state = self.state().clone();
         let (head, body) = request.into_parts();
-        let id = text(&head.headers, &self.dialect.request_id);
+        let id = header_text(&head.headers, &self.dialect.request_id);
         // An incomplete request is not run.
         let Ok(body) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
-            return self.refusal(StatusCode::BAD_REQUEST, &id);
+            return self.rejection(StatusCode::BAD_REQUEST, &id);
         };
-        let deadly = (body == DEADLY).then(|| head.uri.path().to_owned());
-        self.book.open().arrivals.push(Arrival {
-            request: id.clone(),
-            deadly: deadly.clone(),
-            at: Instant::now(),
-            start: Start {
+        let crash_path = (body == CRASH_BODY).then(|| head.uri.path().to_owned());
+        self.event_log.lock().arrivals.push(Arrival {
+            request_id: id.clone(),
+            crash_path: crash_path.clone(),
+            arrived_at: Instant::now(),
+            target_start: TargetStart {
                 target: self.index,
                 incarnation: state.incarnation.clone(),
-                born_ms: state.born_ms,
+                started_at_ms: state.started_at_ms,
             },
-            mood: state.mood,
+            behavior: state.behavior,
         });
-        if text(&head.headers, &self.dialect.expected_target) != state.incarnation {
-            return self.refusal(StatusCode::MISDIRECTED_REQUEST, &id);
+        if header_text(&head.headers, &self.dialect.expected_target) != state.incarnation {
+            return self.rejection(StatusCode::MISDIRECTED_REQUEST, &id);
         }
-        if matches!(state.mood, Mood::Full | Mood::Tired) {
-            let mut refusal = self.refusal(StatusCode::SERVICE_UNAVAILABLE, &id);
-            if state.mood == Mood::Tired {
-                insert(&mut refusal, &RETRY_AFTER, &REST.as_secs().to_string());
+        if matches!(state.behavior, Behavior::Rejecting | Behavior::RequestingBackoff) {
+            let mut rejection = self.rejection(StatusCode::SERVICE_UNAVAILABLE, &id);
+            if state.behavior == Behavior::RequestingBackoff {
+                insert_header(&mut rejection, &RETRY_AFTER, &BACKOFF.as_secs().to_string());
             }
-            return refusal;
+            return rejection;
         }
-        self.book.open().runs.push(Run {
-            request: id.clone(),
-            target: state.incarnation.clone(),
-            workspace: text(&head.headers, &self.dialect.workspace),
-            at: Instant::now(),
+        self.event_log.lock().runs.push(Run {
+            request_id: id.clone(),
+            incarnation: state.incarnation.clone(),
+            workspace: header_text(&head.headers, &self.dialect.workspace),
+            started_at: Instant::now(),
         });
-        if let Some(path) = deadly {
-            let at = Instant::now();
-            self.book.open().ends.push(End { path, at });
+        if let Some(path) = crash_path {
+            let crashed_at = Instant::now();
+            self.event_log.lock().crashes.push(Crash { path, crashed_at });
             self.crashes.send_modify(|crashes| *crashes += 1);
             // The proxy in front of the target resets its connections.
             return std::future::pending().await;
         }
-        let after = text(&head.headers, &HeaderName::from_static("last-event-id"));
-        let streams = matches!(head.uri.path().split('/').nth(1), Some("stream" | "resume"));
-        let content = if streams {
-            stream(after.parse().unwrap_or(0), state.mood)
+        let last_event_id = header_text(&head.headers, &HeaderName::from_static("last-event-id"));
+        let is_stream = matches!(head.uri.path().split('/').nth(1), Some("stream" | "resume"));
+        let content = if is_stream {
+            event_body(last_event_id.parse().unwrap_or(0), state.behavior)
         } else {
-            plain(&id, &body, state.mood).await
+            plain_body(&id, &body, state.behavior).await
         };
-        let status = match state.mood {
-            Mood::Errors => StatusCode::INTERNAL_SERVER_ERROR,
+        let status = match state.behavior {
+            Behavior::ServerErrors => StatusCode::INTERNAL_SERVER_ERROR,
             _ => StatusCode::OK,
         };
-        let mut answer = self.head(status, &id, content);
-        insert(&mut answer, &self.dialect.digest, &state.incarnation);
-        match state.mood {
-            Mood::Limited => insert(&mut answer, &self.dialect.backpressure.rate_limit, &RATE.to_string()),
-            Mood::Leaving => insert(&mut answer, &self.dialect.backpressure.draining, "1"),
+        let mut response = self.response(status, &id, content);
+        insert_header(&mut response, &self.dialect.digest, &state.incarnation);
+        match state.behavior {
+            Behavior::RateLimited => insert_header(
+                &mut response,
+                &self.dialect.backpressure.rate_limit,
+                &RATE_LIMIT_PER_SEC.to_string(),
+            ),
+            Behavior::Draining => insert_header(&mut response, &self.dialect.backpressure.draining, "1"),
             _ => {}
         }
-        if streams {
-            insert(&mut answer, &CONTENT_TYPE, "text/event-stream");
+        if is_stream {
+            insert_header(&mut response, &CONTENT_TYPE, "text/event-stream");
         }
-        answer
+        response
     }
 
-    fn refusal(&self, status: StatusCode, id: &str) -> Response<Content> {
-        let mut answer = self.head(status, id, whole(Bytes::new()));
-        insert(&mut answer, &self.dialect.not_run, "1");
-        answer
+    fn rejection(&self, status: StatusCode, id: &str) -> Response<Content> {
+        let mut response = self.response(status, id, full_body(Bytes::new()));
+        insert_header(&mut response, &self.dialect.not_run, "1");
+        response
     }
 
-    fn head(&self, status: StatusCode, id: &str, content: Content) -> Response<Content> {
-        let mut answer = Response::new(content);
-        *answer.status_mut() = status;
-        insert(&mut answer, &self.dialect.request_id, id);
-        answer
+    fn response(&self, status: StatusCode, id: &str, content: Content) -> Response<Content> {
+        let mut response = Response::new(content);
+        *response.status_mut() = status;
+        insert_header(&mut response, &self.dialect.request_id, id);
+        response
     }
 }
 
 /// Body of a plain response: the id and the body of its request.
-pub(crate) fn expected(id: &str, body: &str) -> String {
+pub(crate) fn expected_body(id: &str, body: &str) -> String {
     format!("{id} {body}")
 }
 
 /// Text of one event of a stream.
-pub(crate) fn event(id: u64) -> String {
+pub(crate) fn event_text(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-async fn plain(id: &str, body: &[u8], mood: Mood) -> Content {
-    let time = rand::random_range(RUN);
-    tokio::time::sleep(Duration::from_millis(time)).await;
-    let text = expected(id, &String::from_utf8_lossy(body));
-    if mood != Mood::BreaksOff {
-        return whole(Bytes::from(text));
+async fn plain_body(id: &str, body: &[u8], behavior: Behavior) -> Content {
+    let run_time_ms = rand::random_range(RUN_TIME_MS);
+    tokio::time::sleep(Duration::from_millis(run_time_ms)).await;
+    let text = expected_body(id, &String::from_utf8_lossy(body));
+    if behavior != Behavior::AbortingBody {
+        return full_body(Bytes::from(text));
     }
     let half = text.len() / 2;
-    let pieces = [Ok(Frame::data(Bytes::from(text[..half].to_owned()))), Err(Broken)];
-    StreamBody::new(futures::stream::iter(pieces)).boxed_unsync()
+    let frames = [Ok(Frame::data(Bytes::from(text[..half].to_owned()))), Err(Aborted)];
+    StreamBody::new(futures::stream::iter(frames)).boxed_unsync()
 }
 
-fn stream(after: u64, mood: Mood) -> Content {
-    let pieces = futures::stream::iter(after + 1..=EVENTS).then(move |id| async move {
-        tokio::time::sleep(EVENT_PAUSE).await;
-        if mood == Mood::BreaksOff && id > BROKEN_AFTER {
-            return Err(Broken);
+fn event_body(last_event_id: u64, behavior: Behavior) -> Content {
+    let frames = futures::stream::iter(last_event_id + 1..=EVENTS_PER_STREAM).then(move |id| async move {
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        if behavior == Behavior::AbortingBody && id > EVENTS_BEFORE_ABORT {
+            return Err(Aborted);
         }
-        Ok(Frame::data(Bytes::from(event(id))))
+        Ok(Frame::data(Bytes::from(event_text(id))))
     });
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(frames).boxed_unsync()
 }
 
-fn whole(bytes: Bytes) -> Content {
+fn full_body(bytes: Bytes) -> Content {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> String {
+fn header_text(headers: &HeaderMap, name: &HeaderName) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
 }
 
 /// Sets a header; leaves it out if the value is invalid, so that the checks miss it.
-fn insert(answer: &mut Response<Content>, name: &HeaderName, value: &str) {
+fn insert_header(response: &mut Response<Content>, name: &HeaderName, value: &str) {
     if let Ok(value) = value.parse() {
-        answer.headers_mut().insert(name.clone(), value);
+        response.headers_mut().insert(name.clone(), value);
     }
 }
