--- a/crates/sparscale_soak/src/command.rs
+++ b/crates/sparscale_soak/src/command.rs
@@ -54,12 +54,12 @@
         _ => Plan::Single,
     };
     let size = Size {
-        entry_count: number(matches, "entries", DEFAULT_SIZE.entry_count as u64) as usize,
-        target_count: number(matches, "targets", DEFAULT_SIZE.target_count as u64) as usize,
-        rank_count: if plan == Plan::Groups {
+        entries: number(matches, "entries", DEFAULT_SIZE.entries as u64) as usize,
+        targets: number(matches, "targets", DEFAULT_SIZE.targets as u64) as usize,
+        ranks: if plan == Plan::Groups {
             GROUP_RANK_COUNT
         } else {
-            DEFAULT_SIZE.rank_count
+            DEFAULT_SIZE.ranks
         },
     };
     let length = Duration::from_secs(number(matches, "seconds", 12));
@@ -81,12 +81,12 @@
         size,
     };
     let many_entries = Size {
-        entry_count: 12,
-        target_count: 12,
-        rank_count: 0,
+        entries: 12,
+        targets: 12,
+        ranks: 0,
     };
     let with_group = Size {
-        rank_count: GROUP_RANK_COUNT,
+        ranks: GROUP_RANK_COUNT,
         ..DEFAULT_SIZE
     };
     vec![
@@ -182,7 +182,7 @@
         "seed {}, {:?}, {} entries: {fault_count} faults, {map_switch_count} changes of map, {stall_count} stalls of the machine, {request_count} requests ({}), {} broken promises",
         round.seed,
         round.plan,
-        round.size.entry_count,
+        round.size.entries,
         counts.join(", "),
         violations.len()
     );
--- a/crates/sparscale_soak/src/engines.rs
+++ b/crates/sparscale_soak/src/engines.rs
@@ -29,9 +29,9 @@
     pub(crate) async fn start(platform: Arc<dyn Platform>, net: Net, size: Size) -> std::io::Result<Arc<Self>> {
         let engines = Arc::new(Self {
             platform,
-            group: Mutex::new(Group::new(size.rank_count, Instant::now())),
+            group: Mutex::new(Group::new(size.ranks, Instant::now())),
         });
-        for rank in 0..size.rank_count {
+        for rank in 0..size.ranks {
             let server_engines = Arc::clone(&engines);
             server::serve(net.engine_address(size.agent_index(rank)), move |request| {
                 let engines = Arc::clone(&server_engines);
@@ -39,7 +39,7 @@
             })
             .await?;
         }
-        if size.rank_count > 0 {
+        if size.ranks > 0 {
             tokio::spawn(run_passes(Arc::clone(&engines)));
         }
         Ok(engines)
--- a/crates/sparscale_soak/src/environment.rs
+++ b/crates/sparscale_soak/src/environment.rs
@@ -84,7 +84,7 @@
             store_proxies.push(proxy);
         }
         let mut targets = Vec::new();
-        for index in 0..size.target_count {
+        for index in 0..size.targets {
             let dialect = platform.dialect();
             let id = incarnation(index, 0);
             let target = Target::start(index, net.target_address(index), id, dialect, Arc::clone(&event_log));
@@ -102,7 +102,7 @@
             service: SERVICE,
             routes: &ROUTES,
             keys: (0..INITIAL_KEY_COUNT).map(|key| format!("key-{key}")).collect(),
-            model: (size.rank_count > 0).then_some(GROUP_SERVICE),
+            model: (size.ranks > 0).then_some(GROUP_SERVICE),
         };
         let managed = |name: String, program| ManagedProcess {
             process: Mutex::default(),
@@ -112,8 +112,8 @@
             name,
             program,
         };
-        let entries = (0..size.entry_count).map(|entry| managed(format!("entry-{entry}"), platform.program()));
-        let agents = (0..size.rank_count).map(|rank| managed(format!("agent-{rank}"), platform.agent_program()));
+        let entries = (0..size.entries).map(|entry| managed(format!("entry-{entry}"), platform.program()));
+        let agents = (0..size.ranks).map(|rank| managed(format!("agent-{rank}"), platform.agent_program()));
         let processes = entries.chain(agents).collect();
         let engines = Engines::start(Arc::clone(&platform), net, size)
             .await
@@ -145,13 +145,13 @@
         for index in 0..self.targets.len() {
             self.register(index, false);
         }
-        for rank in 0..self.size.rank_count {
+        for rank in 0..self.size.ranks {
             self.register_rank(rank);
         }
     }
 
     fn write_settings(&self, process: usize) -> Result<(), String> {
-        let settings = match process.checked_sub(self.size.entry_count) {
+        let settings = match process.checked_sub(self.size.entries) {
             Some(rank) => self.agent_settings(rank),
             None => self.entry_settings(process),
         };
@@ -161,7 +161,7 @@
 
     fn agent_settings(&self, rank: usize) -> String {
         let process = self.size.agent_index(rank);
-        let seeds = 0..self.size.entry_count.min(MAX_SEEDS);
+        let seeds = 0..self.size.entries.min(MAX_SEEDS);
         let agent = AgentPlace {
             name: self.processes[process].name.clone(),
             address: self.net.process_ip(process),
@@ -176,9 +176,7 @@
     }
 
     fn entry_settings(&self, entry: usize) -> String {
-        let seeds = (0..self.size.entry_count)
-            .filter(|other| *other != entry)
-            .take(MAX_SEEDS);
+        let seeds = (0..self.size.entries).filter(|other| *other != entry).take(MAX_SEEDS);
         let config = EntryPlace {
             name: self.processes[entry].name.clone(),
             address: self.net.process_ip(entry),
@@ -271,7 +269,7 @@
         for (index, managed) in self.processes.iter().enumerate() {
             match std::fs::read_to_string(&managed.log_path) {
                 Ok(text) if text.contains("panicked at") => {
-                    self.record_incident(index, "its log tells of a panic".to_owned())
+                    self.record_incident(index, "its log tells of a panic".to_owned());
                 }
                 Ok(_) => {}
                 Err(error) => self.record_incident(index, format!("its log cannot be read: {error}")),
--- a/crates/sparscale_soak/src/fault.rs
+++ b/crates/sparscale_soak/src/fault.rs
@@ -154,7 +154,7 @@
 
 impl Fault {
     fn draw_series(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entry_count);
+        let entry = random.random_range(0..size.entries);
         let delay = Duration::from_millis(random.random_range(KILL_DELAY_MS));
         let delay = if random.random() { delay } else { Duration::ZERO };
         let repeat_count = random.random_range(1..6);
@@ -181,7 +181,7 @@
     }
 
     fn draw_deadly(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entry_count);
+        let entry = random.random_range(0..size.entries);
         let route = random.random_range(0..ROUTES.len());
         match random.random_range(0..8) {
             0..=3 => Self::CrashRequests { entry, route },
@@ -194,7 +194,7 @@
     }
 
     fn draw_pressed(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let target = random.random_range(0..size.target_count);
+        let target = random.random_range(0..size.targets);
         let behavior = if random.random() {
             Behavior::RateLimited
         } else {
@@ -219,7 +219,7 @@
                 key: random.random_range(1..INITIAL_KEY_COUNT),
             },
             1 => BeforeRestore::Drain {
-                target: random.random_range(0..size.target_count),
+                target: random.random_range(0..size.targets),
             },
             _ => BeforeRestore::Nothing,
         };
@@ -232,7 +232,7 @@
 
     fn draw_groups(random: &mut ChaCha8Rng, size: Size) -> Self {
         let snapshot_age = Duration::from_millis(random.random_range(SNAPSHOT_AGE_MS));
-        let rank = random.random_range(0..size.rank_count);
+        let rank = random.random_range(0..size.ranks);
         match random.random_range(0..16) {
             0..=2 => Self::Restore {
                 snapshot_age,
@@ -258,7 +258,7 @@
     }
 
     fn draw_returns(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let target = random.random_range(0..size.target_count);
+        let target = random.random_range(0..size.targets);
         let expired = random.random();
         match random.random_range(0..10) {
             0..=2 => Self::RestartTarget { target, expired },
@@ -273,8 +273,8 @@
     }
 
     fn draw(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let entry = random.random_range(0..size.entry_count);
-        let target = random.random_range(0..size.target_count);
+        let entry = random.random_range(0..size.entries);
+        let target = random.random_range(0..size.targets);
         match random.random_range(0..16) {
             0 => Self::StoreRejecting,
             1 => Self::StoreUnreachable,
--- a/crates/sparscale_soak/src/injection.rs
+++ b/crates/sparscale_soak/src/injection.rs
@@ -89,17 +89,17 @@
             delay,
         } => kill(environment, entry, repeat_count, delay).await,
         Fault::KillAll { repeat_count, delay } => {
-            let kills = (0..environment.size.entry_count).map(|entry| kill(environment, entry, repeat_count, delay));
+            let kills = (0..environment.size.entries).map(|entry| kill(environment, entry, repeat_count, delay));
             futures::future::join_all(kills).await;
         }
         Fault::StopSeries { entry, repeat_count } => stop_series(environment, entry, repeat_count).await,
         Fault::StopAll { repeat_count } => {
-            let stops = (0..environment.size.entry_count).map(|entry| stop_series(environment, entry, repeat_count));
+            let stops = (0..environment.size.entries).map(|entry| stop_series(environment, entry, repeat_count));
             futures::future::join_all(stops).await;
         }
         Fault::Freeze { entry } => freeze(environment, entry, duration).await,
         Fault::FreezeAll => {
-            let freezes = (0..environment.size.entry_count).map(|entry| freeze(environment, entry, duration));
+            let freezes = (0..environment.size.entries).map(|entry| freeze(environment, entry, duration));
             futures::future::join_all(freezes).await;
         }
         Fault::Stop { entry } => {
@@ -131,7 +131,7 @@
         Fault::KeyChanges { repeat_count } => change_keys(environment, repeat_count).await,
         Fault::RestartTarget { target, expired } => restart_target(environment, target, expired, duration).await,
         Fault::RestartAllTargets { expired } => {
-            let restarts = (0..environment.size.target_count)
+            let restarts = (0..environment.size.targets)
                 .map(|target| restart_target(environment, target, expired, REREGISTRATION_TIME));
             futures::future::join_all(restarts).await;
         }
@@ -172,7 +172,7 @@
             }
         }
         Fault::KillAgents => {
-            let kills = (0..environment.size.rank_count)
+            let kills = (0..environment.size.ranks)
                 .map(|rank| kill(environment, environment.size.agent_index(rank), 1, Duration::ZERO));
             futures::future::join_all(kills).await;
         }
@@ -189,7 +189,7 @@
         }
         Fault::RestartEngine { rank } => {
             environment.engines.group().restart(rank, Instant::now());
-            (0..environment.size.rank_count).for_each(|rank| environment.register_rank(rank));
+            (0..environment.size.ranks).for_each(|rank| environment.register_rank(rank));
         }
         _ => {}
     }
@@ -255,10 +255,7 @@
 
 /// Process index of the agent that leads the group, as far as the store knows.
 fn leader(environment: &Environment) -> Option<usize> {
-    let rank = environment
-        .store
-        .leader()
-        .filter(|rank| *rank < environment.size.rank_count);
+    let rank = environment.store.leader().filter(|rank| *rank < environment.size.ranks);
     rank.map(|rank| environment.size.agent_index(rank))
 }
 
--- a/crates/sparscale_soak/src/layout.rs
+++ b/crates/sparscale_soak/src/layout.rs
@@ -8,29 +8,31 @@
 /// Number of processes and stubs in a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Size {
-    pub(crate) entry_count: usize,
-    pub(crate) target_count: usize,
-    /// Ranks of the group of engines, each with an agent; zero in rounds without a group.
-    pub(crate) rank_count: usize,
+    /// Number of entries.
+    pub(crate) entries: usize,
+    /// Number of stub targets.
+    pub(crate) targets: usize,
+    /// Number of ranks of the group of engines, each with an agent; zero in rounds without a group.
+    pub(crate) ranks: usize,
 }
 
 impl Size {
     /// Number of processes: entries and agents.
     pub(crate) fn process_count(self) -> usize {
-        self.entry_count + self.rank_count
+        self.entries + self.ranks
     }
 
     /// Process index of the agent beside `rank`.
     pub(crate) fn agent_index(self, rank: usize) -> usize {
-        self.entry_count + rank
+        self.entries + rank
     }
 }
 
 /// Default size of a round.
 pub(crate) const DEFAULT_SIZE: Size = Size {
-    entry_count: 3,
-    target_count: 4,
-    rank_count: 0,
+    entries: 3,
+    targets: 4,
+    ranks: 0,
 };
 /// Ranks in rounds with a group.
 pub(crate) const GROUP_RANK_COUNT: usize = 4;
--- a/crates/sparscale_soak/src/platform.rs
+++ b/crates/sparscale_soak/src/platform.rs
@@ -172,7 +172,7 @@
     fn agent_program(&self) -> &'static str;
 
     /// Contents of an agent's settings file.
-    fn agent_settings(&self, agent: &AgentPlace) -> String;
+    fn agent_settings(&self, place: &AgentPlace) -> String;
 
     /// The rank whose agent was the last to claim the lead of the group, if any did.
     fn leader(&self, records: &Records) -> Option<usize>;
@@ -181,26 +181,26 @@
     fn answer_of_engine(&self, call: &Request<Bytes>, rank: usize, group: &mut Group) -> Option<Response<Full<Bytes>>>;
 
     /// Contents of an entry's settings file.
-    fn settings(&self, entry: &EntryPlace) -> String;
+    fn settings(&self, place: &EntryPlace) -> String;
 
     /// Header names of the platform.
     fn dialect(&self) -> Dialect;
 
     /// Encodes a configuration as a record.
-    fn offer(&self, configuration: &Offer) -> Record;
+    fn offer(&self, offer: &Offer) -> Record;
 
     /// Encodes the registration of a target as a record.
-    fn listed(&self, registration: &Listed) -> Record;
+    fn listed(&self, listed: &Listed) -> Record;
 
     /// Records of another writer in the list of targets, each under its own key, that name no usable target or copy
-    /// `registration`.
-    fn foreign(&self, registration: &Listed) -> Vec<Record>;
+    /// `listed`.
+    fn foreign(&self, listed: &Listed) -> Vec<Record>;
 
     /// Whether the system itself writes `topic`.
     fn is_own(&self, topic: &str) -> bool;
 
     /// Adds to a response of the store how often the store was restored from an older snapshot.
-    fn stamp(&self, response: &mut Response<Full<Bytes>>, era: u64);
+    fn stamp(&self, answer: &mut Response<Full<Bytes>>, era: u64);
 
     /// Response of the store to a call, given its `records`, to which the call may add.
     fn answer(&self, call: &Request<Bytes>, records: &mut Records) -> Response<Full<Bytes>>;
--- a/crates/sparscale_soak/src/round.rs
+++ b/crates/sparscale_soak/src/round.rs
@@ -94,7 +94,7 @@
     // Callers finish their last requests after the stop, and the machine may stall during that time, too.
     let callers_ended = watch::Sender::new(false);
     let watcher = tokio::spawn(watch_processes(Arc::clone(environment), callers_ended.subscribe()));
-    for target in 0..size.target_count {
+    for target in 0..size.targets {
         tokio::spawn(injection::replace_after_crashes(Arc::clone(environment), target));
     }
     if matches!(plan, Plan::Restores | Plan::Groups) {
@@ -156,7 +156,7 @@
 fn spawn_callers(environment: &Arc<Environment>, seed: u64, stopped: &watch::Sender<bool>) -> Vec<JoinHandle<()>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(CALLERS_STREAM);
-    let uses: &[ConnectionUse] = if environment.size.entry_count <= MAX_ENTRIES_WITH_ALL_CALLERS {
+    let connection_uses: &[ConnectionUse] = if environment.size.entries <= MAX_ENTRIES_WITH_ALL_CALLERS {
         &[
             ConnectionUse::KeepAlive,
             ConnectionUse::PerRequest,
@@ -165,8 +165,11 @@
     } else {
         &[ConnectionUse::KeepAlive]
     };
-    let assignments = (0..environment.size.entry_count)
-        .flat_map(|entry| uses.iter().map(move |connection_use| (entry, *connection_use)));
+    let assignments = (0..environment.size.entries).flat_map(|entry| {
+        connection_uses
+            .iter()
+            .map(move |connection_use| (entry, *connection_use))
+    });
     assignments
         .map(|(entry, connection_use)| {
             let caller = Caller::new(environment, entry, connection_use, ChaCha8Rng::from_rng(&mut random));
@@ -222,7 +225,7 @@
 async fn await_service(environment: &Arc<Environment>, timeout: Duration) -> Result<(), String> {
     let started_at = Instant::now();
     let mut callers = JoinSet::new();
-    for entry in 0..environment.size.entry_count {
+    for entry in 0..environment.size.entries {
         let random = ChaCha8Rng::from_os_rng();
         let caller = Caller::new(environment, entry, ConnectionUse::PerRequest, random);
         callers.spawn(send_until_served(caller, started_at + timeout));
@@ -235,7 +238,7 @@
 
 /// Waits until the group, if there is one, has switched its map in one pass.
 async fn await_map_switch(environment: &Arc<Environment>, timeout: Duration) -> Result<(), String> {
-    if environment.size.rank_count == 0 {
+    if environment.size.ranks == 0 {
         return Ok(());
     }
     let initial_count = environment.engines.group().map_switch_count();
