--- a/crates/sparscale_soak/src/check.rs
+++ b/crates/sparscale_soak/src/check.rs
@@ -88,7 +88,7 @@
     (is_at_most_once && runs.len() > 1).then(|| format!("{:?} ran {} times", caller_request.kind, runs.len()))
 }
 
-/// Reports a response that promises that the request was not run although it ran, at any time.
+/// Reports a response that promises that the request was not run, although it ran before or after the response.
 fn ran_after_rejection(caller_request: &CallerRequest, runs: &[&Run]) -> Option<String> {
     let Outcome::Answered(answer) = &caller_request.outcome else {
         return None;
--- a/crates/sparscale_soak/src/check/backpressure.rs
+++ b/crates/sparscale_soak/src/check/backpressure.rs
@@ -115,8 +115,8 @@
         })
 }
 
-/// Reports a request sent to a target after the target told that entry that it is draining; requests that callers sent
-/// earlier are allowed.
+/// Reports a request sent to a target after the target announced to that entry that it is draining; requests that
+/// callers sent earlier are allowed.
 fn sent_after_draining(sent: &[Sent<'_>], fault_periods: &[&FaultPeriod]) -> Option<String> {
     let announcements = sent.iter().filter(|sent| sent.arrival.behavior == Behavior::Draining);
     announcements.clone().find_map(|announcement| {
--- a/crates/sparscale_soak/src/group.rs
+++ b/crates/sparscale_soak/src/group.rs
@@ -29,7 +29,7 @@
 /// Time of the first starts, in milliseconds.
 const FIRST_START_MS: u64 = 1_750_000_000_000;
 
-/// The experts of each rank, by set and rank.
+/// Experts by set and rank.
 pub type Lists = Vec<Vec<Vec<u16>>>;
 
 /// An order to one rank.
