--- a/crates/sparscale_soak/src/fault.rs
+++ b/crates/sparscale_soak/src/fault.rs
@@ -1,165 +1,181 @@
-//! What goes wrong in a round, drawn from its seed.
+//! Faults of a round, drawn from its seed.
 
 use std::time::Duration;
 
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::mood::Mood;
-use crate::places::{KEYS, LATER_KEYS, ROUTES, Size};
+use crate::behavior::Behavior;
+use crate::layout::{INITIAL_KEY_COUNT, LATER_KEY_COUNT, ROUTES, Size};
 use crate::proxy::Link;
 
-/// One fault.
+/// A fault to inject, or one that the soak detects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The store refuses all calls.
-    StoreBusy,
-    /// Nobody reaches the store.
-    StoreSilent,
-    /// The same, and targets' entries lapse meanwhile.
-    StoreLapse,
-    /// One entry's way to the store is harmed.
+    /// The store rejects all calls.
+    StoreRejecting,
+    /// No process can reach the store.
+    StoreUnreachable,
+    /// The store rejects all calls, and the registrations of targets expire.
+    RegistrationsExpire,
+    /// The link of one entry to the store is impaired.
     StoreLink { entry: usize, link: Link },
-    /// An entry is killed and starts again.
+    /// An entry is killed and restarted.
     Kill { entry: usize },
-    /// An entry stands still.
+    /// An entry is frozen.
     Freeze { entry: usize },
-    /// An entry is asked to stop, and starts again.
+    /// An entry is stopped with SIGTERM and restarted.
     Stop { entry: usize },
-    /// An entry gets a hang-up signal.
+    /// An entry gets a SIGHUP.
     HangUp { entry: usize },
-    /// The way to a target is harmed.
+    /// The link to a target is impaired.
     TargetLink { target: usize, link: Link },
-    /// A target fails.
-    TargetMood { target: usize, mood: Mood },
-    /// A target says that it leaves, leaves, and another comes to its place.
-    Leave { target: usize },
-    /// A target dies, its entry goes later, and another comes to its place.
-    Die { target: usize },
-    /// A key is taken away; the first key stays.
+    /// A target misbehaves.
+    TargetBehavior { target: usize, behavior: Behavior },
+    /// A target announces in its registration that it is draining, terminates and is replaced.
+    DrainTarget { target: usize },
+    /// A target crashes, its registration expires later, and it is replaced.
+    CrashTarget { target: usize },
+    /// A key is revoked; the first key never is.
     Revoke { key: usize },
-    /// The same while no entry reaches the store, for longer than a key may be believed in.
-    RevokeUnseen { key: usize },
-    /// Not drawn: the machine let nothing run for a while, as the soak notices by itself.
+    /// A key is revoked while no entry reaches the store, for longer than an entry may trust its copy of a key.
+    RevokeDuringOutage { key: usize },
+    /// The machine ran nothing for a while; detected by the soak, never drawn.
     Stall,
-    /// A key comes into force while no entry reaches the store.
-    GrantUnseen { key: usize },
-    /// An entry is killed and started again `times` times, with `pause` between.
-    KillSeries { entry: usize, times: u32, pause: Duration },
-    /// The same with all entries at once.
-    KillAll { times: u32, pause: Duration },
-    /// An entry gets a hang-up signal, is asked to stop twice over, and starts again, `times` times.
-    StopSeries { entry: usize, times: u32 },
-    /// The same with all entries, whose stops overlap.
-    StopAll { times: u32 },
-    /// All entries stand still.
+    /// A key is granted while no entry reaches the store.
+    GrantDuringOutage { key: usize },
+    /// An entry is killed and restarted `repeat_count` times, after `delay` each time.
+    KillSeries {
+        entry: usize,
+        repeat_count: u32,
+        delay: Duration,
+    },
+    /// All entries are killed and restarted in series at once.
+    KillAll { repeat_count: u32, delay: Duration },
+    /// An entry gets a SIGHUP and two SIGTERMs and is restarted, `repeat_count` times.
+    StopSeries { entry: usize, repeat_count: u32 },
+    /// All entries are stopped in series at once; their stops overlap.
+    StopAll { repeat_count: u32 },
+    /// All entries are frozen.
     FreezeAll,
-    /// All targets fail alike.
-    AllTargets { mood: Mood },
-    /// Keys are taken away and come into force in quick succession.
-    Changes { times: u32 },
-    /// A target dies and starts again under its id; if `lapsed`, after its entry has gone.
-    Return { target: usize, lapsed: bool },
-    /// The same with all targets.
-    ReturnAll { lapsed: bool },
-    /// A request that ends each target which runs it comes to an entry, again and again.
-    Deadly { entry: usize, route: usize },
-    /// The store is away for a moment and comes back from a copy that is as old as `copy`; `before` happens right before.
-    Restore { copy: Duration, before: Before },
-    /// The agent beside a rank is killed and starts again.
+    /// All targets misbehave in the same way.
+    AllTargets { behavior: Behavior },
+    /// Keys are revoked and granted in quick succession.
+    KeyChanges { repeat_count: u32 },
+    /// A target terminates and restarts under its id; if `expired`, after its registration has expired.
+    RestartTarget { target: usize, expired: bool },
+    /// All targets restart under their ids.
+    RestartAllTargets { expired: bool },
+    /// A request that crashes every target that runs it reaches an entry again and again.
+    CrashRequests { entry: usize, route: usize },
+    /// The store is briefly unavailable and restored from a snapshot of age `snapshot_age`; `before` happens right
+    /// before.
+    Restore {
+        snapshot_age: Duration,
+        before: BeforeRestore,
+    },
+    /// The agent beside a rank is killed and restarted.
     KillAgent { rank: usize },
-    /// The agent beside a rank stands still.
+    /// The agent beside a rank is frozen.
     FreezeAgent { rank: usize },
-    /// The agent that leads the group is killed, and starts again after the others had time to follow it.
+    /// The agent that leads the group is killed, and restarted after another had time to take over.
     KillLeader,
-    /// The agent that leads the group stands still.
+    /// The agent that leads the group is frozen.
     FreezeLeader,
-    /// All agents are killed and start again.
+    /// All agents are killed and restarted.
     KillAgents,
-    /// The way of a rank's agent to the store is harmed.
+    /// The link of a rank's agent to the store is impaired.
     AgentStoreLink { rank: usize, link: Link },
-    /// Orders to a rank are left unanswered, and most of them are done later.
-    LateOrders { rank: usize },
-    /// A rank's engine starts again, and the group forms anew.
-    EngineReturn { rank: usize },
-    /// A target says in its answers that it leaves, and another comes to its place; its entry in the list does not say so.
-    SaysLeaving { target: usize },
-    /// Another writer's records stand in the store's list of targets.
-    Foreign { target: usize },
+    /// Orders to a rank get no response, and most of them are carried out later.
+    UnansweredOrders { rank: usize },
+    /// A rank's engine restarts, and the group is formed anew.
+    RestartEngine { rank: usize },
+    /// A target announces in its responses, but not in its registration, that it is draining, and is replaced.
+    DrainByHeader { target: usize },
+    /// Records of another writer appear in the store's list of targets.
+    ForeignRecords { target: usize },
 }
 
-/// What is written right before the store is restored, so that the copy lacks it.
+/// What is written right before the store is restored, so that the snapshot lacks it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Before {
-    /// Nothing.
+pub(crate) enum BeforeRestore {
+    /// Nothing is written.
     Nothing,
-    /// A key is taken away.
+    /// A key is revoked.
     Revoke { key: usize },
-    /// A target says that it leaves.
-    Leave { target: usize },
-    /// The agent that leads the group is killed; the one that follows it is killed right after the store is back.
+    /// A target announces that it is draining.
+    Drain { target: usize },
+    /// The leader of the group is killed; its successor is killed right after the store has recovered.
     Takeover,
 }
 
-/// What kind of faults a round has.
+/// Which faults a round draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Plan {
-    /// One process or target at a time.
+    /// Faults of a single process or target.
     Single,
-    /// The same, and processes, signals and changes in series, all together and overlapping.
+    /// Single faults, and series of kills, signals and changes that also hit all processes at once and overlap.
     Series,
-    /// Targets that start again under their ids and records of another writer, beside the first kind.
+    /// Single faults, targets that restart under their ids, and records of another writer.
     Returns,
-    /// A store that comes back from older copies, beside the first kind, requests that end targets, and entries that all
-    /// start again.
+    /// Single faults, stores restored from older snapshots, requests that crash targets, and restarts of all entries.
     Restores,
-    /// A group of engines whose agents die, stand still and lose the store, which comes back from older copies.
+    /// A group of engines whose agents are killed, are frozen or lose their link to the store, which is restored from
+    /// older snapshots.
     Groups,
-    /// Requests that end the targets which run them, beside the first kind and entries that all start again.
+    /// Single faults, requests that crash the targets that run them, and restarts of all entries.
     Deadly,
-    /// Targets that limit their rate, ask for rest or say that they leave, beside the first kind and entries that all start
-    /// again.
+    /// Single faults, targets that limit their rate, request a backoff or announce that they drain, and restarts of all
+    /// entries.
     Pressed,
 }
 
-/// A fault and when it comes.
+/// A fault and when it is injected.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedFault {
     pub(crate) fault: Fault,
     /// Time from the start of the round.
-    pub(crate) at: Duration,
-    /// Time until it is mended, where it does not end by itself.
-    pub(crate) lasts: Duration,
+    pub(crate) offset: Duration,
+    /// Time until the fault is undone, if it doesn't end by itself.
+    pub(crate) duration: Duration,
 }
 
-/// Pause between the beginnings of two faults, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 200..1_500;
-/// Length of a fault, in milliseconds; the longest outlast every bound on beliefs.
-const LASTS: std::ops::Range<u64> = 300..8_000;
-/// Age of the copy that a store comes back from, in milliseconds.
-const COPY: std::ops::Range<u64> = 1_000..10_000;
+/// Time between the beginnings of two faults, in milliseconds.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 200..1_500;
+/// Duration of a fault, in milliseconds; the longest exceed every limit on the age of observed state.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..8_000;
+/// Age of the snapshot that a store is restored from, in milliseconds.
+const SNAPSHOT_AGE_MS: std::ops::Range<u64> = 1_000..10_000;
 /// Delay on a slow link, in milliseconds.
-const SLOW: std::ops::Range<u64> = 20..300;
+const LINK_DELAY_MS: std::ops::Range<u64> = 20..300;
 
-/// Pause between two kills of a series, in milliseconds; half of the series have none.
-const KILL_PAUSE: std::ops::Range<u64> = 100..2_500;
+/// Time that a killed process of a series stays down, in milliseconds; half of the series have none.
+const KILL_DELAY_MS: std::ops::Range<u64> = 100..2_500;
 
 impl Fault {
     fn draw_series(random: &mut ChaCha8Rng, size: Size) -> Self {
         let entry = random.random_range(0..size.entries);
-        let pause = Duration::from_millis(random.random_range(KILL_PAUSE));
-        let pause = if random.random() { pause } else { Duration::ZERO };
-        let times = random.random_range(1..6);
+        let delay = Duration::from_millis(random.random_range(KILL_DELAY_MS));
+        let delay = if random.random() { delay } else { Duration::ZERO };
+        let repeat_count = random.random_range(1..6);
         match random.random_range(0..14) {
-            0 | 1 => Self::KillSeries { entry, times, pause },
-            2 | 3 => Self::KillAll { times, pause },
-            4 => Self::StopSeries { entry, times },
-            5 => Self::StopAll { times: times.min(2) },
+            0 | 1 => Self::KillSeries {
+                entry,
+                repeat_count,
+                delay,
+            },
+            2 | 3 => Self::KillAll { repeat_count, delay },
+            4 => Self::StopSeries { entry, repeat_count },
+            5 => Self::StopAll {
+                repeat_count: repeat_count.min(2),
+            },
             6 => Self::FreezeAll,
             7..=9 => Self::AllTargets {
-                mood: draw_mood(random),
+                behavior: draw_behavior(random),
+            },
+            10 => Self::KeyChanges {
+                repeat_count: repeat_count * 4,
             },
-            10 => Self::Changes { times: times * 4 },
             _ => Self::draw(random, size),
         }
     }
@@ -168,10 +184,10 @@
         let entry = random.random_range(0..size.entries);
         let route = random.random_range(0..ROUTES.len());
         match random.random_range(0..8) {
-            0..=3 => Self::Deadly { entry, route },
+            0..=3 => Self::CrashRequests { entry, route },
             4 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
@@ -179,48 +195,52 @@
 
     fn draw_pressed(random: &mut ChaCha8Rng, size: Size) -> Self {
         let target = random.random_range(0..size.targets);
-        let mood = if random.random() { Mood::Limited } else { Mood::Tired };
+        let behavior = if random.random() {
+            Behavior::RateLimited
+        } else {
+            Behavior::RequestingBackoff
+        };
         match random.random_range(0..10) {
-            0..=3 => Self::TargetMood { target, mood },
-            4 => Self::AllTargets { mood },
-            5 | 6 => Self::SaysLeaving { target },
+            0..=3 => Self::TargetBehavior { target, behavior },
+            4 => Self::AllTargets { behavior },
+            5 | 6 => Self::DrainByHeader { target },
             7 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_restores(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let copy = Duration::from_millis(random.random_range(COPY));
+        let snapshot_age = Duration::from_millis(random.random_range(SNAPSHOT_AGE_MS));
         let before = match random.random_range(0..4) {
-            0 => Before::Revoke {
-                key: random.random_range(1..KEYS),
+            0 => BeforeRestore::Revoke {
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            1 => Before::Leave {
+            1 => BeforeRestore::Drain {
                 target: random.random_range(0..size.targets),
             },
-            _ => Before::Nothing,
+            _ => BeforeRestore::Nothing,
         };
         match random.random_range(0..8) {
-            0..=3 => Self::Restore { copy, before },
+            0..=3 => Self::Restore { snapshot_age, before },
             4 => Self::draw_deadly(random, size),
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_groups(random: &mut ChaCha8Rng, size: Size) -> Self {
-        let copy = Duration::from_millis(random.random_range(COPY));
+        let snapshot_age = Duration::from_millis(random.random_range(SNAPSHOT_AGE_MS));
         let rank = random.random_range(0..size.ranks);
         match random.random_range(0..16) {
             0..=2 => Self::Restore {
-                copy,
-                before: Before::Takeover,
+                snapshot_age,
+                before: BeforeRestore::Takeover,
             },
             3 => Self::Restore {
-                copy,
-                before: Before::Nothing,
+                snapshot_age,
+                before: BeforeRestore::Nothing,
             },
             4 | 5 => Self::KillLeader,
             6 | 7 => Self::FreezeLeader,
@@ -231,22 +251,22 @@
                 rank,
                 link: draw_link(random),
             },
-            12 | 13 => Self::LateOrders { rank },
-            14 => Self::EngineReturn { rank },
+            12 | 13 => Self::UnansweredOrders { rank },
+            14 => Self::RestartEngine { rank },
             _ => Self::draw(random, size),
         }
     }
 
     fn draw_returns(random: &mut ChaCha8Rng, size: Size) -> Self {
         let target = random.random_range(0..size.targets);
-        let lapsed = random.random();
+        let expired = random.random();
         match random.random_range(0..10) {
-            0..=2 => Self::Return { target, lapsed },
-            3 => Self::ReturnAll { lapsed },
-            4 | 5 => Self::Foreign { target },
+            0..=2 => Self::RestartTarget { target, expired },
+            3 => Self::RestartAllTargets { expired },
+            4 | 5 => Self::ForeignRecords { target },
             6 => Self::KillAll {
-                times: 1,
-                pause: Duration::ZERO,
+                repeat_count: 1,
+                delay: Duration::ZERO,
             },
             _ => Self::draw(random, size),
         }
@@ -256,9 +276,9 @@
         let entry = random.random_range(0..size.entries);
         let target = random.random_range(0..size.targets);
         match random.random_range(0..16) {
-            0 => Self::StoreBusy,
-            1 => Self::StoreSilent,
-            2 => Self::StoreLapse,
+            0 => Self::StoreRejecting,
+            1 => Self::StoreUnreachable,
+            2 => Self::RegistrationsExpire,
             3 => Self::StoreLink {
                 entry,
                 link: draw_link(random),
@@ -271,62 +291,65 @@
                 target,
                 link: draw_link(random),
             },
-            10 => Self::TargetMood {
+            10 => Self::TargetBehavior {
                 target,
-                mood: draw_mood(random),
+                behavior: draw_behavior(random),
             },
-            11 => Self::Leave { target },
-            12 => Self::Die { target },
+            11 => Self::DrainTarget { target },
+            12 => Self::CrashTarget { target },
             13 => Self::Revoke {
-                key: random.random_range(1..KEYS),
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            14 => Self::RevokeUnseen {
-                key: random.random_range(1..KEYS),
+            14 => Self::RevokeDuringOutage {
+                key: random.random_range(1..INITIAL_KEY_COUNT),
             },
-            _ => Self::GrantUnseen {
-                key: random.random_range(KEYS..KEYS + LATER_KEYS),
+            _ => Self::GrantDuringOutage {
+                key: random.random_range(INITIAL_KEY_COUNT..INITIAL_KEY_COUNT + LATER_KEY_COUNT),
             },
         }
     }
 
-    /// What it takes hold of; two faults do not hold the same thing at once.
-    pub(crate) fn holds(self) -> Hold {
+    /// The resource that the fault occupies; two faults never occupy the same one at once.
+    pub(crate) fn resource(self) -> Resource {
         match self {
-            Self::StoreBusy | Self::StoreSilent | Self::RevokeUnseen { .. } | Self::GrantUnseen { .. } => Hold::Store,
+            Self::StoreRejecting
+            | Self::StoreUnreachable
+            | Self::RevokeDuringOutage { .. }
+            | Self::GrantDuringOutage { .. } => Resource::Store,
             Self::Restore {
-                before: Before::Takeover,
+                before: BeforeRestore::Takeover,
                 ..
-            } => Hold::StoreAndAgents,
-            Self::StoreLapse | Self::Restore { .. } => Hold::StoreAndTargets,
-            Self::StoreLink { entry, .. } => Hold::StoreLink(entry),
+            } => Resource::StoreAndAgents,
+            Self::RegistrationsExpire | Self::Restore { .. } => Resource::StoreAndTargets,
+            Self::StoreLink { entry, .. } => Resource::StoreLink(entry),
             Self::Kill { entry }
             | Self::Freeze { entry }
             | Self::Stop { entry }
             | Self::HangUp { entry }
             | Self::KillSeries { entry, .. }
-            | Self::StopSeries { entry, .. } => Hold::Entry(entry),
-            Self::KillAll { .. } | Self::StopAll { .. } | Self::FreezeAll => Hold::Entries,
-            Self::AllTargets { .. } | Self::ReturnAll { .. } => Hold::Targets,
-            Self::Changes { .. } => Hold::Keys,
+            | Self::StopSeries { entry, .. } => Resource::Entry(entry),
+            Self::KillAll { .. } | Self::StopAll { .. } | Self::FreezeAll => Resource::Entries,
+            Self::AllTargets { .. } | Self::RestartAllTargets { .. } => Resource::Targets,
+            Self::KeyChanges { .. } => Resource::Keys,
             Self::TargetLink { target, .. }
-            | Self::TargetMood { target, .. }
-            | Self::Leave { target }
-            | Self::SaysLeaving { target }
-            | Self::Die { target }
-            | Self::Return { target, .. } => Hold::Target(target),
-            Self::Stall | Self::Foreign { .. } | Self::Deadly { .. } => Hold::Nothing,
-            Self::Revoke { key } => Hold::Key(key),
-            Self::KillAgent { rank } | Self::FreezeAgent { rank } => Hold::Agent(rank),
-            Self::KillLeader | Self::FreezeLeader | Self::KillAgents => Hold::Agents,
-            Self::AgentStoreLink { rank, .. } => Hold::AgentStoreLink(rank),
-            Self::LateOrders { rank } | Self::EngineReturn { rank } => Hold::Engine(rank),
+            | Self::TargetBehavior { target, .. }
+            | Self::DrainTarget { target }
+            | Self::DrainByHeader { target }
+            | Self::CrashTarget { target }
+            | Self::RestartTarget { target, .. } => Resource::Target(target),
+            Self::Stall | Self::ForeignRecords { .. } | Self::CrashRequests { .. } => Resource::Nothing,
+            Self::Revoke { key } => Resource::Key(key),
+            Self::KillAgent { rank } | Self::FreezeAgent { rank } => Resource::Agent(rank),
+            Self::KillLeader | Self::FreezeLeader | Self::KillAgents => Resource::Agents,
+            Self::AgentStoreLink { rank, .. } => Resource::AgentStoreLink(rank),
+            Self::UnansweredOrders { rank } | Self::RestartEngine { rank } => Resource::Engine(rank),
         }
     }
 }
 
-/// What a fault takes hold of.
+/// What a fault occupies while it lasts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum Resource {
     Store,
     StoreAndTargets,
     StoreAndAgents,
@@ -344,9 +367,9 @@
     Nothing,
 }
 
-impl Hold {
-    /// Whether two faults cannot be there at once.
-    pub(crate) fn excludes(self, other: Self) -> bool {
+impl Resource {
+    /// Whether two faults may not be active at once.
+    pub(crate) fn conflicts_with(self, other: Self) -> bool {
         match (self, other) {
             (Self::StoreAndTargets, Self::Store | Self::StoreAndTargets | Self::Target(_) | Self::Targets)
             | (Self::Store | Self::Target(_) | Self::Targets, Self::StoreAndTargets)
@@ -372,30 +395,30 @@
 
 fn draw_link(random: &mut ChaCha8Rng) -> Link {
     match random.random_range(0..5) {
-        0 => Link::Slow(Duration::from_millis(random.random_range(SLOW))),
-        1 => Link::Silent,
-        2 => Link::CutUp,
-        3 => Link::CutDown,
+        0 => Link::Delayed(Duration::from_millis(random.random_range(LINK_DELAY_MS))),
+        1 => Link::Blackhole,
+        2 => Link::DropUpstream,
+        3 => Link::DropDownstream,
         _ => Link::Reset,
     }
 }
 
-fn draw_mood(random: &mut ChaCha8Rng) -> Mood {
+fn draw_behavior(random: &mut ChaCha8Rng) -> Behavior {
     match random.random_range(0..3) {
-        0 => Mood::Errors,
-        1 => Mood::Full,
-        _ => Mood::BreaksOff,
+        0 => Behavior::ServerErrors,
+        1 => Behavior::Rejecting,
+        _ => Behavior::AbortingBody,
     }
 }
 
-/// The faults of a round of `length`; faults overlap.
-pub(crate) fn plan(random: &mut ChaCha8Rng, length: Duration, plan: Plan, size: Size) -> Vec<Planned> {
+/// Draws the faults of a round of `length`; faults may overlap.
+pub(crate) fn draw_faults(random: &mut ChaCha8Rng, length: Duration, plan: Plan, size: Size) -> Vec<PlannedFault> {
     let mut planned = Vec::new();
-    let mut at = Duration::ZERO;
+    let mut offset = Duration::ZERO;
     loop {
-        at += Duration::from_millis(random.random_range(PAUSE));
-        let lasts = Duration::from_millis(random.random_range(LASTS));
-        if at + lasts >= length {
+        offset += Duration::from_millis(random.random_range(FAULT_INTERVAL_MS));
+        let duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
+        if offset + duration >= length {
             return planned;
         }
         let fault = match plan {
@@ -407,6 +430,10 @@
             Plan::Groups => Fault::draw_groups(random, size),
             Plan::Pressed => Fault::draw_pressed(random, size),
         };
-        planned.push(Planned { fault, at, lasts });
+        planned.push(PlannedFault {
+            fault,
+            offset,
+            duration,
+        });
     }
 }
