--- a/crates/sparscale_fleet/src/bin/demo.rs
+++ b/crates/sparscale_fleet/src/bin/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole system on loopback, real requests through either entry, the decisions behind them.
+//! Runs a complete system on loopback, sends requests through every entry and prints the logged routing decisions.
 
 use std::process::ExitCode;
 
@@ -18,7 +18,7 @@
 async fn run() -> Result<(), String> {
     println!("starting log, box list, weight store, 2 ranks, 1 plain service, 3 agents, 2 entries on loopback");
     let fleet = Fleet::start("demo", Plan::default()).await?;
-    let status = fleet.operator("carol", &["bundle", "status"]).await?;
+    let status = fleet.run_operator("carol", &["bundle", "status"]).await?;
     println!(
         "\n== sparscale bundle status\n{}",
         String::from_utf8_lossy(&status.stdout).trim()
--- a/crates/sparscale_fleet/src/client.rs
+++ b/crates/sparscale_fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for tests.
+//! HTTP client for tests and the demo; errors are returned as text for assertion messages.
 
 use std::time::Duration;
 
@@ -11,29 +11,29 @@
 use hyper_util::rt::TokioExecutor;
 use serde::de::DeserializeOwned;
 
-/// Time after which a call counts as hung.
+/// A request without a complete response after this time has failed.
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An answer.
+/// A complete HTTP response.
 #[derive(Debug, Clone)]
-pub struct Reply {
-    /// Status.
+pub struct HttpResponse {
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// An answer whose body still comes.
+/// An HTTP response whose body is read incrementally.
 #[derive(Debug)]
-pub struct StreamReply {
-    /// Status.
+pub struct StreamingResponse {
+    /// HTTP status code.
     pub status: StatusCode,
     body: Incoming,
 }
 
-/// Calls HTTP servers on loopback.
+/// HTTP client for servers on loopback.
 #[derive(Debug, Clone)]
 pub struct Client {
     client: HyperClient<HttpConnector, Full<Bytes>>,
@@ -50,14 +50,26 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer; an error is told as text.
-    pub async fn send(&self, method: Method, url: &str, headers: &[(&str, &str)], body: &str) -> Result<Reply, String> {
-        let read = tokio::time::timeout(TIMEOUT, self.exchange(method, url, headers, body)).await;
-        read.map_err(|_elapsed| format!("{url}: no answer within {TIMEOUT:?}"))?
+    /// Sends a request and reads the complete response.
+    pub async fn send(
+        &self,
+        method: Method,
+        url: &str,
+        headers: &[(&str, &str)],
+        body: &str,
+    ) -> Result<HttpResponse, String> {
+        let result = tokio::time::timeout(TIMEOUT, self.send_and_read(method, url, headers, body)).await;
+        result.map_err(|_elapsed| format!("{url}: no complete response within {TIMEOUT:?}"))?
     }
 
-    async fn exchange(&self, method: Method, url: &str, headers: &[(&str, &str)], body: &str) -> Result<Reply, String> {
-        let response = self.begin(method, url, headers, body).await?;
+    async fn send_and_read(
+        &self,
+        method: Method,
+        url: &str,
+        headers: &[(&str, &str)],
+        body: &str,
+    ) -> Result<HttpResponse, String> {
+        let response = self.send_request(method, url, headers, body).await?;
         let status = response.status();
         let headers = response.headers().clone();
         let body = response
@@ -65,23 +77,23 @@
             .collect()
             .await
             .map_err(|error| format!("{url}: {error}"))?;
-        Ok(Reply {
+        Ok(HttpResponse {
             status,
             headers,
             body: body.to_bytes(),
         })
     }
 
-    /// Sends a request and leaves the body to be read piece by piece.
-    pub async fn stream(&self, url: &str, headers: &[(&str, &str)], body: &str) -> Result<StreamReply, String> {
-        let response = self.begin(Method::POST, url, headers, body).await?;
-        Ok(StreamReply {
+    /// Sends a POST request and returns as soon as the response headers have arrived.
+    pub async fn stream(&self, url: &str, headers: &[(&str, &str)], body: &str) -> Result<StreamingResponse, String> {
+        let response = self.send_request(Method::POST, url, headers, body).await?;
+        Ok(StreamingResponse {
             status: response.status(),
             body: response.into_body(),
         })
     }
 
-    async fn begin(
+    async fn send_request(
         &self,
         method: Method,
         url: &str,
@@ -104,18 +116,18 @@
     }
 }
 
-impl Reply {
-    /// The body as text.
+impl HttpResponse {
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON; the error contains the body.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.body).map_err(|error| format!("{error}: {}", self.text()))
     }
 
-    /// The member `name` of a JSON body, as text.
+    /// Returns the member `name` of a JSON object body as text, `None` if the body has no such member.
     pub fn member(&self, name: &str) -> Option<String> {
         let value: serde_json::Value = serde_json::from_slice(&self.body).ok()?;
         let member = value.get(name)?;
@@ -123,8 +135,8 @@
     }
 }
 
-impl StreamReply {
-    /// The next piece of the body; none at its end, an error if it breaks off.
+impl StreamingResponse {
+    /// Returns the next chunk of the body, `None` at its end and an error if the connection is lost.
     pub async fn next(&mut self) -> Option<Result<Bytes, String>> {
         loop {
             match self.body.frame().await? {
@@ -138,11 +150,11 @@
         }
     }
 
-    /// Everything that is left.
+    /// Reads the remainder of the body.
     pub async fn rest(&mut self) -> Result<String, String> {
         let mut text = String::new();
-        while let Some(piece) = self.next().await {
-            text.push_str(&String::from_utf8_lossy(&piece?));
+        while let Some(chunk) = self.next().await {
+            text.push_str(&String::from_utf8_lossy(&chunk?));
         }
         Ok(text)
     }
--- a/crates/sparscale_fleet/src/files.rs
+++ b/crates/sparscale_fleet/src/files.rs
@@ -1,4 +1,4 @@
-//! Keys and settings files of a fleet.
+//! Writes the operator keys and settings files of a fleet.
 
 use std::fs;
 
@@ -6,7 +6,7 @@
 use sparscale_bundle::{Operator, sign};
 
 use crate::fleet::{
-    AGENT_PORT, BOXES_PORT, CALLERS_PORT, ENTRY_PORT, Error, Fleet, LOG_PORT, OPERATORS, SERVICE_PORT, text,
+    AGENT_PORT, BOXES_PORT, CALLERS_PORT, ENTRY_PORT, Error, Fleet, LOG_PORT, OPERATORS, SERVICE_PORT, error_text,
 };
 use crate::plan::Plan;
 
@@ -15,7 +15,7 @@
         for name in OPERATORS {
             let key = sign::new_key();
             let path = self.folder.join(format!("{name}.key"));
-            fs::write(path, hex::encode(key.to_bytes())).map_err(text)?;
+            fs::write(path, hex::encode(key.to_bytes())).map_err(error_text)?;
             self.operators.push(Operator {
                 name: name.to_owned(),
                 key: sign::public_text(&key),
@@ -38,7 +38,7 @@
         for (index, name) in self.agent_names().into_iter().enumerate() {
             let is_rank = index < self.plan.ranks;
             let target = if is_rank {
-                format!("http://{}", self.rank_socket(index))
+                format!("http://{}", self.rank_address(index))
             } else {
                 self.url(SERVICE_PORT + (index - self.plan.ranks) as u16)
             };
@@ -53,7 +53,7 @@
         for (index, name) in self.plan.entry_names().into_iter().enumerate() {
             let settings = json!({
                 "process": self.process_settings(&name, "entry", index, ENTRY_PORT),
-                "callers": self.socket(CALLERS_PORT + index as u16),
+                "callers": self.socket_address(CALLERS_PORT + index as u16),
                 "max_body_bytes": 262_144,
                 "secret": "a secret of the demo and of tests only",
                 "ticket_seconds": 600,
@@ -68,7 +68,7 @@
         json!({
             "name": name,
             "hall": Plan::hall(index),
-            "listen": self.socket(port + index as u16),
+            "listen": self.socket_address(port + index as u16),
             "certificate": self.folder.join(format!("{role}.pem")),
             "key": self.folder.join(format!("{role}.key")),
             "authority": self.folder.join("authority.pem"),
@@ -82,7 +82,7 @@
     }
 
     fn write_json(&self, name: &str, value: &serde_json::Value) -> Result<(), Error> {
-        let content = serde_json::to_string_pretty(value).map_err(text)?;
-        fs::write(self.settings_path(name), content).map_err(text)
+        let content = serde_json::to_string_pretty(value).map_err(error_text)?;
+        fs::write(self.settings_path(name), content).map_err(error_text)
     }
 }
--- a/crates/sparscale_fleet/src/fleet.rs
+++ b/crates/sparscale_fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A running fleet.
+//! A running fleet: starts and stops its processes, sends requests to them and controls their stand-ins.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,19 +16,19 @@
 use sparscale_standin::boxes::{List, Listed, Role, Standing};
 use sparscale_standin::{Fault, keys};
 
-use crate::client::{Client, Reply};
+use crate::client::{Client, HttpResponse};
 use crate::names::{MODEL, SERVICE};
 use crate::plan::{Plan, caller_key};
 use crate::process::{Process, find_program};
 
-/// Time after which something that must happen counts as not happening.
-const PATIENCE: Duration = Duration::from_secs(40);
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// Operators of every fleet.
+/// [`eventually`] and [`Fleet::wait_for_exit`] fail after this time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Names of the operators of every fleet; a roll needs a publisher and a different approver.
 pub(crate) const OPERATORS: [&str; 3] = ["alice", "bob", "carol"];
 
-/// Ports on the fleet's own address.
+// Ports on the fleet's own loopback address; the index of a process is added for the numbered ones.
 pub(crate) const LOG_PORT: u16 = 7_000;
 pub(crate) const BOXES_PORT: u16 = 7_001;
 const WEIGHTS_PORT: u16 = 7_002;
@@ -38,10 +38,10 @@
 pub(crate) const ENTRY_PORT: u16 = 7_400;
 pub(crate) const CALLERS_PORT: u16 = 7_500;
 
-/// What went wrong with a fleet, as text for a test's message.
+/// Error text for assertion messages of tests.
 pub type Error = String;
 
-/// A whole system on loopback.
+/// A complete system of processes on a loopback address of its own; dropping it kills them.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) plan: Plan,
@@ -52,22 +52,22 @@
     client: Client,
 }
 
-/// Waits until `look` gives something, or says that it did not happen in time.
-pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, look: impl Fn() -> F) -> Result<T, Error> {
-    let deadline = Instant::now() + PATIENCE;
+/// Polls `check` until it returns a value; times out with an error that names `what`.
+pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, check: impl Fn() -> F) -> Result<T, Error> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
-            return Ok(found);
+        if let Some(value) = check().await {
+            return Ok(value);
         }
         if Instant::now() >= deadline {
-            return Err(format!("did not happen in time: {what}"));
+            return Err(format!("timed out waiting for: {what}"));
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Fleet {
-    /// Starts everything of `plan`, with the first bundle in force, and waits until entries and agents are ready.
+    /// Starts all processes of `plan`, rolls the first bundle and waits until entries and agents are ready.
     pub async fn start(name: &str, plan: Plan) -> Result<Self, Error> {
         let mut fleet = Self::prepare(name, plan)?;
         fleet.start_platform().await?;
@@ -77,10 +77,10 @@
         Ok(fleet)
     }
 
-    /// Writes keys and settings, and starts nothing.
+    /// Writes keys and settings without starting any process.
     pub fn prepare(name: &str, plan: Plan) -> Result<Self, Error> {
         let folder = std::env::temp_dir().join(format!("sparscale-{name}-{}", std::process::id()));
-        fs::create_dir_all(&folder).map_err(text)?;
+        fs::create_dir_all(&folder).map_err(error_text)?;
         keys::write(&folder)?;
         let mut fleet = Self {
             plan,
@@ -95,9 +95,9 @@
         Ok(fleet)
     }
 
-    /// Starts the platform's stand-ins and fills the box list.
+    /// Starts the stand-ins (log, box list, weight store, ranks, services) and publishes the box list.
     pub async fn start_platform(&mut self) -> Result<(), Error> {
-        let listen = |port: u16| vec!["--listen".to_owned(), self.socket(port).to_string()];
+        let listen = |port: u16| vec!["--listen".to_owned(), self.socket_address(port).to_string()];
         let log = [vec!["log".to_owned()], listen(LOG_PORT)].concat();
         let boxes = [vec!["boxes".to_owned()], listen(BOXES_PORT)].concat();
         let weights = [vec!["weights".to_owned()], listen(WEIGHTS_PORT)].concat();
@@ -109,7 +109,7 @@
             self.start_service(index)?;
         }
         for name in ["log", "weights"] {
-            eventually(&format!("{name} answers"), || async {
+            eventually(&format!("{name} responds"), || async {
                 self.ask_standin(name, "/admin/counts").await.ok()
             })
             .await?;
@@ -121,11 +121,11 @@
         let plan = &self.plan;
         let mut arguments = vec!["group".to_owned()];
         for index in 0..plan.ranks {
-            arguments.extend(["--listen".to_owned(), self.rank_socket(index).to_string()]);
+            arguments.extend(["--listen".to_owned(), self.rank_address(index).to_string()]);
         }
         let options = [
-            ("--experts", u64::from(plan.experts)),
-            ("--slots", u64::from(plan.slots)),
+            ("--experts", u64::from(plan.expert_count)),
+            ("--slots", u64::from(plan.slots_per_rank)),
             ("--step-micros", plan.step_micros),
         ];
         for (option, value) in options {
@@ -138,12 +138,12 @@
         self.spawn("group", "sparscale-standin", &arguments)
     }
 
-    /// Starts the plain service's server with this index.
+    /// Starts the server of the plain service with this index.
     pub fn start_service(&mut self, index: usize) -> Result<(), Error> {
         let arguments = [
             "service".to_owned(),
             "--listen".to_owned(),
-            self.socket(SERVICE_PORT + index as u16).to_string(),
+            self.socket_address(SERVICE_PORT + index as u16).to_string(),
             "--work-ms".to_owned(),
             self.plan.service_work_ms.to_string(),
         ];
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Waits until every entry serves and reaches every target.
+    /// Waits until every entry serves both kinds of requests.
     pub async fn wait_until_ready(&self) -> Result<(), Error> {
         for name in self.plan.entry_names() {
             self.wait_until_entry_ready(&name).await?;
@@ -186,124 +186,134 @@
         Ok(())
     }
 
-    /// Waits until the entry called `name` serves both kinds of requests.
+    /// Waits until the entry called `name` serves model requests and, if the fleet has one, the plain service.
     pub async fn wait_until_entry_ready(&self, name: &str) -> Result<(), Error> {
-        eventually(&format!("{name} answers"), || async {
-            let reply = self.send_chat(name, "teal", "are you there", 1).await.ok()?;
-            // A call that has an effect must not be sent while a test counts effects.
+        eventually(&format!("{name} responds"), || async {
+            let response = self.send_chat(name, "teal", "are you there", 1).await.ok()?;
+            // `rates` may run more than once, unlike `illustration`, whose effects some tests count.
             if self.plan.services > 0 {
                 let rates = self.call_service(name, "rates", "{}", &[]).await.ok()?;
                 rates.status.is_success().then_some(())?;
             }
-            reply.status.is_success().then_some(())
+            response.status.is_success().then_some(())
         })
         .await
     }
 
-    /// Ends a process at once, as a crash would.
+    /// Kills a process (SIGKILL) and waits until it has exited.
     pub fn kill(&mut self, name: &str) {
         if let Some(process) = self.processes.remove(name) {
             process.kill();
         }
     }
 
-    /// Ends a process at once while requests to it go on; [`Fleet::kill`] cleans up after it.
+    /// Sends SIGKILL through a shared reference, so that requests can be in flight; [`Fleet::kill`] reaps the process
+    /// later.
     pub fn crash(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::SIGKILL)
     }
 
-    /// Stops a process without ending it, as a long pause would.
+    /// Freezes a process (SIGSTOP).
     pub fn freeze(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::SIGSTOP)
     }
 
-    /// Lets a stopped process go on.
-    pub fn wake(&self, name: &str) -> Result<(), Error> {
+    /// Resumes a frozen process (SIGCONT).
+    pub fn resume(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::SIGCONT)
     }
 
-    /// Tells a process to stop in good order.
+    /// Requests a graceful shutdown (SIGTERM).
     pub fn terminate(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::SIGTERM)
     }
 
-    /// Tells a process to read its certificates again.
+    /// Requests a reload of the certificates (SIGHUP).
     pub fn reload(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::SIGHUP)
     }
 
     fn signal(&self, name: &str, signal: Signal) -> Result<(), Error> {
-        let process = self.processes.get(name).ok_or_else(|| format!("{name} does not run"))?;
+        let process = self
+            .processes
+            .get(name)
+            .ok_or_else(|| format!("{name} is not running"))?;
         process.signal(signal)
     }
 
-    /// Waits until the process called `name` has ended by itself, and tells whether it ended well.
+    /// Waits until the process called `name` has exited without being killed; returns whether its status was success.
     pub async fn wait_for_exit(&mut self, name: &str) -> Result<bool, Error> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let process = self
                 .processes
                 .get_mut(name)
-                .ok_or_else(|| format!("{name} does not run"))?;
+                .ok_or_else(|| format!("{name} is not running"))?;
             if let Some(status) = process.exit_status() {
                 self.processes.remove(name);
                 return Ok(status.success());
             }
             if Instant::now() >= deadline {
-                return Err(format!("{name} does not end"));
+                return Err(format!("{name} did not exit before the timeout"));
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether the process called `name` has ended by itself.
-    pub fn has_ended(&mut self, name: &str) -> bool {
+    /// Whether the process called `name` has exited by itself.
+    pub fn has_exited(&mut self, name: &str) -> bool {
         let process = self.processes.get_mut(name);
         process.is_some_and(|process| process.exit_status().is_some())
     }
 
-    /// Process id of the process called `name`.
+    /// Returns the id of the process called `name`.
     pub fn process_id(&self, name: &str) -> Option<u32> {
         self.processes.get(name).map(Process::id)
     }
 
-    /// The fleet's plan.
+    /// Returns the plan that the fleet was started with.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The HTTP client.
+    /// Returns the HTTP client for requests that no method of the fleet sends.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Folder with settings, keys and logs.
+    /// Returns the directory of settings, keys, certificates and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Names of all agents.
+    /// Returns the names of all agents; they equal the names of their targets.
     pub fn agent_names(&self) -> Vec<String> {
         [self.plan.rank_names(), self.plan.service_names()].concat()
     }
 
-    /// Everything that the process called `name` has logged.
+    /// Returns the complete log output of the process called `name`.
     pub fn log_of(&self, name: &str) -> String {
         fs::read_to_string(self.log_path(name)).unwrap_or_default()
     }
 
-    /// Path of the log of the process called `name`.
+    /// Returns the path of the log file of the process called `name`.
     pub fn log_path(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.log"))
     }
 
-    /// Path of the settings of the process called `name`.
+    /// Returns the path of the settings file of the process called `name`.
     pub fn settings_path(&self, name: &str) -> String {
         self.folder.join(format!("{name}.json")).display().to_string()
     }
 
-    /// Sends a chat completion that is not streamed.
-    pub async fn send_chat(&self, entry: &str, workspace: &str, prompt: &str, tokens: u32) -> Result<Reply, Error> {
+    /// Sends a chat completion request without streaming.
+    pub async fn send_chat(
+        &self,
+        entry: &str,
+        workspace: &str,
+        prompt: &str,
+        tokens: u32,
+    ) -> Result<HttpResponse, Error> {
         let url = format!("{}/v1/chat/completions", self.callers_url(entry));
         let body = chat_body(prompt, tokens, false);
         let key = bearer(workspace);
@@ -312,137 +322,137 @@
             .await
     }
 
-    /// Begins a chat completion that is streamed.
+    /// Sends a streamed chat completion request.
     pub async fn stream_chat(
         &self,
         entry: &str,
         workspace: &str,
         prompt: &str,
         tokens: u32,
-    ) -> Result<crate::StreamReply, Error> {
+    ) -> Result<crate::StreamingResponse, Error> {
         let url = format!("{}/v1/chat/completions", self.callers_url(entry));
         let body = chat_body(prompt, tokens, true);
         let key = bearer(workspace);
-        // Longer than any test waits, so that no deadline stands in for the mechanism that a test is about.
+        // Longer than any test waits, so that an expired deadline can't hide a failure of the mechanism under test.
         let headers = [("authorization", key.as_str()), ("x-deadline-ms", "600000")];
         self.client.stream(&url, &headers, &body).await
     }
 
-    /// Calls the plain service as workspace `teal`.
+    /// Sends the call named `call` to the plain service as workspace `teal`.
     pub async fn call_service(
         &self,
         entry: &str,
         call: &str,
         body: &str,
         headers: &[(&str, &str)],
-    ) -> Result<Reply, Error> {
+    ) -> Result<HttpResponse, Error> {
         let url = format!("{}/v1/services/{SERVICE}/{call}", self.callers_url(entry));
         let key = bearer("teal");
         let headers = [headers, &[("authorization", key.as_str())]].concat();
         self.client.send(Method::POST, &url, &headers, body).await
     }
 
-    /// Asks an entry anything else as workspace `teal`.
-    pub async fn ask_entry(&self, entry: &str, method: Method, path: &str) -> Result<Reply, Error> {
+    /// Sends any other request to an entry as workspace `teal`.
+    pub async fn ask_entry(&self, entry: &str, method: Method, path: &str) -> Result<HttpResponse, Error> {
         let url = format!("{}{path}", self.callers_url(entry));
         let key = bearer("teal");
         self.client.send(method, &url, &[("authorization", &key)], "").await
     }
 
-    /// Asks the stand-in called `name`, for example `log` or `rank-0`.
-    pub async fn ask_standin(&self, name: &str, path: &str) -> Result<Reply, Error> {
+    /// Sends a GET request to the stand-in called `name`, for example `log` or `rank-0`.
+    pub async fn ask_standin(&self, name: &str, path: &str) -> Result<HttpResponse, Error> {
         let url = format!("{}{path}", self.standin_url(name)?);
         self.client.send(Method::GET, &url, &[], "").await
     }
 
-    /// Changes the stand-in called `name`.
-    pub async fn change_standin<T: Serialize>(&self, name: &str, path: &str, change: &T) -> Result<(), Error> {
+    /// Sends `change` as a PUT request to an admin path of the stand-in called `name`.
+    pub async fn configure_standin<T: Serialize>(&self, name: &str, path: &str, change: &T) -> Result<(), Error> {
         let url = format!("{}{path}", self.standin_url(name)?);
-        let body = serde_json::to_string(change).map_err(text)?;
-        let reply = self.client.send(Method::PUT, &url, &[], &body).await?;
-        if reply.status.is_success() {
+        let body = serde_json::to_string(change).map_err(error_text)?;
+        let response = self.client.send(Method::PUT, &url, &[], &body).await?;
+        if response.status.is_success() {
             Ok(())
         } else {
-            Err(reply.text())
+            Err(response.text())
         }
     }
 
-    /// Switches the faults of the stand-in called `name`.
+    /// Sets the injected faults of the stand-in called `name`.
     pub async fn fault(&self, name: &str, fault: Fault) -> Result<(), Error> {
-        self.change_standin(name, "/admin/faults", &fault).await
+        self.configure_standin(name, "/admin/faults", &fault).await
     }
 
-    /// Bodies of all calls that had an effect at the plain service's server with this index.
-    pub async fn effects(&self, index: usize) -> Result<Vec<String>, Error> {
-        let reply = self.ask_standin(&format!("service-{index}"), "/admin/effects").await?;
-        let effects: Vec<sparscale_standin::service::Effect> = reply.json()?;
+    /// Returns the bodies of all calls that took effect at the plain service's server with this index.
+    pub async fn effect_bodies(&self, index: usize) -> Result<Vec<String>, Error> {
+        let response = self.ask_standin(&format!("service-{index}"), "/admin/effects").await?;
+        let effects: Vec<sparscale_standin::service::Effect> = response.json()?;
         Ok(effects.into_iter().map(|effect| effect.body).collect())
     }
 
-    /// Calls that arrived at the plain service's server with this index, turned away or not.
-    pub async fn arrivals(&self, index: usize) -> Result<usize, Error> {
-        let reply = self.ask_standin(&format!("service-{index}"), "/admin/arrivals").await?;
-        reply.json()
+    /// Returns the number of calls that arrived at the plain service's server with this index, rejected ones included.
+    pub async fn arrival_count(&self, index: usize) -> Result<usize, Error> {
+        let response = self.ask_standin(&format!("service-{index}"), "/admin/arrivals").await?;
+        response.json()
     }
 
     /// Replaces the box list.
     pub async fn put_boxes(&self, list: &List) -> Result<(), Error> {
-        eventually("the box list is there", || async {
-            self.change_standin("boxes", "/admin/boxes", list).await.ok()
+        eventually("the box list stand-in accepts the list", || async {
+            self.configure_standin("boxes", "/admin/boxes", list).await.ok()
         })
         .await
     }
 
-    /// The list of all boxes, live.
+    /// Returns a box list that shows all agents and entries as live.
     pub fn box_list(&self) -> List {
         let agents = self.agent_names().into_iter().enumerate();
-        let agents = agents.map(|(index, name)| self.listed(name, Role::Target, index, AGENT_PORT));
+        let agents = agents.map(|(index, name)| self.listed_box(name, Role::Target, index, AGENT_PORT));
         let entries = self.plan.entry_names().into_iter().enumerate();
-        let entries = entries.map(|(index, name)| self.listed(name, Role::Entry, index, ENTRY_PORT));
+        let entries = entries.map(|(index, name)| self.listed_box(name, Role::Entry, index, ENTRY_PORT));
         List {
             boxes: agents.chain(entries).collect(),
             lag_ms: 0,
         }
     }
 
-    fn listed(&self, name: String, role: Role, index: usize, port: u16) -> Listed {
+    fn listed_box(&self, name: String, role: Role, index: usize, port: u16) -> Listed {
         Listed {
             name,
             role,
             hall: Plan::hall(index).to_owned(),
-            address: self.socket(port + index as u16).to_string(),
+            address: self.socket_address(port + index as u16).to_string(),
             standing: Standing::Live,
         }
     }
 
-    /// The fleet's bundle under another version.
+    /// Returns the fleet's bundle with the given version number.
     pub fn document(&self, version: u64) -> Document {
         self.plan.document(version, self.operators.clone())
     }
 
-    /// Runs the operators' program as operator `name`.
-    pub async fn operator(&self, name: &str, arguments: &[&str]) -> Result<Output, Error> {
+    /// Runs the command-line program `sparscale` as operator `name`.
+    pub async fn run_operator(&self, name: &str, arguments: &[&str]) -> Result<Output, Error> {
         let program = find_program("sparscale")?;
         let settings = self.settings_path(&format!("operator-{name}"));
         let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
-        let run = tokio::task::spawn_blocking(move || {
+        let output = tokio::task::spawn_blocking(move || {
             Command::new(program)
                 .args(arguments)
                 .arg("--settings")
                 .arg(settings)
                 .output()
         });
-        run.await.map_err(text)?.map_err(text)
+        output.await.map_err(error_text)?.map_err(error_text)
     }
 
-    /// Writes `document` to a file and returns its path.
+    /// Writes `document` to a JSON file and returns its path.
     pub fn write_bundle(&self, document: &Document) -> Result<String, Error> {
         let path = self.folder.join(format!("bundle-{}.json", document.version));
-        fs::write(&path, serde_json::to_string_pretty(document).map_err(text)?).map_err(text)?;
+        fs::write(&path, serde_json::to_string_pretty(document).map_err(error_text)?).map_err(error_text)?;
         Ok(path.display().to_string())
     }
 
-    /// Publishes, approves and rolls `document`.
+    /// Publishes, approves and rolls `document` with the command-line program.
     pub async fn roll_bundle(&self, document: &Document) -> Result<(), Error> {
         let path = self.write_bundle(document)?;
         let version = document.version.to_string();
@@ -452,7 +462,7 @@
             ("alice", vec!["bundle", "roll", &version]),
         ];
         for (name, arguments) in steps {
-            let output = self.operator(name, &arguments).await?;
+            let output = self.run_operator(name, &arguments).await?;
             if !output.status.success() {
                 return Err(format!(
                     "{arguments:?}: {}{}",
@@ -464,13 +474,13 @@
         Ok(())
     }
 
-    /// Base URL of the entry called `name`, for callers.
+    /// Returns the base URL at which the entry called `name` accepts callers.
     pub fn callers_url(&self, name: &str) -> String {
         let index = index_of(name);
         self.url(CALLERS_PORT + index)
     }
 
-    /// Base URL of the stand-in called `name`.
+    /// Returns the base URL of the stand-in called `name`.
     pub fn standin_url(&self, name: &str) -> Result<String, Error> {
         match name {
             "log" => Ok(self.url(LOG_PORT)),
@@ -482,16 +492,16 @@
         }
     }
 
-    pub(crate) fn rank_socket(&self, index: usize) -> SocketAddr {
-        self.socket(RANK_PORT + index as u16)
+    pub(crate) fn rank_address(&self, index: usize) -> SocketAddr {
+        self.socket_address(RANK_PORT + index as u16)
     }
 
-    pub(crate) fn socket(&self, port: u16) -> SocketAddr {
+    pub(crate) fn socket_address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.address, port)
     }
 
     pub(crate) fn url(&self, port: u16) -> String {
-        format!("http://{}", self.socket(port))
+        format!("http://{}", self.socket_address(port))
     }
 }
 
@@ -501,7 +511,7 @@
             process.kill();
         }
         if std::env::var_os("SPARSCALE_KEEP").is_none() {
-            // What cannot be removed lies in the folder for temporary files.
+            // A failure leaves files only in the directory for temporary files.
             let _removed = fs::remove_dir_all(&self.folder);
         }
     }
@@ -523,15 +533,15 @@
         .unwrap_or(0)
 }
 
-/// A loopback address that no other fleet uses.
+/// Derives a loopback address from the process id and a counter, so that concurrent fleets use different addresses.
 fn next_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
-    let process = std::process::id();
-    let fleet = NEXT.fetch_add(1, Ordering::Relaxed);
-    let [_, _, high, low] = process.to_be_bytes();
-    IpAddr::V4(Ipv4Addr::new(127, 10 + (high & 0x7f), low, fleet as u8))
+    let process_id = std::process::id();
+    let fleet_index = NEXT.fetch_add(1, Ordering::Relaxed);
+    let [_, _, high, low] = process_id.to_be_bytes();
+    IpAddr::V4(Ipv4Addr::new(127, 10 + (high & 0x7f), low, fleet_index as u8))
 }
 
-pub(crate) fn text(error: impl std::fmt::Display) -> Error {
+pub(crate) fn error_text(error: impl std::fmt::Display) -> Error {
     error.to_string()
 }
--- a/crates/sparscale_fleet/src/lib.rs
+++ b/crates/sparscale_fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! Starts a whole system as separate processes on loopback, for the demo and for tests of failures.
+//! Starts a complete system as separate processes on loopback, for the demo, benchmarks and failure tests.
 //!
-//! Each fleet has a loopback address of its own, so that fleets of tests that run side by side never meet. Processes
-//! are ended by their ids when the fleet is dropped.
+//! Each fleet uses a loopback address of its own, so that tests that run in parallel don't share ports. Dropping a
+//! fleet kills its processes by their ids.
 
 mod client;
 mod files;
@@ -10,7 +10,7 @@
 mod plan;
 mod process;
 
-pub use client::{Client, Reply, StreamReply};
+pub use client::{Client, HttpResponse, StreamingResponse};
 pub use fleet::{Error, Fleet, eventually};
 pub use names::{GROUP, MODEL, SERVICE};
 pub use plan::{Plan, caller_key};
--- a/crates/sparscale_fleet/src/plan.rs
+++ b/crates/sparscale_fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of.
+//! Size and settings of a fleet, and its bundle.
 
 use sparscale_bundle::{
     Call, Document, Fleet, Group, Hall, KeyHash, Limits, Model, Operator, Placement, Service, Target, Tier, Workspace,
@@ -6,34 +6,34 @@
 
 use crate::names::{GROUP, MODEL, SERVICE};
 
-/// Size and habits of a fleet.
+/// Size and settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Entry boxes.
+    /// Number of entries.
     pub entries: usize,
-    /// Ranks of the one group.
+    /// Number of ranks in the only group.
     pub ranks: usize,
-    /// Servers of the one plain service.
+    /// Number of servers of the only plain service.
     pub services: usize,
-    /// Whether ranks check fences themselves.
+    /// Whether ranks reject orders with an outdated fence themselves.
     pub checks_fence: bool,
-    /// Logical experts in each layer.
-    pub experts: u32,
-    /// Expert replicas that fit on one rank.
-    pub slots: u32,
-    /// Step time without load, in microseconds.
+    /// Number of logical experts in each layer.
+    pub expert_count: u32,
+    /// Number of expert replicas that fit on one rank.
+    pub slots_per_rank: u32,
+    /// Duration of a step without load, in microseconds.
     pub step_micros: u64,
-    /// Time that one call of the plain service works after its effect, in milliseconds.
+    /// Time that a call of the plain service keeps running after its effect, in milliseconds.
     pub service_work_ms: u64,
-    /// Records after which the folded state is appended again.
+    /// Number of records after which a snapshot of the folded state is appended to the log.
     pub snapshot_every: u64,
-    /// Cost of one unit of skew.
+    /// Placement cost of one unit of skew.
     pub weight_skew: f64,
-    /// Cost of one second of loading.
+    /// Placement cost of one second of loading weights.
     pub weight_move: f64,
-    /// Requests that one target runs at once.
+    /// Maximum number of requests in flight at one target.
     pub in_flight_per_target: u32,
-    /// Time for which a stopping entry still accepts requests, in milliseconds.
+    /// Time for which a draining entry still accepts requests, in milliseconds.
     pub stop_lag_ms: u64,
 }
 
@@ -44,8 +44,8 @@
             ranks: 2,
             services: 1,
             checks_fence: true,
-            experts: 8,
-            slots: 6,
+            expert_count: 8,
+            slots_per_rank: 6,
             step_micros: 1_000,
             service_work_ms: 2,
             snapshot_every: 1_000,
@@ -57,33 +57,33 @@
     }
 }
 
-/// Bearer key of the workspace called `name`.
+/// Returns the bearer key of the workspace called `name`.
 pub fn caller_key(name: &str) -> String {
     format!("key-of-{name}")
 }
 
 impl Plan {
-    /// Names of the targets that are ranks.
+    /// Returns the names of the targets that are ranks.
     pub fn rank_names(&self) -> Vec<String> {
         (0..self.ranks).map(|index| format!("rank-{index}")).collect()
     }
 
-    /// Names of the targets that run the plain service.
+    /// Returns the names of the targets that run the plain service.
     pub fn service_names(&self) -> Vec<String> {
         (0..self.services).map(|index| format!("calc-{index}")).collect()
     }
 
-    /// Names of the entries.
+    /// Returns the names of the entries.
     pub fn entry_names(&self) -> Vec<String> {
         (0..self.entries).map(|index| format!("entry-{index}")).collect()
     }
 
-    /// Hall of the box with this index; boxes are dealt out over two halls.
+    /// Returns the hall of the box with this index; boxes alternate between two halls.
     pub fn hall(index: usize) -> &'static str {
         if index.is_multiple_of(2) { "derby" } else { "nottingham" }
     }
 
-    /// The bundle of this fleet.
+    /// Returns the bundle of this fleet with the given version number.
     pub fn document(&self, version: u64, operators: Vec<Operator>) -> Document {
         Document {
             version,
@@ -127,7 +127,7 @@
                 queue_per_target: 256,
                 floor_one_in: 20,
                 deadline_ms: 20_000,
-                // Tests send few requests; the first ones have to be able to start again elsewhere.
+                // Tests send few requests, and even the first one must have enough retry budget for another target.
                 retry_percent: 100,
                 candidates: 40,
             },
@@ -152,8 +152,8 @@
             model: MODEL.to_owned(),
             ranks: self.rank_names(),
             layers: 1,
-            experts: self.experts,
-            slots: self.slots,
+            experts: self.expert_count,
+            slots: self.slots_per_rank,
             expert_bytes: 1_000_000,
         }
     }
--- a/crates/sparscale_fleet/tests/process/crashing_calls.rs
+++ b/crates/sparscale_fleet/tests/process/crashing_calls.rs
@@ -1,18 +1,18 @@
-//! A call that ends each target which runs it is not run again and again on the product's own path.
+//! A call that crashes every target it runs on must not take down the whole service.
 //!
-//! An entry knows a call by its attempts and forgets it with its answer, so each coming is the first: found by reading, after
-//! the same had been seen on the users' platform. Two comings of one call that may be repeated end all six targets.
+//! An entry forgets the attempts of a call once it has responded. If it kept no other record, every retry by the caller
+//! would count as a new call, and two requests of one repeatable call would crash all six targets.
 
 use http::StatusCode;
 use sparscale_fleet::{Error, Fleet, Plan, eventually};
 use sparscale_standin::{DEADLY_BODY, Fault, LINGER, LINGERING_BODY};
 
 const SERVICES: usize = 6;
-/// Targets that a call may end; after so many it is known.
-const MOST_ENDED: usize = 3;
+/// Targets that a call may crash before it is quarantined.
+const MAX_CRASHED_TARGETS: usize = 3;
 
 #[tokio::test]
-async fn ends_few() -> Result<(), Error> {
+async fn crashes_few_targets() -> Result<(), Error> {
     let plan = Plan {
         services: SERVICES,
         ..Plan::default()
@@ -22,14 +22,17 @@
         fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
     }
     let names: Vec<String> = (0..SERVICES).map(|index| format!("service-{index}")).collect();
-    let ended = names.iter().filter(|name| fleet.has_ended(name)).count();
-    assert!(ended <= MOST_ENDED, "{ended} of {SERVICES} ended");
+    let crashed = names.iter().filter(|name| fleet.has_exited(name)).count();
+    assert!(
+        crashed <= MAX_CRASHED_TARGETS,
+        "{crashed} of {SERVICES} targets crashed"
+    );
     Ok(())
 }
 
-/// What one entry saw holds at the other one, and at one that has just started.
+/// A quarantine that follows from one entry's attempts applies at the other entry and at one that has just started.
 #[tokio::test]
-async fn held_anywhere() -> Result<(), Error> {
+async fn quarantined_on_all_entries() -> Result<(), Error> {
     let plan = Plan {
         services: SERVICES,
         ..Plan::default()
@@ -39,51 +42,57 @@
     for _ in 0..2 {
         fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
     }
-    let ended = names.iter().filter(|name| fleet.has_ended(name)).count();
-    // Each strike is in the log once its entry has heard so.
-    eventually("entry-1 holds the call", || async {
-        let reply = fleet.call_service("entry-1", "rates", DEADLY_BODY, &[]).await.ok()?;
-        (reply.status == StatusCode::SERVICE_UNAVAILABLE && reply.text().contains("held back")).then_some(())
+    let crashed = names.iter().filter(|name| fleet.has_exited(name)).count();
+    // Entries learn of each other's strikes through the log, so it takes a while until all are known.
+    eventually("entry-1 rejects the quarantined call", || async {
+        let response = fleet.call_service("entry-1", "rates", DEADLY_BODY, &[]).await.ok()?;
+        (response.status == StatusCode::SERVICE_UNAVAILABLE && response.text().contains("held back")).then_some(())
     })
     .await?;
     fleet.kill("entry-0");
     fleet.start_entry("entry-0")?;
     fleet.wait_until_entry_ready("entry-0").await?;
-    let reply = fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
-    assert_eq!(reply.status, StatusCode::SERVICE_UNAVAILABLE, "{}", reply.text());
+    let response = fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", response.text());
     let other = fleet.call_service("entry-0", "rates", "{\"n\":1}", &[]).await?;
     assert_eq!(other.status, StatusCode::OK, "{}", other.text());
-    let later = names.iter().filter(|name| fleet.has_ended(name)).count();
-    assert!(ended <= MOST_ENDED && later <= ended + 1, "{ended} ended, then {later}");
+    let crashed_later = names.iter().filter(|name| fleet.has_exited(name)).count();
+    assert!(
+        crashed <= MAX_CRASHED_TARGETS && crashed_later <= crashed + 1,
+        "{crashed} targets crashed, then {crashed_later}"
+    );
     Ok(())
 }
 
-/// A log that answers late tells the entries no later than they need it: a call that comes through both at once.
+/// A call arrives through both entries in turn while the log responds slowly: its quarantine must not come too late.
 #[tokio::test]
-async fn held_late() -> Result<(), Error> {
+async fn quarantined_with_slow_log() -> Result<(), Error> {
     let plan = Plan {
         services: SERVICES,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("crashing-late", plan).await?;
-    let late = Fault {
+    let delay = Fault {
         delay_ms: 200,
         ..Fault::default()
     };
-    fleet.fault("log", late).await?;
+    fleet.fault("log", delay).await?;
     for entry in ["entry-0", "entry-1", "entry-0", "entry-1"] {
         fleet.call_service(entry, "rates", DEADLY_BODY, &[]).await?;
     }
-    let ended = (0..SERVICES)
-        .filter(|index| fleet.has_ended(&format!("service-{index}")))
+    let crashed = (0..SERVICES)
+        .filter(|index| fleet.has_exited(&format!("service-{index}")))
         .count();
-    assert!(ended <= MOST_ENDED, "{ended} of {SERVICES} ended");
+    assert!(
+        crashed <= MAX_CRASHED_TARGETS,
+        "{crashed} of {SERVICES} targets crashed"
+    );
     Ok(())
 }
 
-/// A target that ends a moment after its connections do counts as ended as well.
+/// A target that exits a moment after its connections have closed counts as crashed by the call, too.
 #[tokio::test]
-async fn ends_lingering() -> Result<(), Error> {
+async fn delayed_exit_is_crash() -> Result<(), Error> {
     let plan = Plan {
         services: SERVICES,
         ..Plan::default()
@@ -91,12 +100,15 @@
     let mut fleet = Fleet::start("crashing-lingering", plan).await?;
     for _ in 0..4 {
         fleet.call_service("entry-0", "rates", LINGERING_BODY, &[]).await?;
-        // By then whatever is to end has ended.
+        // By then a target that the call crashes has exited.
         tokio::time::sleep(LINGER * 2).await;
     }
-    let ended = (0..SERVICES)
-        .filter(|index| fleet.has_ended(&format!("service-{index}")))
+    let crashed = (0..SERVICES)
+        .filter(|index| fleet.has_exited(&format!("service-{index}")))
         .count();
-    assert!(ended <= MOST_ENDED, "{ended} of {SERVICES} ended");
+    assert!(
+        crashed <= MAX_CRASHED_TARGETS,
+        "{crashed} of {SERVICES} targets crashed"
+    );
     Ok(())
 }
--- a/crates/sparscale_fleet/tests/process/log_outage.rs
+++ b/crates/sparscale_fleet/tests/process/log_outage.rs
@@ -1,4 +1,5 @@
-//! The log is down, slow or forgetful: nothing reverts, and everything that was in force stays in force.
+//! The log is unavailable, loses responses or has discarded old records: no process reverts to an older bundle or stops
+//! serving.
 
 use http::StatusCode;
 use sparscale_fleet::{Error, Fleet, Plan, eventually};
@@ -12,8 +13,8 @@
     rate_limit: 0,
 };
 
-/// Highest bundle version that the process called `name` has put in force, and whether it ever went back.
-fn versions(fleet: &Fleet, name: &str) -> Vec<u64> {
+/// Bundle versions that the process called `name` has activated, in order.
+fn activated_versions(fleet: &Fleet, name: &str) -> Vec<u64> {
     let log = fleet.log_of(name);
     let lines = log
         .lines()
@@ -31,22 +32,22 @@
 async fn wait_for_version(fleet: &Fleet, version: u64) -> Result<(), Error> {
     for name in all_names(fleet) {
         eventually(&format!("{name} has version {version}"), || async {
-            (versions(fleet, &name).last() == Some(&version)).then_some(())
+            (activated_versions(fleet, &name).last() == Some(&version)).then_some(())
         })
         .await?;
     }
     Ok(())
 }
 
-/// Every process is replaced, one after the other, while the log is down: all serve, on the same version.
+/// All processes are replaced one by one while the log is down: each obtains the active bundle and serves.
 #[tokio::test]
-async fn boxes_replaced() -> Result<(), Error> {
+async fn processes_replaced() -> Result<(), Error> {
     let mut fleet = Fleet::start("boxes-replaced", Plan::default()).await?;
     fleet.roll_bundle(&fleet.document(2)).await?;
     wait_for_version(&fleet, 2).await?;
     fleet.fault("log", REFUSE).await?;
     for name in all_names(&fleet) {
-        let earlier = versions(&fleet, &name).len();
+        let activated_before = activated_versions(&fleet, &name).len();
         fleet.kill(&name);
         if name.starts_with("entry") {
             fleet.start_entry(&name)?;
@@ -54,16 +55,20 @@
             fleet.start_agent(&name)?;
         }
         eventually(&format!("{name} has a bundle"), || async {
-            (versions(&fleet, &name).len() > earlier).then_some(())
+            (activated_versions(&fleet, &name).len() > activated_before).then_some(())
         })
         .await?;
-        assert_eq!(versions(&fleet, &name).last(), Some(&2), "{name} must not revert");
+        assert_eq!(
+            activated_versions(&fleet, &name).last(),
+            Some(&2),
+            "{name} must not revert"
+        );
     }
     fleet.wait_until_ready().await?;
     Ok(())
 }
 
-/// A process that finds neither log nor peers serves nothing.
+/// A process that reaches neither the log nor a peer with a bundle rejects requests.
 #[tokio::test]
 async fn nothing_without_bundle() -> Result<(), Error> {
     let mut fleet = Fleet::prepare("nothing-without-bundle", Plan::default())?;
@@ -71,19 +76,19 @@
     fleet.roll_bundle(&fleet.document(1)).await?;
     fleet.fault("log", REFUSE).await?;
     fleet.start_all()?;
-    let reply = eventually("an entry answers", || async {
+    let response = eventually("an entry responds", || async {
         fleet.send_chat("entry-0", "teal", "hello", 1).await.ok()
     })
     .await?;
-    assert_eq!(reply.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(reply.member("outcome").as_deref(), Some("not_run"));
-    assert!(reply.headers.contains_key("retry-after"));
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(response.member("outcome").as_deref(), Some("not_run"));
+    assert!(response.headers.contains_key("retry-after"));
     fleet.fault("log", Fault::default()).await?;
     fleet.wait_until_ready().await
 }
 
-/// An outage before, in and after each of publish, approve and roll: the program tells the truth, and the same
-/// command given again finishes the job with one effect.
+/// The log fails before, during and after each of publish, approve and roll: the program reports the true outcome, and
+/// running the same command again completes the step exactly once.
 #[tokio::test]
 async fn outage_in_rollout() -> Result<(), Error> {
     let fleet = Fleet::start("outage-in-rollout", Plan::default()).await?;
@@ -94,41 +99,39 @@
         ("carol", vec!["bundle", "roll", "2"]),
     ];
     for (operator, arguments) in steps {
-        // Before: nothing was sent.
+        // Before: no record is sent.
         fleet.fault("log", REFUSE).await?;
-        let before = fleet.operator(operator, &arguments).await?;
+        let before = fleet.run_operator(operator, &arguments).await?;
         assert_eq!(before.status.code(), Some(3), "{arguments:?}");
-        // In: the answers of all appends are lost after the effect; the program reads on and finds its record.
-        let lose = Fault {
+        // During: the response to the append is lost after it took effect; the program reads the log and finds its
+        // record.
+        let lose_response = Fault {
             lose_answers: 1,
             ..Fault::default()
         };
-        fleet.fault("log", lose).await?;
-        let during = fleet.operator(operator, &arguments).await?;
+        fleet.fault("log", lose_response).await?;
+        let during = fleet.run_operator(operator, &arguments).await?;
         assert!(
             during.status.success(),
             "{arguments:?}: {}",
             String::from_utf8_lossy(&during.stdout)
         );
-        // After: the outage comes when all is done; nothing is undone by it.
+        // After: an outage that follows a completed step must not undo it.
         fleet.fault("log", REFUSE).await?;
         fleet.fault("log", Fault::default()).await?;
-        let again = fleet.operator(operator, &arguments).await?;
-        assert!(
-            !again.status.success(),
-            "a second effect of {arguments:?} must be refused"
-        );
+        let repeated = fleet.run_operator(operator, &arguments).await?;
+        assert!(!repeated.status.success(), "a second {arguments:?} must be rejected");
     }
     wait_for_version(&fleet, 2).await?;
-    let history = fleet.operator("alice", &["bundle", "history"]).await?;
+    let history = fleet.run_operator("alice", &["bundle", "history"]).await?;
     let text = String::from_utf8_lossy(&history.stdout).into_owned();
     assert_eq!(text.matches("rolled version 2  accepted").count(), 1, "{text}");
     Ok(())
 }
 
-/// Records expire: processes append the folded state in time, and a new process starts from it.
+/// Old records are discarded: processes have appended a snapshot by then, and new processes start from it.
 #[tokio::test]
-async fn records_expire() -> Result<(), Error> {
+async fn old_records_discarded() -> Result<(), Error> {
     let plan = Plan {
         snapshot_every: 16,
         ..Plan::default()
@@ -148,20 +151,20 @@
     })
     .await?;
     fleet
-        .change_standin("log", "/admin/retention", &serde_json::json!({ "earliest": snapshot }))
+        .configure_standin("log", "/admin/retention", &serde_json::json!({ "earliest": snapshot }))
         .await?;
     for name in all_names(&fleet) {
         fleet.kill(&name);
     }
-    let starts: Vec<usize> = all_names(&fleet)
+    let counts_before: Vec<usize> = all_names(&fleet)
         .iter()
-        .map(|name| versions(&fleet, name).len())
+        .map(|name| activated_versions(&fleet, name).len())
         .collect();
     fleet.start_all()?;
-    for (name, earlier) in all_names(&fleet).iter().zip(starts) {
+    for (name, count_before) in all_names(&fleet).iter().zip(counts_before) {
         eventually(&format!("{name} starts from the snapshot"), || async {
-            let versions = versions(&fleet, name);
-            (versions.len() > earlier && versions.last() == Some(&8)).then_some(())
+            let versions = activated_versions(&fleet, name);
+            (versions.len() > count_before && versions.last() == Some(&8)).then_some(())
         })
         .await?;
     }
--- a/crates/sparscale_fleet/tests/process/main.rs
+++ b/crates/sparscale_fleet/tests/process/main.rs
@@ -1,12 +1,13 @@
-//! Failures of whole systems: kills, freezes, cuts and outages, each against separate processes on loopback.
+//! Failure tests against complete systems of separate processes on loopback: kills, freezes, lost connections and
+//! outages.
 
-mod answer_check;
 mod box_drain;
-mod broken_answers;
 mod crashing_calls;
+mod interrupted_responses;
 mod key_resend;
 mod log_outage;
 mod map_change;
 mod operator_race;
 mod peer_certificates;
-mod target_pauses;
+mod response_check;
+mod target_backoff;
--- a/crates/sparscale_fleet/tests/process/map_change.rs
+++ b/crates/sparscale_fleet/tests/process/map_change.rs
@@ -1,4 +1,4 @@
-//! Expert maps change under load, kills and freezes, and no step ever runs on two maps.
+//! Expert maps are switched under load, kills and freezes, and no step runs with ranks on different maps.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use sparscale_fleet::{Error, Fleet, Plan, eventually};
 use sparscale_standin::{Fault, Outage};
 
-use crate::answer_check::whole_answer;
+use crate::response_check::expected_text;
 
 #[derive(Debug, Deserialize)]
 struct Counts {
@@ -21,8 +21,8 @@
     Plan {
         ranks: 3,
         services: 0,
-        experts: 12,
-        slots: 6,
+        expert_count: 12,
+        slots_per_rank: 6,
         weight_move: 0.000_1,
         ..Plan::default()
     }
@@ -32,7 +32,7 @@
     fleet.ask_standin(rank, "/admin/counts").await?.json()
 }
 
-/// Number of the map that all ranks use; none while they are not on one.
+/// Number of the map that all ranks use, `None` during a map switch.
 async fn common_map(fleet: &Fleet) -> Option<u64> {
     let mut numbers = Vec::new();
     for rank in fleet.plan().rank_names() {
@@ -43,33 +43,37 @@
     (numbers.len() == 1).then(|| numbers[0])
 }
 
-/// Makes the experts from `first` on the popular ones.
-async fn surge(fleet: &Fleet, first: usize) -> Result<(), Error> {
-    let experts = fleet.plan().experts as usize;
-    let weights: Vec<f64> = (0..experts)
-        .map(|index| 1.0 / ((index + experts - first) % experts + 1) as f64)
+/// Shifts popularity so that `first` is the most popular expert and the following ones are less and less so.
+async fn shift_popularity(fleet: &Fleet, first: usize) -> Result<(), Error> {
+    let expert_count = fleet.plan().expert_count as usize;
+    let weights: Vec<f64> = (0..expert_count)
+        .map(|index| 1.0 / ((index + expert_count - first) % expert_count + 1) as f64)
         .collect();
     let sum: f64 = weights.iter().sum();
     let popularity: Vec<f64> = weights.iter().map(|weight| weight / sum).collect();
     fleet
-        .change_standin("rank-0", "/admin/rank", &json!({ "popularity": popularity }))
+        .configure_standin("rank-0", "/admin/rank", &json!({ "popularity": popularity }))
         .await
 }
 
-/// Sends requests until the task is dropped; panics if one is answered wrongly.
-fn load(fleet: &Arc<Fleet>) -> tokio::task::JoinSet<()> {
+/// Sends requests until the returned set is dropped; a task panics if it receives a wrong response.
+fn spawn_load(fleet: &Arc<Fleet>) -> tokio::task::JoinSet<()> {
     let mut tasks = tokio::task::JoinSet::new();
     for worker in 0..6 {
         let fleet = Arc::clone(fleet);
         tasks.spawn(async move {
             for turn in 0.. {
                 let prompt = format!("worker {worker} turn {turn}");
-                if let Ok(reply) = fleet
+                if let Ok(response) = fleet
                     .send_chat(&format!("entry-{}", worker % 2), "teal", &prompt, 30)
                     .await
-                    && reply.status.is_success()
+                    && response.status.is_success()
                 {
-                    assert!(reply.text().contains(&whole_answer(&prompt, 30)), "{}", reply.text());
+                    assert!(
+                        response.text().contains(&expected_text(&prompt, 30)),
+                        "{}",
+                        response.text()
+                    );
                 }
             }
         });
@@ -77,44 +81,44 @@
     tasks
 }
 
-async fn wait_for_new_map(fleet: &Fleet, old: u64) -> Result<u64, Error> {
+async fn wait_for_new_map(fleet: &Fleet, old_number: u64) -> Result<u64, Error> {
     eventually("all ranks use a new map", || async {
-        common_map(fleet).await.filter(|number| *number > old)
+        common_map(fleet).await.filter(|number| *number > old_number)
     })
     .await
 }
 
-async fn no_mixed_steps(fleet: &Fleet) -> Result<(), Error> {
+async fn assert_no_mixed_steps(fleet: &Fleet) -> Result<(), Error> {
     let counts = counts(fleet, "rank-0").await?;
     assert_eq!(counts.mixed_steps, 0, "of {} steps", counts.steps);
     Ok(())
 }
 
-/// Drift leads to new maps, one after the other, while requests go on.
+/// Drifting popularity leads to one new map after another while requests are served.
 #[tokio::test]
 async fn follows_drift() -> Result<(), Error> {
     let fleet = Arc::new(Fleet::start("follows-drift", plan()).await?);
-    let _load = load(&fleet);
-    surge(&fleet, 0).await?;
+    let _load = spawn_load(&fleet);
+    shift_popularity(&fleet, 0).await?;
     let first = wait_for_new_map(&fleet, 0).await?;
-    surge(&fleet, 5).await?;
+    shift_popularity(&fleet, 5).await?;
     wait_for_new_map(&fleet, first).await?;
-    no_mixed_steps(&fleet).await
+    assert_no_mixed_steps(&fleet).await
 }
 
-/// The placer is frozen in mid-work and wakes after another has claimed its duty: it is harmless.
+/// The placer is frozen and resumed after another entry has claimed its duty: its orders have no effect.
 #[tokio::test]
 async fn placer_frozen() -> Result<(), Error> {
     placer_frozen_with(true).await
 }
 
-/// The same where ranks do not check who gives them an order.
+/// The same if ranks don't check fences themselves.
 #[tokio::test]
-async fn placer_frozen_unchecked() -> Result<(), Error> {
+async fn placer_frozen_without_fence_check() -> Result<(), Error> {
     placer_frozen_with(false).await
 }
 
-fn placing(fleet: &Fleet, entry: &str) -> bool {
+fn has_placed(fleet: &Fleet, entry: &str) -> bool {
     fleet.log_of(entry).contains("\"placing\"")
 }
 
@@ -126,47 +130,51 @@
         "placer-frozen-unchecked"
     };
     let fleet = Arc::new(Fleet::start(name, plan).await?);
-    let _load = load(&fleet);
-    surge(&fleet, 0).await?;
+    let _load = spawn_load(&fleet);
+    shift_popularity(&fleet, 0).await?;
     let first = wait_for_new_map(&fleet, 0).await?;
-    let holder = if placing(&fleet, "entry-0") {
+    let holder = if has_placed(&fleet, "entry-0") {
         "entry-0"
     } else {
         "entry-1"
     };
     let other = if holder == "entry-0" { "entry-1" } else { "entry-0" };
-    surge(&fleet, 5).await?;
+    shift_popularity(&fleet, 5).await?;
     fleet.freeze(holder)?;
-    eventually("the other entry places", || async {
-        placing(&fleet, other).then_some(())
+    eventually("the other entry becomes placer", || async {
+        has_placed(&fleet, other).then_some(())
     })
     .await?;
     let second = wait_for_new_map(&fleet, first).await?;
-    fleet.wake(holder)?;
-    eventually("the woken placer stops", || async {
+    fleet.resume(holder)?;
+    eventually("the resumed placer gives up its duty", || async {
         fleet.log_of(holder).contains("lost the duty").then_some(())
     })
     .await?;
-    surge(&fleet, 9).await?;
+    shift_popularity(&fleet, 9).await?;
     wait_for_new_map(&fleet, second).await?;
-    let old = counts(&fleet, "rank-1").await?.old_orders;
-    assert_eq!(old, 0, "an agent passes no order under an old fence on");
-    no_mixed_steps(&fleet).await
+    let old_orders = counts(&fleet, "rank-1").await?.old_orders;
+    assert_eq!(
+        old_orders, 0,
+        "an agent must not forward an order with an outdated fence"
+    );
+    assert_no_mixed_steps(&fleet).await
 }
 
-/// A rank is replaced in the middle, its agent dies, the log goes down and comes back: the group runs on one map.
+/// During map switches a rank is replaced, the log fails and recovers, and an agent restarts: the group always returns
+/// to one map.
 #[tokio::test]
 async fn rank_replaced() -> Result<(), Error> {
     let fleet = Fleet::start("rank-replaced", plan()).await?;
     let mut fleet = fleet;
-    surge(&fleet, 0).await?;
+    shift_popularity(&fleet, 0).await?;
     let first = {
         let shared = Arc::new(fleet);
-        let load = load(&shared);
+        let load = spawn_load(&shared);
         let first = wait_for_new_map(&shared, 0).await?;
-        surge(&shared, 5).await?;
+        shift_popularity(&shared, 5).await?;
         shared
-            .change_standin("rank-1", "/admin/rank", &json!({ "replace": true }))
+            .configure_standin("rank-1", "/admin/rank", &json!({ "replace": true }))
             .await?;
         let outage = Fault {
             outage: Outage::Refuse,
@@ -178,7 +186,7 @@
         })
         .await?;
         let steps = counts(&shared, "rank-0").await?.steps;
-        eventually("the group goes on", || async {
+        eventually("the group runs further steps", || async {
             (counts(&shared, "rank-0").await.ok()?.steps > steps).then_some(())
         })
         .await?;
@@ -195,8 +203,8 @@
     fleet.start_agent("rank-2")?;
     fleet.wait_until_entry_ready("entry-0").await?;
     let fleet = Arc::new(fleet);
-    let _load = load(&fleet);
-    surge(&fleet, 9).await?;
+    let _load = spawn_load(&fleet);
+    shift_popularity(&fleet, 9).await?;
     wait_for_new_map(&fleet, first).await?;
-    no_mixed_steps(&fleet).await
+    assert_no_mixed_steps(&fleet).await
 }
--- a/crates/sparscale_samples/src/lib.rs
+++ b/crates/sparscale_samples/src/lib.rs
@@ -1,6 +1,6 @@
-//! Sample catalogs, rosters and clocks for tests.
+//! Sample catalogs, rosters and a controllable clock, shared by the tests of several crates.
 
-mod sleeper;
+mod suspendable_clock;
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,19 +10,20 @@
     Document, Engine, Experts, Kind, Limits, Roster, Route, Service, Share, Standing, Target, Workspace,
 };
 
-pub use sleeper::Sleeper;
+pub use suspendable_clock::Sleeper;
 
-/// Key of the sample workspace.
+/// Bearer key of the sample workspace.
 pub const KEY: &str = "sample-key";
-/// Host of every sample route.
+/// Host name that every sample route matches.
 pub const HOST: &str = "sample.example";
-/// The plain service.
+/// Name of the plain service.
 pub const CALC: &str = "calc";
-/// The model service.
+/// Name of the model service.
 pub const MODEL: &str = "model";
 
-/// A catalog with a repeatable route (`/any/`), one whose requests run once (`/once/`), a stream that can be resumed
-/// (`/stream/`), one that cannot (`/cut/`) and an open one (`/open/`).
+/// Returns a catalog with a route for repeatable requests (`/any/`), one for requests that run at most once (`/once/`),
+/// one for resumable streams (`/stream/`), one for streams that can't be resumed (`/cut/`) and one that needs no key
+/// (`/open/`).
 pub fn document(version: u64) -> Document {
     let stream = |resumable| Kind::Stream {
         resumable,
@@ -61,7 +62,7 @@
     }
 }
 
-/// A route called `name` with the prefix `/name/`.
+/// Returns a route called `name` with the prefix `/name/`.
 pub fn route(name: &str, kind: Kind, service: &str, attempts: u32) -> Route {
     Route {
         name: name.to_owned(),
@@ -80,7 +81,7 @@
     }
 }
 
-/// An engine with a small group of experts.
+/// Returns the engine settings of a service with a small number of experts.
 pub fn engine() -> Engine {
     Engine {
         slots: 12,
@@ -108,7 +109,7 @@
     }
 }
 
-/// A target that takes work, on loopback.
+/// Returns a ready target on loopback.
 pub fn target(id: &str, service: &str, port: u16) -> Target {
     Target {
         id: id.to_owned(),
@@ -123,7 +124,7 @@
     }
 }
 
-/// A roster of one calculator and one model target.
+/// Returns a roster with one target of the plain service and one of the model service.
 pub fn roster() -> Roster {
     Roster::new(vec![target("c-1", CALC, 9_001), target("m-1", MODEL, 9_002)])
 }
--- /dev/null
+++ b/crates/sparscale_samples/src/suspendable_clock.rs
@@ -0,0 +1,26 @@
+//! A clock on which tests simulate the suspension of a machine.
+
+use std::sync::{Mutex, PoisonError};
+use std::time::Duration;
+
+use sparscale_clock::{Clock, SystemClock, Timestamp};
+
+/// Adds simulated suspended time to the system clock.
+#[derive(Debug, Default)]
+pub struct Sleeper {
+    system_clock: SystemClock,
+    suspended_time: Mutex<Duration>,
+}
+
+impl Sleeper {
+    /// Advances the clock as if the machine had been suspended for `duration` and resumed just now.
+    pub fn wake_after(&self, duration: Duration) {
+        *self.suspended_time.lock().unwrap_or_else(PoisonError::into_inner) += duration;
+    }
+}
+
+impl Clock for Sleeper {
+    fn now(&self) -> Timestamp {
+        self.system_clock.now() + *self.suspended_time.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
