--- a/crates/sparscale_fleet/src/bin/demo.rs
+++ b/crates/sparscale_fleet/src/bin/demo.rs
@@ -45,11 +45,11 @@
         "\n== a streamed model answer through {entry}\n{}",
         stream.rest().await?.trim()
     );
-    let whole = fleet.send_chat(entry, "umber", prompt, 4).await?;
-    println!("\n== a whole model answer through {entry}\n{}", whole.text());
-    let rates = fleet
+    let response = fleet.send_chat(entry, "umber", prompt, 4).await?;
+    println!("\n== a whole model answer through {entry}\n{}", response.text());
+    let illustration = fleet
         .call_service(entry, "illustration", "{\"loan\": 180000}", &[])
         .await?;
-    println!("\n== a plain service's answer through {entry}\n{}", rates.text());
+    println!("\n== a plain service's answer through {entry}\n{}", illustration.text());
     Ok(())
 }
