--- a/crates/sparscale_standin/src/command.rs
+++ b/crates/sparscale_standin/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Command line of the stand-ins.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,15 +9,15 @@
 
 use crate::{boxes, group, keys, log_service, service, weights};
 
-/// The command and its subcommands.
+/// Returns the command with one subcommand for each stand-in.
 pub fn command() -> Command {
     Command::new("sparscale-standin")
-        .about("Stand-ins for the platform's parts, for tests and the demo only")
+        .about("Stand-ins for the platform's services, for tests and the demo only")
         .subcommand_required(true)
         .subcommand(Command::new("log").about("The append-only log").arg(listen()))
         .subcommand(
             Command::new("boxes")
-                .about("The list of live and leaving boxes")
+                .about("The list of live and draining boxes")
                 .arg(listen()),
         )
         .subcommand(
@@ -35,7 +35,7 @@
         .subcommand(group_command())
         .subcommand(
             Command::new("keys")
-                .about("Writes certificates of a throw-away authority")
+                .about("Writes a throw-away certificate authority and certificates that it signed")
                 .arg(
                     Arg::new("directory")
                         .required(true)
@@ -46,7 +46,7 @@
 
 fn group_command() -> Command {
     Command::new("group")
-        .about("A group of ranks in lock-step, one --listen for each rank")
+        .about("A group of ranks that advance in lock-step; give one --listen for each rank")
         .arg(listen().action(ArgAction::Append))
         .arg(number("layers", "1"))
         .arg(number("experts", "8"))
@@ -61,7 +61,7 @@
             Arg::new("no-fence")
                 .long("no-fence")
                 .action(ArgAction::SetTrue)
-                .help("Ranks do not check who gives them an order"),
+                .help("Ranks accept orders with an outdated fence"),
         )
 }
 
@@ -80,7 +80,7 @@
         .value_parser(value_parser!(u64))
 }
 
-/// Runs the stand-in that `matches` names until the process is ended.
+/// Runs the selected stand-in until the process is terminated.
 pub async fn run(matches: &ArgMatches) -> Result<(), String> {
     match matches.subcommand() {
         Some(("log", matches)) => log_service::start(address(matches)?)?.await,
@@ -89,17 +89,17 @@
             weights::start(address(matches)?, value(matches, "bytes-per-second") as f64)?.await
         }
         Some(("service", matches)) => {
-            let work = Duration::from_millis(value(matches, "work-ms"));
-            service::start(address(matches)?, work)?.await
+            let work_time = Duration::from_millis(value(matches, "work-ms"));
+            service::start(address(matches)?, work_time)?.await
         }
         Some(("group", matches)) => run_group(matches).await,
         Some(("keys", matches)) => {
             let directory = matches
                 .get_one::<PathBuf>("directory")
-                .ok_or("keys: give a directory")?;
+                .ok_or("keys: DIRECTORY is missing; give the directory to write to")?;
             keys::write(directory)
         }
-        _ => Err("give a subcommand; --help lists them".to_owned()),
+        _ => Err("no subcommand given; --help lists them".to_owned()),
     }
 }
 
@@ -113,13 +113,13 @@
             slots: value(matches, "slots") as usize,
         },
         addresses,
-        base: Duration::from_micros(value(matches, "step-micros")),
-        per_sequence: Duration::from_micros(value(matches, "sequence-micros")),
-        batch: value(matches, "batch") as usize,
+        base_step_time: Duration::from_micros(value(matches, "step-micros")),
+        time_per_sequence: Duration::from_micros(value(matches, "sequence-micros")),
+        batch_size: value(matches, "batch") as usize,
         prefill_per_step: value(matches, "prefill-per-step") as usize,
         checks_fence: !matches.get_flag("no-fence"),
         expert_bytes: value(matches, "expert-bytes"),
-        weights: matches.get_one::<String>("weights").cloned(),
+        weight_store_url: matches.get_one::<String>("weights").cloned(),
     };
     let servers = group::start(settings)?;
     futures::future::try_join_all(servers).await?;
@@ -130,7 +130,7 @@
     matches
         .get_one("listen")
         .copied()
-        .ok_or_else(|| "give --listen".to_owned())
+        .ok_or_else(|| "--listen is missing; give the address to serve HTTP at".to_owned())
 }
 
 fn value(matches: &ArgMatches, name: &str) -> u64 {
--- a/crates/sparscale_standin/src/engine.rs
+++ b/crates/sparscale_standin/src/engine.rs
@@ -1,5 +1,7 @@
-//! The simulation of a group of ranks in lock-step on an expert map. It counts, itself, each step in which ranks
-//! would differ.
+//! Simulates a group of ranks that run in lock-step on an expert map.
+//!
+//! It counts each step in which ranks would have used different maps, so that tests can check that map switches are
+//! atomic.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -12,31 +14,31 @@
 use sparscale_place::{Map, Shape};
 use tokio::sync::mpsc;
 
-/// Characters of a prompt in one cached block.
+/// Characters of a prompt that one cached block covers.
 const BLOCK_CHARS: usize = 64;
-/// Cached blocks of one rank.
-const CACHE_BLOCKS: usize = 4_096;
-/// Characters that make a token.
+/// Cache size of one rank, in blocks.
+const MAX_CACHED_BLOCKS: usize = 4_096;
+/// Prompt characters that count as one token.
 const CHARS_PER_TOKEN: usize = 4;
-/// Seed of the noise on expert counts.
-const SEED: u64 = 1;
-/// Cache events that are kept for readers; older ones are a gap.
-const EVENTS: usize = 256;
+/// Seed of the noise on expert token counts.
+const NOISE_SEED: u64 = 1;
+/// Number of cache events kept for readers; a reader that asks for older ones sees a gap.
+const MAX_CACHE_EVENTS: usize = 256;
 
-/// How fast the group is.
+/// Parameters of the step time and of the work done in one step.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Speed {
+pub(crate) struct StepModel {
     /// Step time without load.
-    pub(crate) base: Duration,
+    pub(crate) base_step_time: Duration,
     /// Step time added by each sequence on the most loaded rank.
-    pub(crate) per_sequence: Duration,
+    pub(crate) time_per_sequence: Duration,
     /// Prompt tokens that one rank prefills in one step.
     pub(crate) prefill_per_step: usize,
-    /// Sequences that one rank decodes at once.
-    pub(crate) batch: usize,
+    /// Maximum number of sequences that one rank runs at once.
+    pub(crate) batch_size: usize,
 }
 
-/// A request as the engine knows it.
+/// A request that waits or runs on a rank.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) request: String,
@@ -44,9 +46,10 @@
     pub(crate) prompt: String,
     pub(crate) tokens: usize,
     pub(crate) sink: mpsc::UnboundedSender<String>,
-    produced: usize,
-    prefill_left: usize,
-    mark: String,
+    produced_tokens: usize,
+    prefill_remaining: usize,
+    /// Prefix of every token; see [`response_tag_of`].
+    response_tag: String,
 }
 
 impl Sequence {
@@ -57,134 +60,139 @@
         tokens: usize,
         sink: mpsc::UnboundedSender<String>,
     ) -> Self {
-        let mark = mark_of(&prompt);
+        let response_tag = response_tag_of(&prompt);
         Self {
             request,
             priority,
             prompt,
             tokens,
             sink,
-            produced: 0,
-            prefill_left: 0,
-            mark,
+            produced_tokens: 0,
+            prefill_remaining: 0,
+            response_tag,
         }
     }
 }
 
-/// Eight digits that every token of an answer carries, so that a test can tell whose answer it is.
-pub(crate) fn mark_of(prompt: &str) -> String {
+/// Returns eight hex digits that every token of a response carries, so that a test can match a response to its prompt.
+pub(crate) fn response_tag_of(prompt: &str) -> String {
     hex::encode(&Sha256::digest(prompt.as_bytes())[..4])
 }
 
-/// A map with its number.
+/// An expert map with its number.
 #[derive(Debug, Clone, Deserialize)]
-pub(crate) struct Numbered {
+pub(crate) struct NumberedMap {
     pub(crate) number: u64,
     pub(crate) map: Map,
 }
 
-/// One rank.
+/// One rank of the group.
 #[derive(Debug)]
 pub(crate) struct Rank {
     pub(crate) switch: Switch,
     pub(crate) checks_fence: bool,
-    pub(crate) frozen: bool,
-    pub(crate) loaded: HashSet<u64>,
+    pub(crate) is_frozen: bool,
+    pub(crate) loaded_maps: HashSet<u64>,
     pub(crate) waiting: VecDeque<Sequence>,
     pub(crate) running: Vec<Sequence>,
-    cache: VecDeque<u64>,
+    /// Cached blocks, oldest first.
+    cached_in_order: VecDeque<u64>,
     cached: HashSet<u64>,
-    pub(crate) events: VecDeque<(u64, u64, bool)>,
+    /// Number and block of each event, and whether the block was added (or evicted).
+    pub(crate) cache_events: VecDeque<(u64, u64, bool)>,
     next_event: u64,
-    /// Tokens that each expert served, layer by layer.
+    /// Tokens that each expert processed, layer by layer.
     pub(crate) expert_tokens: Vec<u64>,
-    pub(crate) old_orders: u64,
+    /// Orders with an outdated fence.
+    pub(crate) stale_order_count: u64,
 }
 
 /// The whole group.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) shape: Shape,
-    pub(crate) speed: Speed,
+    pub(crate) step_model: StepModel,
     pub(crate) ranks: Vec<Rank>,
     pub(crate) maps: HashMap<u64, Map>,
     pub(crate) step: u64,
+    /// Steps in which ranks would have used different maps.
     pub(crate) mixed_steps: u64,
-    pub(crate) held: u64,
-    pub(crate) step_micros: u64,
+    /// Polls at which no rank could advance.
+    pub(crate) stall_count: u64,
+    pub(crate) last_step_micros: u64,
     pub(crate) skew_sum: f64,
     pub(crate) popularity: Vec<f64>,
     random: ChaCha8Rng,
 }
 
-/// What one step did.
+/// Outcome of one attempt to step.
 pub(crate) enum Step {
-    /// A rank is frozen, armed or without a plan: nobody advances.
-    Held,
-    /// All ranks advanced; the next step comes after this time.
-    Ran(Duration),
+    /// No rank advanced, because a rank is frozen, armed or has no plan.
+    Stalled,
+    /// All ranks advanced; the step takes this time.
+    Advanced(Duration),
 }
 
 impl Group {
-    pub(crate) fn new(shape: Shape, speed: Speed, checks_fence: bool) -> Self {
+    pub(crate) fn new(shape: Shape, step_model: StepModel, checks_fence: bool) -> Self {
         let ranks = (0..shape.ranks)
             .map(|_| Rank::new(Switch::cold_start(rand::random()), checks_fence, shape))
             .collect();
         Self {
             shape,
-            speed,
+            step_model,
             ranks,
             maps: HashMap::from([(0, Map::initial(shape))]),
             step: 0,
             mixed_steps: 0,
-            held: 0,
-            step_micros: 0,
+            stall_count: 0,
+            last_step_micros: 0,
             skew_sum: 0.0,
             popularity: vec![1.0 / shape.experts as f64; shape.experts],
-            random: ChaCha8Rng::seed_from_u64(SEED),
+            random: ChaCha8Rng::seed_from_u64(NOISE_SEED),
         }
     }
 
-    /// Replaces rank `index` by a new process without any state.
+    /// Replaces rank `index` by a new incarnation without state.
     pub(crate) fn replace(&mut self, index: usize) {
         let checks_fence = self.ranks[index].checks_fence;
         self.ranks[index] = Rank::new(Switch::joining(rand::random()), checks_fence, self.shape);
     }
 
-    /// Advances all ranks by one step, or none.
+    /// Advances all ranks by one step, or none of them.
     pub(crate) fn step(&mut self) -> Step {
         let next = self.step + 1;
-        let peeked: Option<Vec<u64>> = self.ranks.iter().map(|rank| rank.peek(next)).collect();
-        let Some(numbers) = peeked else {
-            self.held += 1;
-            return Step::Held;
+        let map_numbers: Option<Vec<u64>> = self.ranks.iter().map(|rank| rank.peek_next_map(next)).collect();
+        let Some(map_numbers) = map_numbers else {
+            self.stall_count += 1;
+            return Step::Stalled;
         };
-        if numbers.iter().any(|number| *number != numbers[0]) {
+        if map_numbers.iter().any(|number| *number != map_numbers[0]) {
             self.mixed_steps += 1;
         }
         self.step = next;
         for rank in &mut self.ranks {
             rank.switch.begin_step(next);
         }
-        let load = self.rank_loads(numbers[0]);
-        let took = self.step_time(&load);
-        self.step_micros = took.as_micros() as u64;
+        let loads = self.rank_loads(map_numbers[0]);
+        let duration = self.step_time(&loads);
+        self.last_step_micros = duration.as_micros() as u64;
         for rank in &mut self.ranks {
-            rank.advance(self.speed);
+            rank.advance(self.step_model);
         }
         self.count_experts();
-        Step::Ran(took)
+        Step::Advanced(duration)
     }
 
-    /// Carries out an order on one rank; `maps` are those that the order names.
-    pub(crate) fn order(&mut self, rank: usize, order: &Order, maps: Vec<Numbered>) -> Report {
+    /// Applies an order to one rank; `maps` are the maps that the order refers to.
+    pub(crate) fn handle_order(&mut self, rank: usize, order: &Order, maps: Vec<NumberedMap>) -> Report {
         for numbered in maps {
             self.maps.insert(numbered.number, numbered.map);
         }
-        self.ranks[rank].order(order)
+        self.ranks[rank].handle_order(order)
     }
 
-    /// Share of the step's expert work that falls on each rank, times the number of ranks: 1 is the mean.
+    /// Returns the expert load of each rank relative to the mean load of all ranks.
     fn rank_loads(&self, number: u64) -> Vec<f64> {
         let Some(layer) = self.maps.get(&number).and_then(|map| map.layers.first()) else {
             return vec![1.0; self.shape.ranks];
@@ -201,18 +209,18 @@
         layer
             .ranks
             .iter()
-            .map(|held| held.iter().map(share).sum::<f64>() * ranks)
+            .map(|experts| experts.iter().map(share).sum::<f64>() * ranks)
             .collect()
     }
 
     fn step_time(&mut self, loads: &[f64]) -> Duration {
         let skew = loads.iter().copied().fold(0.0, f64::max);
         self.skew_sum += skew;
-        let busiest = self.ranks.iter().map(|rank| rank.running.len()).max().unwrap_or(0);
-        let total: usize = self.ranks.iter().map(|rank| rank.running.len()).sum();
-        let mean = total as f64 / self.ranks.len() as f64;
-        let sequences = busiest as f64 + mean * (skew - 1.0).max(0.0);
-        self.speed.base + self.speed.per_sequence.mul_f64(sequences)
+        let max_running = self.ranks.iter().map(|rank| rank.running.len()).max().unwrap_or(0);
+        let total_running: usize = self.ranks.iter().map(|rank| rank.running.len()).sum();
+        let mean_running = total_running as f64 / self.ranks.len() as f64;
+        let sequences = max_running as f64 + mean_running * (skew - 1.0).max(0.0);
+        self.step_model.base_step_time + self.step_model.time_per_sequence.mul_f64(sequences)
     }
 
     fn count_experts(&mut self) {
@@ -236,49 +244,53 @@
         Self {
             switch,
             checks_fence,
-            frozen: false,
-            loaded: HashSet::from([0]),
+            is_frozen: false,
+            loaded_maps: HashSet::from([0]),
             waiting: VecDeque::new(),
             running: Vec::new(),
-            cache: VecDeque::new(),
+            cached_in_order: VecDeque::new(),
             cached: HashSet::new(),
-            events: VecDeque::new(),
+            cache_events: VecDeque::new(),
             next_event: 0,
             expert_tokens: vec![0; shape.layers * shape.experts],
-            old_orders: 0,
+            stale_order_count: 0,
         }
     }
 
-    fn peek(&self, step: u64) -> Option<u64> {
-        if self.frozen { None } else { self.switch.peek_map(step) }
+    fn peek_next_map(&self, step: u64) -> Option<u64> {
+        if self.is_frozen {
+            None
+        } else {
+            self.switch.peek_map(step)
+        }
     }
 
-    fn order(&mut self, order: &Order) -> Report {
-        let highest = self.switch.report(false).fence;
-        if order.fence < highest {
-            self.old_orders += 1;
+    fn handle_order(&mut self, order: &Order) -> Report {
+        let highest_fence = self.switch.report(false).fence;
+        if order.fence < highest_fence {
+            self.stale_order_count += 1;
         }
         let effective = Order {
-            // A target that checks no fence takes every order as if it were the latest.
+            // Without a fence check, the rank accepts every order as if it came from the latest leader.
             fence: if self.checks_fence {
                 order.fence
             } else {
-                order.fence.max(highest)
+                order.fence.max(highest_fence)
             },
             act: order.act,
         };
-        let loaded = match order.act {
-            Act::Stage { number } => self.loaded.contains(&number),
+        let is_loaded = match order.act {
+            Act::Stage { number } => self.loaded_maps.contains(&number),
             _ => false,
         };
-        self.switch.handle_order(&effective, loaded)
+        self.switch.handle_order(&effective, is_loaded)
     }
 
     pub(crate) fn cancel(&mut self, request: &str) -> bool {
-        let before = self.waiting.len() + self.running.len();
+        let len_before = self.waiting.len() + self.running.len();
         self.waiting.retain(|sequence| sequence.request != request);
         self.running.retain(|sequence| sequence.request != request);
-        before != self.waiting.len() + self.running.len()
+        len_before != self.waiting.len() + self.running.len()
     }
 
     pub(crate) fn prefill_tokens(&self) -> usize {
@@ -287,91 +299,96 @@
             .iter()
             .map(|sequence| sequence.prompt.len() / CHARS_PER_TOKEN)
             .sum();
-        waiting + self.running.iter().map(|sequence| sequence.prefill_left).sum::<usize>()
+        waiting
+            + self
+                .running
+                .iter()
+                .map(|sequence| sequence.prefill_remaining)
+                .sum::<usize>()
     }
 
-    fn advance(&mut self, speed: Speed) {
-        self.admit(speed.batch);
-        let mut budget = speed.prefill_per_step;
+    fn advance(&mut self, step_model: StepModel) {
+        self.admit(step_model.batch_size);
+        let mut budget = step_model.prefill_per_step;
         for sequence in &mut self.running {
-            let done = budget.min(sequence.prefill_left);
-            sequence.prefill_left -= done;
-            budget -= done;
-            if sequence.prefill_left == 0 {
-                sequence.produce();
+            let prefilled = budget.min(sequence.prefill_remaining);
+            sequence.prefill_remaining -= prefilled;
+            budget -= prefilled;
+            if sequence.prefill_remaining == 0 {
+                sequence.emit_token();
             }
         }
         self.running
-            .retain(|sequence| sequence.produced < sequence.tokens && !sequence.sink.is_closed());
+            .retain(|sequence| sequence.produced_tokens < sequence.tokens && !sequence.sink.is_closed());
     }
 
-    fn admit(&mut self, batch: usize) {
-        while self.running.len() < batch {
-            let urgent = self
+    fn admit(&mut self, batch_size: usize) {
+        while self.running.len() < batch_size {
+            let most_urgent = self
                 .waiting
                 .iter()
                 .enumerate()
                 .min_by_key(|(index, waiting)| (waiting.priority, *index));
-            let Some(index) = urgent.map(|(index, _)| index) else {
+            let Some(index) = most_urgent.map(|(index, _)| index) else {
                 return;
             };
             let Some(mut sequence) = self.waiting.remove(index) else {
                 return;
             };
-            let hit = self.cache_hit(&sequence.prompt);
+            let hit_blocks = self.cache_hit(&sequence.prompt);
             let prompt_tokens = sequence.prompt.len() / CHARS_PER_TOKEN;
-            sequence.prefill_left = prompt_tokens.saturating_sub(hit * BLOCK_CHARS / CHARS_PER_TOKEN);
+            sequence.prefill_remaining = prompt_tokens.saturating_sub(hit_blocks * BLOCK_CHARS / CHARS_PER_TOKEN);
             self.running.push(sequence);
         }
     }
 
-    /// Blocks of the prompt that were cached; all are cached afterwards.
+    /// Returns how many leading blocks of the prompt are cached, and caches the others.
     fn cache_hit(&mut self, prompt: &str) -> usize {
         let blocks = prefix_blocks(prompt);
-        let hit = blocks.iter().take_while(|block| self.cached.contains(block)).count();
-        for block in blocks.into_iter().skip(hit) {
-            self.remember(block);
+        let hit_blocks = blocks.iter().take_while(|block| self.cached.contains(block)).count();
+        for block in blocks.into_iter().skip(hit_blocks) {
+            self.insert_block(block);
         }
-        hit
+        hit_blocks
     }
 
-    fn remember(&mut self, block: u64) {
+    fn insert_block(&mut self, block: u64) {
         if !self.cached.insert(block) {
             return;
         }
-        self.cache.push_back(block);
-        self.publish(block, true);
-        if self.cache.len() <= CACHE_BLOCKS {
+        self.cached_in_order.push_back(block);
+        self.record_cache_event(block, true);
+        if self.cached_in_order.len() <= MAX_CACHED_BLOCKS {
             return;
         }
-        if let Some(oldest) = self.cache.pop_front() {
+        if let Some(oldest) = self.cached_in_order.pop_front() {
             self.cached.remove(&oldest);
-            self.publish(oldest, false);
+            self.record_cache_event(oldest, false);
         }
     }
 
-    fn publish(&mut self, block: u64, added: bool) {
-        self.events.push_back((self.next_event, block, added));
+    fn record_cache_event(&mut self, block: u64, added: bool) {
+        self.cache_events.push_back((self.next_event, block, added));
         self.next_event += 1;
-        if self.events.len() > EVENTS {
-            self.events.pop_front();
+        if self.cache_events.len() > MAX_CACHE_EVENTS {
+            self.cache_events.pop_front();
         }
     }
 }
 
 impl Sequence {
-    fn produce(&mut self) {
-        let token = format!("{}:{} ", self.mark, self.produced);
-        self.produced += 1;
-        // A reader that is gone is noticed after the step.
-        let _gone = self.sink.send(token);
+    fn emit_token(&mut self) {
+        let token = format!("{}:{} ", self.response_tag, self.produced_tokens);
+        self.produced_tokens += 1;
+        // `advance` removes sequences whose reader has closed the channel.
+        let _closed = self.sink.send(token);
     }
 }
 
-/// Hashes of the prompt's blocks, each over everything up to its end.
+/// Returns a hash for each whole block of the prompt; each covers the prompt up to the end of its block.
 fn prefix_blocks(prompt: &str) -> Vec<u64> {
-    let whole = prompt.len() / BLOCK_CHARS;
-    let prefixes = (1..=whole).map(|count| &prompt.as_bytes()[..count * BLOCK_CHARS]);
+    let whole_blocks = prompt.len() / BLOCK_CHARS;
+    let prefixes = (1..=whole_blocks).map(|count| &prompt.as_bytes()[..count * BLOCK_CHARS]);
     prefixes.map(block_hash).collect()
 }
 
--- a/crates/sparscale_standin/src/fault.rs
+++ b/crates/sparscale_standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that tests switch on and off.
+//! Faults that tests set in a stand-in at run time.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -7,55 +7,55 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Pause between two looks at whether an outage is over.
-const STALL_PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which a stalled call checks whether the outage is over.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How a stand-in is out of order.
+/// Kind of outage of a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// It works.
+    /// No outage.
     #[default]
     None,
-    /// It answers 503 and does nothing.
+    /// Rejects calls with status 503 before they have an effect.
     Refuse,
-    /// It does not answer until the outage is over.
+    /// Calls get no response until the outage is over.
     Stall,
 }
 
-/// Everything that can be wrong with a stand-in.
+/// Faults of a stand-in; the default is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Whether it is out of order.
+    /// Outage of the stand-in.
     pub outage: Outage,
-    /// Time that each call takes before it has its effect, in milliseconds.
+    /// Delay before each call has its effect, in milliseconds.
     pub delay_ms: u64,
-    /// The answers of this many calls are lost after the effect.
+    /// Number of further calls whose response is lost after they had their effect.
     pub lose_answers: u32,
-    /// A target turns calls away and asks for rest for so many seconds; 0 for none.
+    /// Backoff in seconds that a target requests when it rejects calls; 0 rejects none.
     pub rest_s: u32,
-    /// A target names a rate of so many requests a second in its answers; 0 for none.
+    /// Rate limit in requests per second that a target states in its responses; 0 states none.
     pub rate_limit: u32,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
-    now: Mutex<Fault>,
+    current: Mutex<Fault>,
 }
 
 impl Faults {
     pub(crate) fn set(&self, fault: Fault) {
-        *self.now.lock().unwrap_or_else(PoisonError::into_inner) = fault;
+        *self.current.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
     pub(crate) fn get(&self) -> Fault {
-        *self.now.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// To be awaited before a call has its effect.
-    pub(crate) async fn before_effect(&self) -> Result<(), HttpError> {
+    /// Applies the delay and the outage: stalls or rejects the call. Await it before a call has its effect.
+    pub(crate) async fn delay_or_reject(&self) -> Result<(), HttpError> {
         tokio::time::sleep(Duration::from_millis(self.get().delay_ms)).await;
         loop {
             match self.get().outage {
@@ -64,16 +64,16 @@
                     let message = "switched off by a test".to_owned();
                     return Err(HttpError::for_unavail(None, message));
                 }
-                Outage::Stall => tokio::time::sleep(STALL_PAUSE).await,
+                Outage::Stall => tokio::time::sleep(STALL_POLL_INTERVAL).await,
             }
         }
     }
 
-    /// To be asked after a call had its effect: whether its answer is to be lost.
-    pub(crate) fn loses_answer(&self) -> bool {
-        let mut fault = self.now.lock().unwrap_or_else(PoisonError::into_inner);
-        let loses = fault.lose_answers > 0;
+    /// Returns whether the response to this call must be lost, and counts it. Call it once the call had its effect.
+    pub(crate) fn consume_response_loss(&self) -> bool {
+        let mut fault = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_lost = fault.lose_answers > 0;
         fault.lose_answers = fault.lose_answers.saturating_sub(1);
-        loses
+        is_lost
     }
 }
--- a/crates/sparscale_standin/src/group.rs
+++ b/crates/sparscale_standin/src/group.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of a group of ranks: one server for each rank, one lock-step loop for all.
+//! HTTP servers of a simulated group: one server for each rank, and one loop that steps all ranks together.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,34 +20,34 @@
 use sparscale_place::{Map, Shape};
 use tokio::sync::mpsc;
 
-use crate::engine::{Group, Numbered, Sequence, Speed, Step};
+use crate::engine::{Group, NumberedMap, Sequence, Step, StepModel};
 use crate::fault::{Fault, Faults};
 use crate::server;
 
-/// Pause before a held group looks again.
-const HELD_PAUSE: Duration = Duration::from_millis(1);
+/// Interval at which a stalled group checks whether it can step.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Settings of a group.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Address of each rank, in rank order.
     pub addresses: Vec<SocketAddr>,
-    /// Dimensions of the group.
+    /// Dimensions of the group and its expert map.
     pub shape: Shape,
     /// Step time without load.
-    pub base: Duration,
+    pub base_step_time: Duration,
     /// Step time added by each sequence on the most loaded rank.
-    pub per_sequence: Duration,
-    /// Sequences that one rank decodes at once.
-    pub batch: usize,
+    pub time_per_sequence: Duration,
+    /// Maximum number of sequences that one rank runs at once.
+    pub batch_size: usize,
     /// Prompt tokens that one rank prefills in one step.
     pub prefill_per_step: usize,
-    /// Whether ranks refuse orders below the highest fence they have seen.
+    /// Whether ranks reject orders with a fence below the highest one that they have seen.
     pub checks_fence: bool,
     /// Size of one expert in one layer, in bytes.
     pub expert_bytes: u64,
-    /// Base URL of the weight store; loading takes no time without one.
-    pub weights: Option<String>,
+    /// Base URL of the weight store; without one, loading takes no time.
+    pub weight_store_url: Option<String>,
 }
 
 struct Shared {
@@ -55,50 +55,50 @@
     settings: Settings,
 }
 
-/// One rank's context.
-pub struct Rank {
+/// Server context of one rank.
+pub struct RankServer {
     shared: Arc<Shared>,
     index: usize,
     faults: Faults,
 }
 
-impl std::fmt::Debug for Rank {
+impl std::fmt::Debug for RankServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Rank")
+        f.debug_struct("RankServer")
             .field("index", &self.index)
             .finish_non_exhaustive()
     }
 }
 
 #[derive(Deserialize)]
-struct Message {
+struct ChatMessage {
     content: String,
 }
 
 #[derive(Deserialize)]
-struct Completion {
-    messages: Vec<Message>,
-    #[serde(default = "default_tokens")]
+struct CompletionRequest {
+    messages: Vec<ChatMessage>,
+    #[serde(default = "default_max_tokens")]
     max_tokens: usize,
 }
 
-fn default_tokens() -> usize {
+fn default_max_tokens() -> usize {
     16
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct Cancel {
+struct CancelRequest {
     request: String,
 }
 
 #[derive(Deserialize)]
-struct Ordered {
+struct OrderRequest {
     order: Order,
-    maps: Vec<Numbered>,
+    maps: Vec<NumberedMap>,
 }
 
 #[derive(Serialize)]
-struct Load {
+struct RankLoad {
     waiting: usize,
     running: usize,
     prefill_tokens: usize,
@@ -108,7 +108,7 @@
 }
 
 #[derive(Serialize)]
-struct Counts {
+struct RankCounts {
     steps: u64,
     mixed_steps: u64,
     held: u64,
@@ -118,59 +118,59 @@
 }
 
 #[derive(Serialize)]
-struct Running {
+struct RunningRequests {
     requests: Vec<String>,
 }
 
 #[derive(Serialize)]
-struct Experts {
+struct ExpertTokens {
     tokens: Vec<u64>,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct After {
+struct CacheEventsQuery {
     after: u64,
 }
 
 #[derive(Serialize)]
-struct Events {
+struct CacheEvents {
     first: u64,
-    events: Vec<Event>,
+    events: Vec<CacheEvent>,
 }
 
 #[derive(Serialize)]
-struct Event {
+struct CacheEvent {
     number: u64,
     block: u64,
     added: bool,
 }
 
-/// What tests change about a rank.
+/// Change that a test makes to a rank.
 #[derive(Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-struct Change {
-    /// Stops or resumes the rank.
+struct RankChange {
+    /// Freezes (`true`) or resumes (`false`) the rank.
     frozen: Option<bool>,
-    /// Replaces the rank by a new process without state.
+    /// Replaces the rank by a new incarnation without state.
     replace: bool,
-    /// Popularity of each expert; the sum is 1.
+    /// New popularity of each expert, for the whole group; the sum is 1.
     popularity: Option<Vec<f64>>,
 }
 
-type Context = RequestContext<Rank>;
+type Context = RequestContext<RankServer>;
 
-impl Rank {
+impl RankServer {
     fn group(&self) -> MutexGuard<'_, Group> {
         self.shared.group.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Streams a model answer.
+/// Queues a chat completion and streams its tokens.
 #[endpoint { method = POST, path = "/v1/chat/completions" }]
 async fn complete(context: Context, body: UntypedBody) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
-    rank.faults.before_effect().await?;
-    let request: Completion = serde_json::from_slice(body.as_bytes())
+    rank.faults.delay_or_reject().await?;
+    let request: CompletionRequest = serde_json::from_slice(body.as_bytes())
         .map_err(|error| HttpError::for_bad_request(None, format!("chat completion: {error}")))?;
     let header = |name: &str| {
         context
@@ -195,168 +195,175 @@
     rank.group().ranks[rank.index].waiting.push_back(sequence);
     let tokens = futures::stream::unfold(source, |mut source| async move {
         let token = source.recv().await?;
-        Some((event(&token), source))
+        Some((token_event(&token), source))
     });
-    let whole = tokens.chain(futures::stream::iter([Bytes::from_static(b"data: [DONE]\n\n")]));
-    let frames = whole.map(|bytes| Ok::<_, std::convert::Infallible>(Frame::data(bytes)));
+    let with_end_marker = tokens.chain(futures::stream::iter([Bytes::from_static(b"data: [DONE]\n\n")]));
+    let frames = with_end_marker.map(|bytes| Ok::<_, std::convert::Infallible>(Frame::data(bytes)));
     server::respond(StatusCode::OK, "text/event-stream", Body::wrap(StreamBody::new(frames)))
 }
 
-fn event(token: &str) -> Bytes {
+/// Returns a server-sent event with one token, as a chunk of a chat completion.
+fn token_event(token: &str) -> Bytes {
     let data = serde_json::json!({ "choices": [{ "index": 0, "delta": { "content": token } }] });
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// Stops a request.
+/// Cancels a request that waits or runs on the rank.
 #[endpoint { method = POST, path = "/v1/cancel" }]
-async fn cancel(context: Context, body: TypedBody<Cancel>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
+async fn cancel(context: Context, body: TypedBody<CancelRequest>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     let rank = context.context();
     rank.group().ranks[rank.index].cancel(&body.into_inner().request);
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Requests that wait or run.
+/// Returns the ids of the requests that wait or run on the rank.
 #[endpoint { method = GET, path = "/v1/running" }]
 async fn running(context: Context) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
     let group = rank.group();
-    let here = &group.ranks[rank.index];
-    let all = here.waiting.iter().chain(&here.running);
-    server::json(&Running {
+    let rank_state = &group.ranks[rank.index];
+    let all = rank_state.waiting.iter().chain(&rank_state.running);
+    server::json(&RunningRequests {
         requests: all.map(|sequence| sequence.request.clone()).collect(),
     })
 }
 
-/// Load of the rank.
+/// Returns the load of the rank and the state of its map switch.
 #[endpoint { method = GET, path = "/v1/load" }]
 async fn load(context: Context) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
-    rank.faults.before_effect().await?;
+    rank.faults.delay_or_reject().await?;
     let group = rank.group();
-    let here = &group.ranks[rank.index];
-    server::json(&Load {
-        waiting: here.waiting.len(),
-        running: here.running.len(),
-        prefill_tokens: here.prefill_tokens(),
+    let rank_state = &group.ranks[rank.index];
+    server::json(&RankLoad {
+        waiting: rank_state.waiting.len(),
+        running: rank_state.running.len(),
+        prefill_tokens: rank_state.prefill_tokens(),
         step: group.step,
-        step_micros: group.step_micros,
-        report: here.switch.report(true),
+        step_micros: group.last_step_micros,
+        report: rank_state.switch.report(true),
     })
 }
 
-/// Tokens that each expert served here.
+/// Returns the number of tokens that each expert processed on the rank.
 #[endpoint { method = GET, path = "/v1/experts" }]
 async fn experts(context: Context) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
     let tokens = rank.group().ranks[rank.index].expert_tokens.clone();
-    server::json(&Experts { tokens })
+    server::json(&ExpertTokens { tokens })
 }
 
-/// Cache events; a first number above the one asked for is a gap.
+/// Returns cache events from number `after` on; a `first` above `after` means that events are missing.
 #[endpoint { method = GET, path = "/v1/cache-events" }]
-async fn cache_events(context: Context, query: Query<After>) -> Result<Response<Body>, HttpError> {
+async fn cache_events(context: Context, query: Query<CacheEventsQuery>) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
     let after = query.into_inner().after;
     let group = rank.group();
-    let kept = &group.ranks[rank.index].events;
-    let first = kept.front().map_or(after, |(number, _, _)| *number);
-    let new = kept.iter().filter(|(number, _, _)| *number >= after);
-    let events = new.map(|(number, block, added)| Event {
+    let events = &group.ranks[rank.index].cache_events;
+    let first = events.front().map_or(after, |(number, _, _)| *number);
+    let new = events.iter().filter(|(number, _, _)| *number >= after);
+    let events = new.map(|(number, block, added)| CacheEvent {
         number: *number,
         block: *block,
         added: *added,
     });
-    server::json(&Events {
+    server::json(&CacheEvents {
         first,
         events: events.collect(),
     })
 }
 
-/// Takes an order about the expert map.
+/// Applies a map switch order to the rank and returns the rank's report.
 #[endpoint { method = POST, path = "/v1/orders" }]
 async fn order(context: Context, body: UntypedBody) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
-    rank.faults.before_effect().await?;
-    let ordered: Ordered = serde_json::from_slice(body.as_bytes())
+    rank.faults.delay_or_reject().await?;
+    let request: OrderRequest = serde_json::from_slice(body.as_bytes())
         .map_err(|error| HttpError::for_bad_request(None, format!("order: {error}")))?;
-    if let (Act::Stage { number }, Some(staged)) = (ordered.order.act, ordered.maps.first()) {
+    if let (Act::Stage { number }, Some(staged)) = (request.order.act, request.maps.first()) {
         begin_loading(rank, number, &staged.map);
     }
-    let report = rank.group().order(rank.index, &ordered.order, ordered.maps);
-    if rank.faults.loses_answer() {
-        return server::lost();
+    let report = rank.group().handle_order(rank.index, &request.order, request.maps);
+    if rank.faults.consume_response_loss() {
+        return server::broken_response();
     }
     server::json(&report)
 }
 
-fn begin_loading(rank: &Rank, number: u64, map: &Map) {
+/// Marks map `number` as loaded once the weights of the experts that the rank lacks have arrived.
+fn begin_loading(rank: &RankServer, number: u64, map: &Map) {
     let bytes = {
         let group = rank.group();
-        if group.ranks[rank.index].loaded.contains(&number) {
+        if group.ranks[rank.index].loaded_maps.contains(&number) {
             return;
         }
-        let present = group.ranks[rank.index]
+        let current_number = group.ranks[rank.index]
             .switch
             .report(true)
             .plan
             .map_or(0, |plan| plan.number);
-        let loads = group
+        let load_count = group
             .maps
-            .get(&present)
-            .map_or(0, |old| loads_of_rank(old, map, rank.index));
-        loads as u64 * rank.shared.settings.expert_bytes
+            .get(&current_number)
+            .map_or(0, |old| count_experts_to_load(old, map, rank.index));
+        load_count as u64 * rank.shared.settings.expert_bytes
     };
     let shared = Arc::clone(&rank.shared);
     let index = rank.index;
     tokio::spawn(async move {
-        if let Some(weights) = &shared.settings.weights {
-            draw(weights, bytes).await;
+        if let Some(weight_store_url) = &shared.settings.weight_store_url {
+            wait_for_weights(weight_store_url, bytes).await;
         }
         let mut group = shared.group.lock().unwrap_or_else(PoisonError::into_inner);
-        group.ranks[index].loaded.insert(number);
+        group.ranks[index].loaded_maps.insert(number);
     });
 }
 
-fn loads_of_rank(old: &Map, new: &Map, rank: usize) -> usize {
+/// Returns how many experts, over all layers, `rank` holds in `new` but not in `old`.
+fn count_experts_to_load(old: &Map, new: &Map, rank: usize) -> usize {
     let pairs = old.layers.iter().zip(&new.layers);
-    let loads = |(old, new): (&sparscale_place::Layer, &sparscale_place::Layer)| {
-        let held = &old.ranks[rank];
-        new.ranks[rank].iter().filter(|expert| !held.contains(expert)).count()
+    let count_missing = |(old, new): (&sparscale_place::Layer, &sparscale_place::Layer)| {
+        let old_experts = &old.ranks[rank];
+        new.ranks[rank]
+            .iter()
+            .filter(|expert| !old_experts.contains(expert))
+            .count()
     };
-    pairs.map(loads).sum()
+    pairs.map(count_missing).sum()
 }
 
-async fn draw(weights: &str, bytes: u64) {
+/// Waits until the weight store has served `bytes`; logs a warning if it does not respond.
+async fn wait_for_weights(weight_store_url: &str, bytes: u64) {
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let body = Full::new(Bytes::from(format!("{{\"bytes\":{bytes}}}")));
-    let request = http::Request::post(format!("{weights}/v1/draws"))
+    let request = http::Request::post(format!("{weight_store_url}/v1/draws"))
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(body);
     let Ok(request) = request else { return };
     match client.request(request).await {
         Ok(response) => drop(response.into_body().collect().await),
-        Err(error) => log::warn!(error = error.to_string().as_str(); "the weight store does not answer"),
+        Err(error) => log::warn!(error = error.to_string().as_str(); "weight store unavailable; skipping its delay"),
     }
 }
 
-/// What the rank did.
+/// Returns counters of the group and of the rank.
 #[endpoint { method = GET, path = "/admin/counts" }]
 async fn counts(context: Context) -> Result<Response<Body>, HttpError> {
     let rank = context.context();
     let group = rank.group();
-    server::json(&Counts {
+    server::json(&RankCounts {
         steps: group.step,
         mixed_steps: group.mixed_steps,
-        held: group.held,
-        old_orders: group.ranks[rank.index].old_orders,
+        held: group.stall_count,
+        old_orders: group.ranks[rank.index].stale_order_count,
         mean_skew: group.skew_sum / group.step.max(1) as f64,
         report: group.ranks[rank.index].switch.report(true),
     })
 }
 
-/// Changes the rank for a test.
+/// Freezes, resumes or replaces the rank, or sets the expert popularity.
 #[endpoint { method = PUT, path = "/admin/rank" }]
-async fn put_rank(context: Context, body: TypedBody<Change>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
+async fn put_rank(context: Context, body: TypedBody<RankChange>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     let rank = context.context();
     let change = body.into_inner();
     let mut group = rank.group();
@@ -364,7 +371,7 @@
         group.replace(rank.index);
     }
     if let Some(frozen) = change.frozen {
-        group.ranks[rank.index].frozen = frozen;
+        group.ranks[rank.index].is_frozen = frozen;
     }
     if let Some(popularity) = change.popularity {
         group.popularity = popularity;
@@ -372,22 +379,22 @@
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Switches faults.
+/// Sets the active faults of the rank.
 #[endpoint { method = PUT, path = "/admin/faults" }]
 async fn put_faults(context: Context, body: TypedBody<Fault>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     context.context().faults.set(body.into_inner());
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Starts all ranks of a group.
-pub fn start(settings: Settings) -> Result<Vec<HttpServer<Rank>>, String> {
-    let speed = Speed {
-        base: settings.base,
-        per_sequence: settings.per_sequence,
+/// Starts the servers of all ranks and the loop that steps them.
+pub fn start(settings: Settings) -> Result<Vec<HttpServer<RankServer>>, String> {
+    let step_model = StepModel {
+        base_step_time: settings.base_step_time,
+        time_per_sequence: settings.time_per_sequence,
         prefill_per_step: settings.prefill_per_step,
-        batch: settings.batch,
+        batch_size: settings.batch_size,
     };
-    let group = Group::new(settings.shape, speed, settings.checks_fence);
+    let group = Group::new(settings.shape, step_model, settings.checks_fence);
     let shared = Arc::new(Shared {
         group: Mutex::new(group),
         settings: settings.clone(),
@@ -400,9 +407,9 @@
     servers
 }
 
-fn start_rank(shared: Arc<Shared>, index: usize, address: SocketAddr) -> Result<HttpServer<Rank>, String> {
+fn start_rank(shared: Arc<Shared>, index: usize, address: SocketAddr) -> Result<HttpServer<RankServer>, String> {
     let mut api = ApiDescription::new();
-    let registered = api
+    let registration = api
         .register(complete)
         .and_then(|()| api.register(cancel))
         .and_then(|()| api.register(running))
@@ -413,8 +420,8 @@
         .and_then(|()| api.register(counts))
         .and_then(|()| api.register(put_rank))
         .and_then(|()| api.register(put_faults));
-    registered.map_err(|error| error.to_string())?;
-    let rank = Rank {
+    registration.map_err(|error| error.to_string())?;
+    let rank = RankServer {
         shared,
         index,
         faults: Faults::default(),
@@ -426,8 +433,8 @@
     loop {
         let step = shared.group.lock().unwrap_or_else(PoisonError::into_inner).step();
         match step {
-            Step::Held => tokio::time::sleep(HELD_PAUSE).await,
-            Step::Ran(took) => tokio::time::sleep(took).await,
+            Step::Stalled => tokio::time::sleep(STALL_POLL_INTERVAL).await,
+            Step::Advanced(duration) => tokio::time::sleep(duration).await,
         }
     }
 }
--- a/crates/sparscale_standin/src/lib.rs
+++ b/crates/sparscale_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's parts as small stand-ins, for tests and the demo only.
+//! Small stand-ins for the platform's services, for tests and the demo only.
 //!
-//! Each speaks the protocol that the system expects of the real part, can be made to fail at run time
-//! (`PUT /admin/faults`), and keeps its own count of what it did.
+//! Each stand-in implements the HTTP protocol of the real service and counts what it did. Most of them can be made to
+//! fail at run time with `PUT /admin/faults`.
 
 pub mod boxes;
 pub mod command;
--- a/crates/sparscale_standin/src/log_service.rs
+++ b/crates/sparscale_standin/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log: offsets, limited retention, outages, lost answers.
+//! The platform's append-only log, with offsets and limited retention; outages and lost responses can be injected.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,33 +21,33 @@
 use crate::fault::{Fault, Faults};
 use crate::server;
 
-/// Longest record, in bytes.
-const MAX_RECORD: usize = 16 << 20;
+/// Maximum size of a record.
+const MAX_RECORD_BYTES: usize = 16 << 20;
 
 #[derive(Debug, Default)]
-struct Kept {
-    first: u64,
+struct LogContents {
+    first_offset: u64,
     records: VecDeque<Bytes>,
     appends: u64,
     reads: u64,
     bytes_read: u64,
 }
 
-/// The log's state.
+/// State of the log.
 #[derive(Debug, Default)]
-pub struct Store {
-    kept: Mutex<Kept>,
+pub struct LogState {
+    contents: Mutex<LogContents>,
     appended: Notify,
     faults: Faults,
 }
 
 #[derive(Serialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct Range {
+struct ReadQuery {
     from: u64,
     limit: usize,
     wait_ms: u64,
@@ -57,23 +57,23 @@
 struct Page {
     earliest: u64,
     next: u64,
-    records: Vec<Stored>,
+    records: Vec<StoredRecord>,
 }
 
 #[derive(Serialize)]
-struct Stored {
+struct StoredRecord {
     offset: u64,
     data: String,
 }
 
 #[derive(Deserialize, JsonSchema)]
 struct Retention {
-    /// Records before this offset are dropped.
+    /// First offset to keep; records before it are dropped.
     earliest: u64,
 }
 
 #[derive(Serialize)]
-struct Counts {
+struct LogCounts {
     appends: u64,
     reads: u64,
     bytes_read: u64,
@@ -81,95 +81,95 @@
     next: u64,
 }
 
-impl Store {
+impl LogState {
     fn append(&self, data: Bytes) -> u64 {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.records.push_back(data);
-        kept.appends += 1;
-        let offset = kept.first + kept.records.len() as u64 - 1;
-        drop(kept);
+        let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
+        contents.records.push_back(data);
+        contents.appends += 1;
+        let offset = contents.first_offset + contents.records.len() as u64 - 1;
+        drop(contents);
         self.appended.notify_waiters();
         offset
     }
 
-    fn read(&self, range: &Range) -> Page {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.reads += 1;
-        let next = kept.first + kept.records.len() as u64;
-        let from = range.from.max(kept.first);
-        let offsets = from..next.min(from.saturating_add(range.limit as u64));
-        let first = kept.first;
-        let records: Vec<Stored> = offsets
-            .map(|offset| Stored {
+    fn read(&self, query: &ReadQuery) -> Page {
+        let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
+        contents.reads += 1;
+        let next = contents.first_offset + contents.records.len() as u64;
+        let from = query.from.max(contents.first_offset);
+        let offsets = from..next.min(from.saturating_add(query.limit as u64));
+        let first_offset = contents.first_offset;
+        let records: Vec<StoredRecord> = offsets
+            .map(|offset| StoredRecord {
                 offset,
-                data: STANDARD.encode(&kept.records[(offset - first) as usize]),
+                data: STANDARD.encode(&contents.records[(offset - first_offset) as usize]),
             })
             .collect();
-        kept.bytes_read += records.iter().map(|record| record.data.len() as u64).sum::<u64>();
+        contents.bytes_read += records.iter().map(|record| record.data.len() as u64).sum::<u64>();
         Page {
-            earliest: first,
+            earliest: first_offset,
             next,
             records,
         }
     }
 
-    async fn wait(&self, range: &Range) -> Page {
-        let deadline = Instant::now() + Duration::from_millis(range.wait_ms);
+    async fn read_or_wait(&self, query: &ReadQuery) -> Page {
+        let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
         loop {
             let appended = self.appended.notified();
-            let page = self.read(range);
-            let nothing_new = page.records.is_empty() && range.from >= page.earliest;
-            if !nothing_new || tokio::time::timeout_at(deadline, appended).await.is_err() {
+            let page = self.read(query);
+            let is_caught_up = page.records.is_empty() && query.from >= page.earliest;
+            if !is_caught_up || tokio::time::timeout_at(deadline, appended).await.is_err() {
                 return page;
             }
         }
     }
 
     fn drop_before(&self, earliest: u64) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        while kept.first < earliest && kept.records.pop_front().is_some() {
-            kept.first += 1;
+        let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
+        while contents.first_offset < earliest && contents.records.pop_front().is_some() {
+            contents.first_offset += 1;
         }
     }
 }
 
-type Context = RequestContext<Arc<Store>>;
+type Context = RequestContext<Arc<LogState>>;
 
-/// Appends one record.
+/// Appends one record and returns its offset.
 #[endpoint { method = POST, path = "/v1/records" }]
 async fn append(context: Context, body: UntypedBody) -> Result<Response<Body>, HttpError> {
-    let store = context.context();
-    store.faults.before_effect().await?;
-    if body.as_bytes().len() > MAX_RECORD {
-        let message = format!("a record has at most {MAX_RECORD} bytes");
+    let state = context.context();
+    state.faults.delay_or_reject().await?;
+    if body.as_bytes().len() > MAX_RECORD_BYTES {
+        let message = format!("a record has at most {MAX_RECORD_BYTES} bytes");
         return Err(HttpError::for_bad_request(None, message));
     }
-    let offset = store.append(Bytes::copy_from_slice(body.as_bytes()));
-    if store.faults.loses_answer() {
-        return server::lost();
+    let offset = state.append(Bytes::copy_from_slice(body.as_bytes()));
+    if state.faults.consume_response_loss() {
+        return server::broken_response();
     }
-    server::json(&Appended { offset })
+    server::json(&AppendResponse { offset })
 }
 
-/// Reads records in offset order.
+/// Returns records in offset order; waits up to `wait_ms` for a new record if there is none yet.
 #[endpoint { method = GET, path = "/v1/records" }]
-async fn read(context: Context, query: Query<Range>) -> Result<Response<Body>, HttpError> {
-    let store = context.context();
-    store.faults.before_effect().await?;
-    let page = store.wait(&query.into_inner()).await;
-    // An outage that began while the reader waited cuts it off, too.
-    store.faults.before_effect().await?;
+async fn read(context: Context, query: Query<ReadQuery>) -> Result<Response<Body>, HttpError> {
+    let state = context.context();
+    state.faults.delay_or_reject().await?;
+    let page = state.read_or_wait(&query.into_inner()).await;
+    // An outage that began while the reader waited applies to this read, too.
+    state.faults.delay_or_reject().await?;
     server::json(&page)
 }
 
-/// Switches faults.
+/// Sets the active faults.
 #[endpoint { method = PUT, path = "/admin/faults" }]
 async fn put_faults(context: Context, body: TypedBody<Fault>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     context.context().faults.set(body.into_inner());
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Drops old records.
+/// Drops the records before an offset.
 #[endpoint { method = PUT, path = "/admin/retention" }]
 async fn put_retention(
     context: Context,
@@ -179,28 +179,32 @@
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// What the log did.
+/// Returns how many appends and reads the log served, and which offsets it holds.
 #[endpoint { method = GET, path = "/admin/counts" }]
 async fn counts(context: Context) -> Result<Response<Body>, HttpError> {
-    let kept = context.context().kept.lock().unwrap_or_else(PoisonError::into_inner);
-    server::json(&Counts {
-        appends: kept.appends,
-        reads: kept.reads,
-        bytes_read: kept.bytes_read,
-        earliest: kept.first,
-        next: kept.first + kept.records.len() as u64,
+    let contents = context
+        .context()
+        .contents
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
+    server::json(&LogCounts {
+        appends: contents.appends,
+        reads: contents.reads,
+        bytes_read: contents.bytes_read,
+        earliest: contents.first_offset,
+        next: contents.first_offset + contents.records.len() as u64,
     })
 }
 
 /// Starts the log at `address`.
-pub fn start(address: SocketAddr) -> Result<HttpServer<Arc<Store>>, String> {
+pub fn start(address: SocketAddr) -> Result<HttpServer<Arc<LogState>>, String> {
     let mut api = ApiDescription::new();
-    let registered = api
+    let registration = api
         .register(append)
         .and_then(|()| api.register(read))
         .and_then(|()| api.register(put_faults))
         .and_then(|()| api.register(put_retention))
         .and_then(|()| api.register(counts));
-    registered.map_err(|error| error.to_string())?;
+    registration.map_err(|error| error.to_string())?;
     server::start(api, Arc::default(), address)
 }
--- a/crates/sparscale_standin/src/main.rs
+++ b/crates/sparscale_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! Runs one stand-in of a platform service.
 
 use std::process::ExitCode;
 
--- a/crates/sparscale_standin/src/server.rs
+++ b/crates/sparscale_standin/src/server.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: the HTTP server, JSON answers and answers that break off.
+//! HTTP server and response helpers that all stand-ins share.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use hyper::body::{Bytes, Frame};
 use serde::Serialize;
 
-/// Longest request body of a stand-in, in bytes.
-const MAX_BODY: usize = 64 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Starts an HTTP server.
+/// Starts an HTTP server at `address`.
 pub(crate) fn start<C: ServerContext>(
     api: ApiDescription<C>,
     context: C,
@@ -22,7 +22,7 @@
 ) -> Result<HttpServer<C>, String> {
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MAX_BODY,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
         default_handler_task_mode: HandlerTaskMode::Detached,
         ..ConfigDropshot::default()
     };
@@ -34,13 +34,13 @@
     Ok(server)
 }
 
-/// A JSON answer.
+/// Returns a response with `value` as JSON.
 pub(crate) fn json<T: Serialize>(value: &T) -> Result<Response<Body>, HttpError> {
     let text = serde_json::to_vec(value).map_err(|error| HttpError::for_internal_error(error.to_string()))?;
     respond(StatusCode::OK, "application/json", Body::from(text))
 }
 
-/// An answer with the given parts.
+/// Returns a response with the given status, media type and body.
 pub(crate) fn respond(status: StatusCode, media_type: &str, body: Body) -> Result<Response<Body>, HttpError> {
     Response::builder()
         .status(status)
@@ -49,8 +49,10 @@
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
-/// An answer that breaks off before its first byte of content: the caller cannot tell what happened.
-pub(crate) fn lost() -> Result<Response<Body>, HttpError> {
-    let broken = stream::iter([Err::<Frame<Bytes>, _>(std::io::Error::other("lost by a test"))]);
-    respond(StatusCode::OK, "application/json", Body::wrap(StreamBody::new(broken)))
+/// Returns a response that ends with an error before its first body byte, so that the caller can't know the outcome.
+pub(crate) fn broken_response() -> Result<Response<Body>, HttpError> {
+    let frames = stream::iter([Err::<Frame<Bytes>, _>(std::io::Error::other(
+        "response dropped by an injected fault",
+    ))]);
+    respond(StatusCode::OK, "application/json", Body::wrap(StreamBody::new(frames)))
 }
--- a/crates/sparscale_standin/src/service.rs
+++ b/crates/sparscale_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service beside the models. Every call has an effect, which it counts.
+//! A plain service whose calls have side effects. It records them, so that tests can check how often each call ran.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,72 +17,72 @@
 use crate::fault::{Fault, Faults};
 use crate::server;
 
-/// One effect, for example a printed document.
+/// Side effect of one call, for example a printed document.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Effect {
-    /// Call that had it.
+    /// Name of the call.
     pub call: String,
     /// Body of the call.
     pub body: String,
-    /// Request id under which the agent handed it on.
+    /// Request id with which the agent forwarded the call.
     pub request: String,
 }
 
-/// Body of a call that ends the process which runs it.
+/// Body of a call that terminates the service's process at once.
 pub const DEADLY_BODY: &str = "{\"deadly\":true}";
-/// Body of a call whose connection breaks off first, [`LINGER`] before the process that runs it ends.
+/// Body of a call whose response breaks off at once, and that terminates the service's process [`LINGER`] later.
 pub const LINGERING_BODY: &str = "{\"deadly\":\"later\"}";
-/// Time for which that process still listens.
+/// Time for which the process still listens after a [`LINGERING_BODY`].
 pub const LINGER: Duration = Duration::from_millis(100);
-/// What the process then ends with.
-const DEADLY_STATUS: i32 = 3;
+/// Exit code after either of these calls.
+const CRASH_EXIT_CODE: i32 = 3;
 
-/// The service's state.
+/// State of the service.
 #[derive(Debug)]
-pub struct Store {
+pub struct ServiceState {
     effects: Mutex<Vec<Effect>>,
-    /// Calls that arrived.
-    arrivals: AtomicUsize,
-    work: Duration,
+    /// Number of calls that arrived, rejected ones included.
+    arrival_count: AtomicUsize,
+    work_time: Duration,
     faults: Faults,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct Call {
+struct CallPath {
     name: String,
 }
 
 #[derive(Serialize)]
-struct Done<'a> {
+struct CallResponse<'a> {
     effect: usize,
     call: &'a str,
     body: &'a str,
 }
 
-type Context = RequestContext<Arc<Store>>;
+type Context = RequestContext<Arc<ServiceState>>;
 
-/// Runs a call.
+/// Runs a call and records its effect.
 #[endpoint { method = POST, path = "/calls/{name}" }]
-async fn call(context: Context, path: Path<Call>, body: UntypedBody) -> Result<Response<Body>, HttpError> {
-    let store = context.context();
-    store.arrivals.fetch_add(1, Ordering::Relaxed);
-    let fault = store.faults.get();
+async fn call(context: Context, path: Path<CallPath>, body: UntypedBody) -> Result<Response<Body>, HttpError> {
+    let state = context.context();
+    state.arrival_count.fetch_add(1, Ordering::Relaxed);
+    let fault = state.faults.get();
     if fault.rest_s > 0 {
-        return turn_away(fault.rest_s);
+        return reject_with_backoff(fault.rest_s);
     }
     if body.as_bytes() == DEADLY_BODY.as_bytes() {
-        log::warn!("a call ends this process");
-        std::process::exit(DEADLY_STATUS);
+        log::warn!("crash requested by a call; exiting");
+        std::process::exit(CRASH_EXIT_CODE);
     }
     if body.as_bytes() == LINGERING_BODY.as_bytes() {
-        log::warn!("a call ends this process in a moment");
+        log::warn!("delayed crash requested by a call; exiting soon");
         tokio::spawn(async {
             tokio::time::sleep(LINGER).await;
-            std::process::exit(DEADLY_STATUS);
+            std::process::exit(CRASH_EXIT_CODE);
         });
-        return server::lost();
+        return server::broken_response();
     }
-    store.faults.before_effect().await?;
+    state.faults.delay_or_reject().await?;
     let header = context.request.headers().get("x-request-id");
     let effect = Effect {
         call: path.into_inner().name,
@@ -92,71 +92,71 @@
             .unwrap_or_default()
             .to_owned(),
     };
-    let number = {
-        let mut effects = store.effects.lock().unwrap_or_else(PoisonError::into_inner);
+    let effect_number = {
+        let mut effects = state.effects.lock().unwrap_or_else(PoisonError::into_inner);
         effects.push(effect.clone());
         effects.len()
     };
-    tokio::time::sleep(store.work).await;
-    if store.faults.loses_answer() {
-        return server::lost();
+    tokio::time::sleep(state.work_time).await;
+    if state.faults.consume_response_loss() {
+        return server::broken_response();
     }
-    let mut answer = server::json(&Done {
-        effect: number,
+    let mut response = server::json(&CallResponse {
+        effect: effect_number,
         call: &effect.call,
         body: &effect.body,
     })?;
     if fault.rate_limit > 0 {
-        answer
+        response
             .headers_mut()
             .insert("sparscale-rate-limit", HeaderValue::from(fault.rate_limit));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Turns a call away and asks for rest.
-fn turn_away(seconds: u32) -> Result<Response<Body>, HttpError> {
-    let mut answer = server::respond(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Body::from("resting"))?;
-    answer
+/// Rejects a call with status 503 and requests a backoff in `Retry-After`.
+fn reject_with_backoff(backoff_secs: u32) -> Result<Response<Body>, HttpError> {
+    let mut response = server::respond(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Body::from("resting"))?;
+    response
         .headers_mut()
-        .insert(header::RETRY_AFTER, HeaderValue::from(seconds));
-    Ok(answer)
+        .insert(header::RETRY_AFTER, HeaderValue::from(backoff_secs));
+    Ok(response)
 }
 
-/// Number of calls that arrived, turned away or not.
+/// Returns the number of calls that arrived, rejected ones included.
 #[endpoint { method = GET, path = "/admin/arrivals" }]
 async fn count_arrivals(context: Context) -> Result<Response<Body>, HttpError> {
-    server::json(&context.context().arrivals.load(Ordering::Relaxed))
+    server::json(&context.context().arrival_count.load(Ordering::Relaxed))
 }
 
-/// All effects so far.
+/// Returns all effects so far.
 #[endpoint { method = GET, path = "/admin/effects" }]
 async fn list_effects(context: Context) -> Result<Response<Body>, HttpError> {
     let effects = context.context().effects.lock().unwrap_or_else(PoisonError::into_inner);
     server::json(&*effects)
 }
 
-/// Switches faults.
+/// Sets the active faults.
 #[endpoint { method = PUT, path = "/admin/faults" }]
 async fn put_faults(context: Context, body: TypedBody<Fault>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     context.context().faults.set(body.into_inner());
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Starts the service at `address`; each call works for `work` after its effect.
-pub fn start(address: SocketAddr, work: Duration) -> Result<HttpServer<Arc<Store>>, String> {
+/// Starts the service at `address`; each call takes `work_time` after its effect.
+pub fn start(address: SocketAddr, work_time: Duration) -> Result<HttpServer<Arc<ServiceState>>, String> {
     let mut api = ApiDescription::new();
-    let registered = api
+    let registration = api
         .register(call)
         .and_then(|()| api.register(list_effects))
         .and_then(|()| api.register(count_arrivals))
         .and_then(|()| api.register(put_faults));
-    registered.map_err(|error| error.to_string())?;
-    let store = Store {
+    registration.map_err(|error| error.to_string())?;
+    let state = ServiceState {
         effects: Mutex::default(),
-        arrivals: AtomicUsize::new(0),
-        work,
+        arrival_count: AtomicUsize::new(0),
+        work_time,
         faults: Faults::default(),
     };
-    server::start(api, Arc::new(store), address)
+    server::start(api, Arc::new(state), address)
 }
