--- a/crates/sparscale_bench/src/fold.rs
+++ b/crates/sparscale_bench/src/fold.rs
@@ -1,4 +1,4 @@
-//! The log's fold: time, bytes and memory at the size that the system is designed for.
+//! Measures the fold of the log at the size that the system is designed for: time, bytes and memory.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,16 +9,16 @@
 
 use crate::operators::Operators;
 use crate::route;
-use crate::usage::{line, resident_mib};
+use crate::usage::{fit_line, resident_mib};
 
-const RECORDS: u64 = 10_000;
-const WORKSPACES: usize = 8_500;
+const RECORD_COUNT: u64 = 10_000;
+const WORKSPACE_COUNT: usize = 8_500;
 
-/// A bundle with 20 groups of 64 ranks and `workspaces` workspaces, signed for by `operators`.
-pub(crate) fn large_bundle(workspaces: usize, operators: Vec<Operator>) -> Result<Bundle, String> {
+/// Returns a bundle with 20 groups of 64 ranks, `workspace_count` workspaces and the given operators.
+pub(crate) fn large_bundle(workspace_count: usize, operators: Vec<Operator>) -> Result<Bundle, String> {
     let mut document = route::bundle(20, 64)?.to_document();
     document.fleet.operators = operators;
-    document.workspaces = (0..workspaces).map(workspace).collect();
+    document.workspaces = (0..workspace_count).map(workspace).collect();
     Bundle::try_from(document).map_err(|error| error.to_string())
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// The next version, with one workspace's weight changed.
+/// Returns the next version of `bundle`, with the weight of one workspace changed.
 pub(crate) fn next_version(bundle: &Bundle) -> Result<Bundle, String> {
     let version = bundle.version() + 1;
-    let mut changed = workspace(version as usize % WORKSPACES.min(100));
+    let mut changed = workspace(version as usize % WORKSPACE_COUNT.min(100));
     changed.weight = 2 + (version % 100) as u32;
     let delta = sparscale_bundle::Delta {
         changes: vec![sparscale_bundle::Change::PutWorkspace(changed)],
@@ -55,25 +55,33 @@
     }
 }
 
-/// A log that starts with a large bundle; after it one record in `every` group of three is an operator's change.
-fn history(operators: &Operators, workspaces: usize, every: u64) -> Result<Vec<Vec<u8>>, String> {
-    let mut bundle = large_bundle(workspaces, operators.public())?;
-    let mut records: Vec<Vec<u8>> = operators.rollout(None, &bundle).into_iter().map(encode).collect();
-    let mut turn = 0;
-    while (records.len() as u64) < RECORDS {
-        turn += 1;
-        if turn % every == 0 {
+/// Returns a log of at least [`RECORD_COUNT`] records, which starts with the rollout of a large bundle.
+///
+/// Groups of three records follow. Every `change_interval`th group rolls out an operator's change; the others hold
+/// claims and bindings.
+fn build_log(operators: &Operators, workspace_count: usize, change_interval: u64) -> Result<Vec<Vec<u8>>, String> {
+    let mut bundle = large_bundle(workspace_count, operators.public_operators())?;
+    let mut records: Vec<Vec<u8>> = operators
+        .rollout_records(None, &bundle)
+        .into_iter()
+        .map(encode)
+        .collect();
+    let mut group_number = 0;
+    while (records.len() as u64) < RECORD_COUNT {
+        group_number += 1;
+        if group_number % change_interval == 0 {
             let next = next_version(&bundle)?;
-            records.extend(operators.rollout(Some(&bundle), &next).into_iter().map(encode));
+            records.extend(operators.rollout_records(Some(&bundle), &next).into_iter().map(encode));
             bundle = next;
         } else {
-            records.extend((0..3).map(|part| encode(small(turn * 3 + part))));
+            records.extend((0..3).map(|index_in_group| encode(small_record(group_number * 3 + index_in_group))));
         }
     }
     Ok(records)
 }
 
-fn small(number: u64) -> Body {
+/// Returns a small record: one in ten is a claim, the others are bindings.
+fn small_record(number: u64) -> Body {
     if number.is_multiple_of(10) {
         return Body::Claim(Claim {
             duty: Duty::Placer(format!("group-{}", number % 20)),
@@ -94,82 +102,88 @@
     Record::new(body).encode()
 }
 
+/// Returns the time to fold `records`, in milliseconds.
 fn fold_ms(operators: &Operators, records: &[Vec<u8>]) -> Result<f64, String> {
     let batch = batch(records);
-    let mut reader = Reader::new(operators.public());
-    let began = Instant::now();
+    let mut reader = Reader::new(operators.public_operators());
+    let started = Instant::now();
     reader
         .fold(&batch, |_, _| {}, |_| {})
         .map_err(|error| error.to_string())?;
-    Ok(began.elapsed().as_secs_f64() * 1_000.0)
+    Ok(started.elapsed().as_secs_f64() * 1_000.0)
 }
 
 pub(crate) fn run() -> Result<(), String> {
     let operators = Operators::new();
-    println!("fold of {RECORDS} records at {WORKSPACES} workspaces, 1,280 targets");
-    for (name, every) in [
+    println!("fold of {RECORD_COUNT} records at {WORKSPACE_COUNT} workspaces, 1,280 targets");
+    for (name, change_interval) in [
         ("one record in 20 an operator's", 20),
         ("one in 5", 5),
         ("every record an operator's", 1),
     ] {
-        let records = history(&operators, WORKSPACES, every)?;
+        let records = build_log(&operators, WORKSPACE_COUNT, change_interval)?;
         println!("{name:<34}{:>10.1} ms", fold_ms(&operators, &records)?);
     }
     println!("\none change of one workspace: bytes of its publish record, time to apply");
     let mut points = Vec::new();
-    for workspaces in [1_000, 2_000, 4_000, 8_500] {
-        let bundle = large_bundle(workspaces, operators.public())?;
+    for workspace_count in [1_000, 2_000, 4_000, 8_500] {
+        let bundle = large_bundle(workspace_count, operators.public_operators())?;
         let next = next_version(&bundle)?;
-        let delta = encode(operators.publish(Some(&bundle), &next));
-        let whole = encode(operators.publish(None, &next));
-        let began = Instant::now();
+        let delta_record = encode(operators.publish_record(Some(&bundle), &next));
+        let whole_record = encode(operators.publish_record(None, &next));
+        let started = Instant::now();
         for _ in 0..200 {
             std::hint::black_box(next_version(&bundle)?.hash());
         }
-        let micros = began.elapsed().as_secs_f64() * 1e6 / 200.0;
+        let micros = started.elapsed().as_secs_f64() * 1e6 / 200.0;
         println!(
-            "{workspaces:>7} workspaces: delta {:>6} B, whole {:>9} B, apply {micros:>7.1} µs",
-            delta.len(),
-            whole.len()
+            "{workspace_count:>7} workspaces: delta {:>6} B, whole {:>9} B, apply {micros:>7.1} µs",
+            delta_record.len(),
+            whole_record.len()
         );
-        points.push((workspaces as f64, micros));
+        points.push((workspace_count as f64, micros));
     }
-    println!("slope {:.4} µs a workspace", line(&points).0);
-    memory(&operators)
+    println!("slope {:.4} µs a workspace", fit_line(&points).0);
+    print_memory_per_state(&operators)
 }
 
-fn memory(operators: &Operators) -> Result<(), String> {
-    let own = std::process::id();
+/// Prints the memory that one folded state takes, as the slope between eight and sixteen of them.
+fn print_memory_per_state(operators: &Operators) -> Result<(), String> {
+    let own_pid = std::process::id();
     let records: Vec<Vec<u8>> = {
-        let bundle = large_bundle(WORKSPACES, operators.public())?;
-        operators.rollout(None, &bundle).into_iter().map(encode).collect()
+        let bundle = large_bundle(WORKSPACE_COUNT, operators.public_operators())?;
+        operators
+            .rollout_records(None, &bundle)
+            .into_iter()
+            .map(encode)
+            .collect()
     };
-    let readers: Result<Vec<Arc<Reader>>, String> = (0..8)
+    let first_readers: Result<Vec<Arc<Reader>>, String> = (0..8)
         .map(|_| {
-            let mut reader = Reader::new(operators.public());
+            let mut reader = Reader::new(operators.public_operators());
             reader
                 .fold(&batch(&records), |_, _| {}, |_| {})
                 .map_err(|error| error.to_string())?;
             Ok(Arc::new(reader))
         })
         .collect();
-    let with_eight = resident_mib(own)?;
-    let readers = readers?;
-    let more: Result<Vec<Reader>, String> = (0..8)
+    let mib_with_eight = resident_mib(own_pid)?;
+    let first_readers = first_readers?;
+    let second_readers: Result<Vec<Reader>, String> = (0..8)
         .map(|_| {
-            let mut reader = Reader::new(operators.public());
+            let mut reader = Reader::new(operators.public_operators());
             reader
                 .fold(&batch(&records), |_, _| {}, |_| {})
                 .map_err(|error| error.to_string())?;
             Ok(reader)
         })
         .collect();
-    let with_sixteen = resident_mib(own)?;
+    let mib_with_sixteen = resident_mib(own_pid)?;
     println!(
-        "\nmemory of one folded state at {WORKSPACES} workspaces: {:.1} MiB (slope over {} and {} states)",
-        (with_sixteen - with_eight) / 8.0,
-        readers.len(),
-        readers.len() + more?.len()
+        "\nmemory of one folded state at {WORKSPACE_COUNT} workspaces: {:.1} MiB (slope over {} and {} states)",
+        (mib_with_sixteen - mib_with_eight) / 8.0,
+        first_readers.len(),
+        first_readers.len() + second_readers?.len()
     );
     Ok(())
 }
--- a/crates/sparscale_bench/src/main.rs
+++ b/crates/sparscale_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements. Each subcommand prints a table; ratios and slopes come from one run on one machine.
+//! Benchmarks. Each subcommand prints a table whose ratios and slopes come from a single run on one machine.
 
 use std::process::ExitCode;
 
@@ -17,15 +17,15 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let matches = Command::new("sparscale-bench")
-        .about("Measures decisions, the log's fold, the request path and rollouts")
+        .about("Measures decisions, the fold of the log, the request path and rollouts")
         .subcommand_required(true)
         .subcommand(Command::new("route").about("Routing: time of a decision, step-time skew against baselines"))
         .subcommand(Command::new("place").about("Placement: skew and moves against baselines, time of a decision"))
         .subcommand(Command::new("queue").about("Tiers: goodput and latency under overload"))
-        .subcommand(Command::new("fold").about("The log: fold, deltas, memory"))
+        .subcommand(Command::new("fold").about("The log: time of a fold, size of deltas, memory"))
         .subcommand(Command::new("path").about("The request path: added time and processor time"))
-        .subcommand(Command::new("rollout").about("Rollouts: time to in force, bytes and processor time per follower"))
-        .subcommand(Command::new("keys").about("At most once: added time, appends, share refused in an outage"))
+        .subcommand(Command::new("rollout").about("Rollouts: time until active, bytes and processor time per follower"))
+        .subcommand(Command::new("keys").about("At most once: added time, appends, fraction rejected in an outage"))
         .get_matches();
     let result = match matches.subcommand_name() {
         Some("route") => route::run(),
--- a/crates/sparscale_bench/src/operators.rs
+++ b/crates/sparscale_bench/src/operators.rs
@@ -1,49 +1,53 @@
-//! Two operators who publish, approve and roll.
+//! Two operators that sign the records of a rollout: one publishes and rolls, the other approves.
 
 use sparscale_bundle::sign::{self, Act, Signature, Statement};
 use sparscale_bundle::{Bundle, Delta, Hash, Operator};
 use sparscale_journal::{Approve, Body, Content, Publish, Roll};
 
-/// Names of the operators, the publisher first.
-const NAMES: [&str; 2] = ["alice", "bob"];
+/// Names of the operators; the first one publishes and rolls, the second one approves.
+const OPERATOR_NAMES: [&str; 2] = ["alice", "bob"];
 
-/// Secret keys of the two operators, as text.
+/// The two operators, by their hex-encoded secret keys.
 pub(crate) struct Operators {
-    secrets: [String; 2],
+    secret_keys: [String; 2],
 }
 
 impl Operators {
-    /// Operators with fixed keys.
+    /// Creates operators with fixed keys.
     pub(crate) fn new() -> Self {
         Self {
-            secrets: [format!("{:064x}", 1), format!("{:064x}", 2)],
+            secret_keys: [format!("{:064x}", 1), format!("{:064x}", 2)],
         }
     }
 
-    pub(crate) fn public(&self) -> Vec<Operator> {
-        let keys = self.secrets.iter().filter_map(|secret| sign::secret_key(secret));
-        let listed = keys.zip(NAMES).map(|(key, name)| Operator {
+    /// Returns the operators as a bundle lists them, with their public keys.
+    pub(crate) fn public_operators(&self) -> Vec<Operator> {
+        let keys = self
+            .secret_keys
+            .iter()
+            .filter_map(|secret_key| sign::secret_key(secret_key));
+        let operators = keys.zip(OPERATOR_NAMES).map(|(key, name)| Operator {
             name: name.to_owned(),
             key: sign::public_text(&key),
         });
-        listed.collect()
+        operators.collect()
     }
 
-    /// The three records that put `bundle` in force.
-    pub(crate) fn rollout(&self, base: Option<&Bundle>, bundle: &Bundle) -> Vec<Body> {
+    /// Returns the three records that make `bundle` active: publish, approve and roll.
+    pub(crate) fn rollout_records(&self, base: Option<&Bundle>, bundle: &Bundle) -> Vec<Body> {
         let base_version = base.map_or(0, Bundle::version);
         let (version, hash) = (bundle.version(), bundle.hash());
         vec![
-            self.publish(base, bundle),
+            self.publish_record(base, bundle),
             Body::Approve(Approve {
-                author: NAMES[1].to_owned(),
+                author: OPERATOR_NAMES[1].to_owned(),
                 version,
                 base: base_version,
                 hash,
                 signature: self.sign(1, Act::Approve, version, base_version, hash),
             }),
             Body::Roll(Roll {
-                author: NAMES[0].to_owned(),
+                author: OPERATOR_NAMES[0].to_owned(),
                 version,
                 base: base_version,
                 hash,
@@ -52,21 +56,21 @@
         ]
     }
 
-    /// The publish record of `bundle`: a delta of `base`, or the whole where there is none.
-    pub(crate) fn publish(&self, base: Option<&Bundle>, bundle: &Bundle) -> Body {
+    /// Returns the publish record of `bundle`: as a delta from `base`, or whole if there is no base.
+    pub(crate) fn publish_record(&self, base: Option<&Bundle>, bundle: &Bundle) -> Body {
         let base_version = base.map_or(0, Bundle::version);
         let content = match base {
             Some(base) => Content::Delta(Delta::between(base, bundle)),
             None => Content::Whole(bundle.clone()),
         };
-        self.publish_content(base_version, bundle, content)
+        self.publish_record_with(base_version, bundle, content)
     }
 
-    /// The publish record of `bundle` on `base`, with this content.
-    pub(crate) fn publish_content(&self, base: u64, bundle: &Bundle, content: Content) -> Body {
+    /// Returns the publish record of `bundle` on version `base`, with the given content.
+    pub(crate) fn publish_record_with(&self, base: u64, bundle: &Bundle, content: Content) -> Body {
         let (version, hash) = (bundle.version(), bundle.hash());
         Body::Publish(Box::new(Publish {
-            author: NAMES[0].to_owned(),
+            author: OPERATOR_NAMES[0].to_owned(),
             version,
             base,
             hash,
@@ -75,16 +79,16 @@
         }))
     }
 
-    fn sign(&self, who: usize, act: Act, version: u64, base: u64, hash: Hash) -> Signature {
+    fn sign(&self, operator_index: usize, act: Act, version: u64, base: u64, hash: Hash) -> Signature {
         let statement = Statement {
             act,
-            author: NAMES[who].to_owned(),
+            author: OPERATOR_NAMES[operator_index].to_owned(),
             version,
             base,
             hash,
         };
-        // The fixed secrets are keys; a new key would only make the record be refused.
-        let key = sign::secret_key(&self.secrets[who]).unwrap_or_else(sign::new_key);
+        // The fixed keys always parse. If one did not, the record signed with a new key would be rejected.
+        let key = sign::secret_key(&self.secret_keys[operator_index]).unwrap_or_else(sign::new_key);
         sign::sign(&statement, &key)
     }
 }
--- a/crates/sparscale_bench/src/path.rs
+++ b/crates/sparscale_bench/src/path.rs
@@ -1,4 +1,6 @@
-//! The request path: time and processor time that entry and agent add, against the same client at the engine.
+//! Measures the time and processor time that entry and agent add to a request.
+//!
+//! The baseline is the same client calling the engine directly.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,22 +9,24 @@
 use serde_json::json;
 use sparscale_fleet::{Fleet, MODEL, Plan, caller_key};
 
-use crate::usage::{line, processor_seconds, resident_mib};
+use crate::usage::{fit_line, processor_seconds, resident_mib};
 
-/// Requests of each latency run, one after the other.
-const REQUESTS: usize = 200;
-/// Tokens of each of them.
-const TOKENS: u32 = 40;
-/// Workers of the four loads, and requests of each worker.
-const WORKERS: [usize; 4] = [2, 4, 8, 16];
-const PER_WORKER: usize = 20;
-/// Answer lengths of which the slope is the cost of a token.
-const LENGTHS: [u32; 3] = [1, 30, 120];
+/// Requests of each latency run, sent one after the other.
+const REQUEST_COUNT: usize = 200;
+/// Response tokens of each request in a latency run.
+const TOKENS_PER_REQUEST: u32 = 40;
+/// Numbers of concurrent workers for which processor time is measured.
+const WORKER_COUNTS: [usize; 4] = [2, 4, 8, 16];
+/// Requests that each worker sends, one after the other.
+const REQUESTS_PER_WORKER: usize = 20;
+/// Response lengths in tokens; the slope over them is the cost of a token.
+const RESPONSE_TOKENS: [u32; 3] = [1, 30, 120];
 
-/// Times of one run, in microseconds.
-struct Times {
+/// Latencies of one run, in microseconds.
+struct LatencyHistograms {
     first_byte: Histogram<u64>,
-    token: Histogram<u64>,
+    /// Time between two successive chunks of a response.
+    token_gap: Histogram<u64>,
 }
 
 pub(crate) async fn run() -> Result<(), String> {
@@ -34,64 +38,72 @@
         ..Plan::default()
     };
     let fleet = Arc::new(Fleet::start("path", plan).await?);
-    latency(&fleet).await?;
-    processor(&fleet).await
+    measure_latency(&fleet).await?;
+    measure_processor_time(&fleet).await
 }
 
-async fn latency(fleet: &Fleet) -> Result<(), String> {
+async fn measure_latency(fleet: &Fleet) -> Result<(), String> {
     let direct_url = format!("{}/v1/chat/completions", fleet.standin_url("rank-0")?);
     let entry_url = format!("{}/v1/chat/completions", fleet.callers_url("entry-0"));
-    // Both in turn, so that whatever the machine does meets both alike.
-    let mut direct = Times::new()?;
-    let mut through = Times::new()?;
-    for index in 0..REQUESTS {
-        one(fleet, &direct_url, index, &mut direct).await?;
-        one(fleet, &entry_url, index, &mut through).await?;
+    // Alternates between both, so that other load on the machine affects both alike.
+    let mut direct = LatencyHistograms::new()?;
+    let mut via_entry = LatencyHistograms::new()?;
+    for index in 0..REQUEST_COUNT {
+        measure_request(fleet, &direct_url, index, &mut direct).await?;
+        measure_request(fleet, &entry_url, index, &mut via_entry).await?;
     }
-    println!("{REQUESTS} requests of {TOKENS} tokens, in turn at the engine and through entry and agent; µs");
+    println!(
+        "{REQUEST_COUNT} requests of {TOKENS_PER_REQUEST} tokens, in turn at the engine and through entry and agent; µs"
+    );
     println!(
         "{:<12}{:>16}{:>16}{:>16}{:>16}",
         "", "first byte p50", "first byte p95", "token gap p50", "token gap p95"
     );
-    for (name, times) in [("direct", &direct), ("through", &through)] {
+    for (name, histograms) in [("direct", &direct), ("through", &via_entry)] {
         println!(
             "{name:<12}{:>16}{:>16}{:>16}{:>16}",
-            times.first_byte.value_at_quantile(0.5),
-            times.first_byte.value_at_quantile(0.95),
-            times.token.value_at_quantile(0.5),
-            times.token.value_at_quantile(0.95)
+            histograms.first_byte.value_at_quantile(0.5),
+            histograms.first_byte.value_at_quantile(0.95),
+            histograms.token_gap.value_at_quantile(0.5),
+            histograms.token_gap.value_at_quantile(0.95)
         );
     }
     Ok(())
 }
 
-impl Times {
+impl LatencyHistograms {
     fn new() -> Result<Self, String> {
         let histogram = || Histogram::new(3).map_err(|error| error.to_string());
         Ok(Self {
             first_byte: histogram()?,
-            token: histogram()?,
+            token_gap: histogram()?,
         })
     }
 }
 
-async fn one(fleet: &Fleet, url: &str, index: usize, times: &mut Times) -> Result<(), String> {
+/// Sends one request to `url` and records its latencies.
+async fn measure_request(
+    fleet: &Fleet,
+    url: &str,
+    index: usize,
+    histograms: &mut LatencyHistograms,
+) -> Result<(), String> {
     let key = format!("Bearer {}", caller_key("teal"));
-    let body = body(&format!("latency {index}"), TOKENS);
-    let began = Instant::now();
+    let body = body(&format!("latency {index}"), TOKENS_PER_REQUEST);
+    let started = Instant::now();
     let mut stream = fleet.client().stream(url, &[("authorization", &key)], &body).await?;
-    let mut last = None;
-    while let Some(piece) = stream.next().await {
-        piece?;
+    let mut previous_chunk_at = None;
+    while let Some(chunk) = stream.next().await {
+        chunk?;
         let now = Instant::now();
-        let (histogram, since) = match last {
-            None => (&mut times.first_byte, began),
-            Some(last) => (&mut times.token, last),
+        let (histogram, start) = match previous_chunk_at {
+            None => (&mut histograms.first_byte, started),
+            Some(previous_chunk_at) => (&mut histograms.token_gap, previous_chunk_at),
         };
         histogram
-            .record(now.duration_since(since).as_micros() as u64)
+            .record(now.duration_since(start).as_micros() as u64)
             .map_err(|error| error.to_string())?;
-        last = Some(now);
+        previous_chunk_at = Some(now);
     }
     Ok(())
 }
@@ -101,44 +113,48 @@
     json!({ "model": MODEL, "messages": messages, "max_tokens": tokens, "stream": true }).to_string()
 }
 
-/// Processor time of entry and agents, by load and answer length.
-async fn processor(fleet: &Arc<Fleet>) -> Result<(), String> {
+/// Measures the processor time of entry and agents by number of workers and response length.
+async fn measure_processor_time(fleet: &Arc<Fleet>) -> Result<(), String> {
     println!("\nprocessor time, µs a request; agents: both together");
     println!(
         "{:<10}{:>10}{:>14}{:>14}{:>14}",
         "workers", "tokens", "requests/s", "entry", "agents"
     );
-    for workers in WORKERS {
+    for worker_count in WORKER_COUNTS {
         let mut entry_points = Vec::new();
         let mut agent_points = Vec::new();
-        for tokens in LENGTHS {
-            let (rate, entry, agents) = load(fleet, workers, tokens).await?;
-            println!("{workers:<10}{tokens:>10}{rate:>14.0}{entry:>14.0}{agents:>14.0}");
-            entry_points.push((f64::from(tokens), entry));
-            agent_points.push((f64::from(tokens), agents));
+        for tokens in RESPONSE_TOKENS {
+            let (requests_per_second, entry_micros, agents_micros) = run_load(fleet, worker_count, tokens).await?;
+            println!(
+                "{worker_count:<10}{tokens:>10}{requests_per_second:>14.0}{entry_micros:>14.0}{agents_micros:>14.0}"
+            );
+            entry_points.push((f64::from(tokens), entry_micros));
+            agent_points.push((f64::from(tokens), agents_micros));
         }
-        let (entry_token, entry_request) = line(&entry_points);
-        let (agent_token, agent_request) = line(&agent_points);
+        let (entry_per_token, entry_per_request) = fit_line(&entry_points);
+        let (agent_per_token, agent_per_request) = fit_line(&agent_points);
         println!(
-            "{workers:<10}slope: entry {entry_token:.1} µs a token + {entry_request:.0} a request; agent {agent_token:.1} a token + {agent_request:.0} a request"
+            "{worker_count:<10}slope: entry {entry_per_token:.1} µs a token + {entry_per_request:.0} a request; agent {agent_per_token:.1} a token + {agent_per_request:.0} a request"
         );
     }
     for name in ["entry-0", "rank-0", "rank-1"] {
-        let id = fleet.process_id(name).ok_or("it runs")?;
-        println!("resident memory of {name}: {:.1} MiB", resident_mib(id)?);
+        let pid = fleet.process_id(name).ok_or("process is not running")?;
+        println!("resident memory of {name}: {:.1} MiB", resident_mib(pid)?);
     }
     Ok(())
 }
 
-async fn load(fleet: &Arc<Fleet>, workers: usize, tokens: u32) -> Result<(f64, f64, f64), String> {
-    let before = used(fleet)?;
-    let began = Instant::now();
-    let tasks: Vec<_> = (0..workers)
+/// Runs one load. Returns the requests per second, and the processor time of the entry and of both agents, in
+/// microseconds a request.
+async fn run_load(fleet: &Arc<Fleet>, worker_count: usize, tokens: u32) -> Result<(f64, f64, f64), String> {
+    let before = processor_seconds_used(fleet)?;
+    let started = Instant::now();
+    let tasks: Vec<_> = (0..worker_count)
         .map(|worker| {
             let fleet = Arc::clone(fleet);
             tokio::spawn(async move {
-                for turn in 0..PER_WORKER {
-                    let prompt = format!("worker {worker} turn {turn}");
+                for request_index in 0..REQUESTS_PER_WORKER {
+                    let prompt = format!("worker {worker} turn {request_index}");
                     fleet
                         .stream_chat("entry-0", "teal", &prompt, tokens)
                         .await?
@@ -152,17 +168,24 @@
     for task in tasks {
         task.await.map_err(|error| error.to_string())??;
     }
-    let took = began.elapsed();
-    // The last frames are still being worked off.
+    let elapsed = started.elapsed();
+    // Entry and agents still process the last frames.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let after = used(fleet)?;
-    let requests = (workers * PER_WORKER) as f64;
-    let each = |index: usize| (after[index] - before[index]) * 1e6 / requests;
-    Ok((requests / took.as_secs_f64(), each(0), each(1)))
+    let after = processor_seconds_used(fleet)?;
+    let requests = (worker_count * REQUESTS_PER_WORKER) as f64;
+    let micros_per_request = |index: usize| (after[index] - before[index]) * 1e6 / requests;
+    Ok((
+        requests / elapsed.as_secs_f64(),
+        micros_per_request(0),
+        micros_per_request(1),
+    ))
 }
 
-/// Processor seconds of the entry, and of both agents.
-fn used(fleet: &Fleet) -> Result<[f64; 2], String> {
-    let of = |name: &str| processor_seconds(fleet.process_id(name).ok_or("it runs")?);
-    Ok([of("entry-0")?, of("rank-0")? + of("rank-1")?])
+/// Returns the processor time of the entry and of both agents so far, in seconds.
+fn processor_seconds_used(fleet: &Fleet) -> Result<[f64; 2], String> {
+    let processor_time = |name: &str| processor_seconds(fleet.process_id(name).ok_or("process is not running")?);
+    Ok([
+        processor_time("entry-0")?,
+        processor_time("rank-0")? + processor_time("rank-1")?,
+    ])
 }
--- a/crates/sparscale_bench/src/route.rs
+++ b/crates/sparscale_bench/src/route.rs
@@ -1,4 +1,6 @@
-//! Routing: time of one decision, and step-time skew against baselines with lagging reports, in virtual time.
+//! Measures the time of one routing decision, and compares routing rules by skew, step time and latency.
+//!
+//! The comparison is a simulation in virtual time, in which load reports reach the entries with a delay.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,22 +13,25 @@
 };
 use sparscale_route::{Request, Rule, choose, subset};
 
-/// Step time without load, and for each sequence on the most loaded rank, in milliseconds.
-const BASE_MS: f64 = 4.5;
-const SLOPE_MS: f64 = 0.1;
-/// Reports are made this often and arrive this much later.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+/// Step time without load.
+const BASE_STEP_MS: f64 = 4.5;
+/// Step time added by each sequence on the most loaded rank.
+const STEP_MS_PER_SEQUENCE: f64 = 0.1;
+/// Interval at which ranks send load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which a report reaches the entries.
 const REPORT_LAG: Duration = Duration::from_millis(250);
-/// Virtual time of one run.
-const RUN: Duration = Duration::from_mins(2);
+/// Virtual duration of one run.
+const RUN_TIME: Duration = Duration::from_mins(2);
 
+/// Returns a bundle with `groups` groups of `ranks` ranks in three halls.
 pub(crate) fn bundle(groups: usize, ranks: usize) -> Result<Bundle, String> {
     let operator = |name: &str| Operator {
         name: name.to_owned(),
         key: sign::public_text(&sign::new_key()),
     };
     let name = |group: usize, rank: usize| format!("rank-{group}-{rank}");
-    let all = (0..groups).flat_map(|group| (0..ranks).map(move |rank| (group, rank)));
+    let group_ranks = (0..groups).flat_map(|group| (0..ranks).map(move |rank| (group, rank)));
     let document = Document {
         version: 1,
         fleet: Fleet {
@@ -51,7 +56,7 @@
                     expert_bytes: 1,
                 })
                 .collect(),
-            targets: all
+            targets: group_ranks
                 .map(|(group, rank)| Target {
                     name: name(group, rank),
                     hall: ["derby", "nottingham", "leicester"][group % 3].to_owned(),
@@ -93,6 +98,7 @@
     }
 }
 
+/// Returns the board of an entry in hall `derby` on which all targets are live.
 fn board(bundle: &Bundle) -> Result<Board, String> {
     let mut board = Board::new("derby");
     board.apply_bundle(bundle);
@@ -109,44 +115,49 @@
 }
 
 /// A request that runs on a rank.
-struct Running {
+struct RunningRequest {
     entry: usize,
-    counter: u64,
-    left: u32,
-    arrived: Duration,
+    /// Position among the requests that its entry sent.
+    send_number: u64,
+    remaining_tokens: u32,
+    arrived_at: Duration,
 }
 
-/// A report on its way to the entries.
+/// A load report that the entries receive at `delivered_at`.
 struct Report<const N: usize> {
-    arrives: Duration,
+    delivered_at: Duration,
     rank: usize,
     running: u32,
     step_ms: f64,
-    seen: [u64; N],
-    own: [u32; N],
+    /// For each entry, the number of its latest request that the rank received.
+    last_received: [u64; N],
+    /// Requests of each entry that the rank runs.
+    running_by_entry: [u32; N],
 }
 
+/// Sums over the steps of a run; steps with a mean load below 1 are left out. Latencies are of all requests.
 #[derive(Default)]
-struct Tally {
-    steps: f64,
-    skew: f64,
-    step_ms: f64,
-    latencies: Vec<f64>,
+struct RunTotals {
+    step_count: f64,
+    skew_sum: f64,
+    step_ms_sum: f64,
+    latencies_ms: Vec<f64>,
 }
 
-/// `N` entries route without telling each other.
+/// A simulation in which `N` entries route without exchanging loads.
 struct Simulation<const N: usize> {
     boards: Vec<Board>,
     keys: Vec<TargetKey>,
-    /// Candidates of each entry, in its own order.
+    /// Candidates of each entry, nearest halls first; the order within a hall differs between entries.
     candidates: Vec<Vec<TargetKey>>,
-    ranks: Vec<Vec<Running>>,
-    seen: Vec<[u64; N]>,
-    counters: [u64; N],
+    ranks: Vec<Vec<RunningRequest>>,
+    /// For each rank and entry, the number of the entry's latest request that the rank received.
+    last_received: Vec<[u64; N]>,
+    sent_counts: [u64; N],
     reports: VecDeque<Report<N>>,
     random: ChaCha8Rng,
-    turns: [usize; N],
-    tally: Tally,
+    round_robin_turns: [usize; N],
+    totals: RunTotals,
 }
 
 impl<const N: usize> Simulation<N> {
@@ -156,27 +167,29 @@
         let boards = boards?;
         let names = bundle.fleet().targets.iter().map(|target| target.name.clone());
         let keys: Option<Vec<TargetKey>> = names.map(|name| boards[0].find(&name)).collect();
-        let keys = keys.ok_or("every target is on the board")?;
-        let own = |(entry, board): (usize, &Board)| subset(board, &format!("entry-{entry}"), &keys, keys.len()).targets;
-        let candidates = boards.iter().enumerate().map(own).collect();
-        let count = groups * ranks;
+        let keys = keys.ok_or("a target is missing from the board")?;
+        let candidates_of =
+            |(entry, board): (usize, &Board)| subset(board, &format!("entry-{entry}"), &keys, keys.len()).targets;
+        let candidates = boards.iter().enumerate().map(candidates_of).collect();
+        let rank_count = groups * ranks;
         Ok(Self {
             boards,
             candidates,
             keys,
-            ranks: (0..count).map(|_| Vec::new()).collect(),
-            seen: vec![[0; N]; count],
-            counters: [0; N],
+            ranks: (0..rank_count).map(|_| Vec::new()).collect(),
+            last_received: vec![[0; N]; rank_count],
+            sent_counts: [0; N],
             reports: VecDeque::new(),
             random: ChaCha8Rng::seed_from_u64(5),
-            turns: [0; N],
-            tally: Tally::default(),
+            round_robin_turns: [0; N],
+            totals: RunTotals::default(),
         })
     }
 
+    /// Routes one new request from a random entry.
     fn arrive(&mut self, rule: Rule, now: Duration) -> Result<(), String> {
         let entry = self.random.random_range(0..N);
-        // Heavy-tailed answer lengths.
+        // Response lengths have a heavy tail.
         let tokens = (20.0 / self.random.random_range(0.02_f64..1.0)) as u32;
         let request = Request {
             prompt_tokens: 200,
@@ -185,84 +198,86 @@
         };
         let rule = match rule {
             Rule::RoundRobin(_) => {
-                self.turns[entry] += 1;
-                Rule::RoundRobin(self.turns[entry])
+                self.round_robin_turns[entry] += 1;
+                Rule::RoundRobin(self.round_robin_turns[entry])
             }
             other => other,
         };
         let board = &mut self.boards[entry];
         let candidates = &self.candidates[entry];
         let decision = choose(board, candidates, &request, rule, now, &mut self.random);
-        let target = decision.map_err(|_none| "no candidate")?.target;
-        self.counters[entry] += 1;
-        board.note_sent(target, self.counters[entry], 0, &[], now);
+        let target = decision.map_err(|_error| "no candidate available")?.target;
+        self.sent_counts[entry] += 1;
+        board.note_sent(target, self.sent_counts[entry], 0, &[], now);
         let rank = self
             .keys
             .iter()
             .position(|key| *key == target)
-            .ok_or("a known target")?;
-        self.seen[rank][entry] = self.counters[entry];
-        self.ranks[rank].push(Running {
+            .ok_or("the chosen target is not in the bundle")?;
+        self.last_received[rank][entry] = self.sent_counts[entry];
+        self.ranks[rank].push(RunningRequest {
             entry,
-            counter: self.counters[entry],
-            left: tokens,
-            arrived: now,
+            send_number: self.sent_counts[entry],
+            remaining_tokens: tokens,
+            arrived_at: now,
         });
         Ok(())
     }
 
-    /// One step of the group with ranks `from..to`; returns its time.
-    fn step(&mut self, from: usize, to: usize, now: Duration) -> Duration {
-        let loads: Vec<usize> = self.ranks[from..to].iter().map(Vec::len).collect();
-        let largest = loads.iter().copied().max().unwrap_or(0) as f64;
-        let mean = loads.iter().sum::<usize>() as f64 / loads.len() as f64;
-        let step_ms = BASE_MS + SLOPE_MS * largest;
-        if mean >= 1.0 {
-            self.tally.steps += 1.0;
-            self.tally.skew += largest / mean;
-            self.tally.step_ms += step_ms;
+    /// Runs one step of the group with ranks `first_rank..end_rank` and returns its duration.
+    fn step(&mut self, first_rank: usize, end_rank: usize, now: Duration) -> Duration {
+        let rank_loads: Vec<usize> = self.ranks[first_rank..end_rank].iter().map(Vec::len).collect();
+        let max_load = rank_loads.iter().copied().max().unwrap_or(0) as f64;
+        let mean_load = rank_loads.iter().sum::<usize>() as f64 / rank_loads.len() as f64;
+        let step_ms = BASE_STEP_MS + STEP_MS_PER_SEQUENCE * max_load;
+        if mean_load >= 1.0 {
+            self.totals.step_count += 1.0;
+            self.totals.skew_sum += max_load / mean_load;
+            self.totals.step_ms_sum += step_ms;
         }
-        let took = Duration::from_secs_f64(step_ms / 1_000.0);
-        for (index, rank) in self.ranks[from..to].iter_mut().enumerate() {
+        let step_time = Duration::from_secs_f64(step_ms / 1_000.0);
+        for (index, rank) in self.ranks[first_rank..end_rank].iter_mut().enumerate() {
             for running in rank.iter_mut() {
-                running.left -= 1;
-                if running.left == 0 {
-                    let key = self.keys[from + index];
-                    self.boards[running.entry].note_ended(key, running.counter, now + took);
-                    self.tally
-                        .latencies
-                        .push((now + took).saturating_sub(running.arrived).as_secs_f64() * 1_000.0);
+                running.remaining_tokens -= 1;
+                if running.remaining_tokens == 0 {
+                    let key = self.keys[first_rank + index];
+                    self.boards[running.entry].note_ended(key, running.send_number, now + step_time);
+                    self.totals
+                        .latencies_ms
+                        .push((now + step_time).saturating_sub(running.arrived_at).as_secs_f64() * 1_000.0);
                 }
             }
-            rank.retain(|running| running.left > 0);
+            rank.retain(|running| running.remaining_tokens > 0);
         }
-        took
+        step_time
     }
 
+    /// Makes a load report of every rank, delivered [`REPORT_LAG`] later.
     fn report(&mut self, step_ms: &HashMap<usize, f64>, ranks: usize, now: Duration) {
         for rank in 0..self.ranks.len() {
             self.reports.push_back(Report {
-                arrives: now + REPORT_LAG,
+                delivered_at: now + REPORT_LAG,
                 rank,
                 running: self.ranks[rank].len() as u32,
-                step_ms: step_ms.get(&(rank / ranks)).copied().unwrap_or(BASE_MS),
-                seen: self.seen[rank],
-                own: std::array::from_fn(|entry| {
+                step_ms: step_ms.get(&(rank / ranks)).copied().unwrap_or(BASE_STEP_MS),
+                last_received: self.last_received[rank],
+                running_by_entry: std::array::from_fn(|entry| {
                     self.ranks[rank].iter().filter(|running| running.entry == entry).count() as u32
                 }),
             });
         }
     }
 
+    /// Applies the reports that have arrived by `now` to the boards of all entries.
     fn deliver_reports(&mut self, now: Duration) {
-        while self.reports.front().is_some_and(|report| report.arrives <= now) {
+        while self.reports.front().is_some_and(|report| report.delivered_at <= now) {
             let Some(report) = self.reports.pop_front() else { return };
             for (entry, board) in self.boards.iter_mut().enumerate() {
                 let load = Load {
                     incarnation: 1,
-                    seen: report.seen[entry],
+                    seen: report.last_received[entry],
                     running: report.running,
-                    own: report.own[entry],
+                    own: report.running_by_entry[entry],
                     step_ms: report.step_ms,
                     ..Load::default()
                 };
@@ -272,7 +287,13 @@
     }
 }
 
-fn simulate<const N: usize>(rule: Rule, groups: usize, ranks: usize, per_second: f64) -> Result<Tally, String> {
+/// Runs one simulation and returns its totals.
+fn simulate<const N: usize>(
+    rule: Rule,
+    groups: usize,
+    ranks: usize,
+    requests_per_second: f64,
+) -> Result<RunTotals, String> {
     let mut simulation = Simulation::<N>::new(groups, ranks)?;
     let mut next_step = vec![Duration::ZERO; groups];
     let mut step_ms: HashMap<usize, f64> = HashMap::new();
@@ -281,27 +302,28 @@
     loop {
         let group = (0..groups).min_by_key(|group| next_step[*group]).unwrap_or(0);
         let now = next_step[group].min(next_arrival).min(next_report);
-        if now > RUN {
-            return Ok(simulation.tally);
+        if now > RUN_TIME {
+            return Ok(simulation.totals);
         }
         simulation.deliver_reports(now);
         if now == next_arrival {
             simulation.arrive(rule, now)?;
-            let gap = -(1.0 - simulation.random.random::<f64>()).ln() / per_second;
-            next_arrival = now + Duration::from_secs_f64(gap);
+            let gap_secs = -(1.0 - simulation.random.random::<f64>()).ln() / requests_per_second;
+            next_arrival = now + Duration::from_secs_f64(gap_secs);
         } else if now == next_report {
             simulation.report(&step_ms, ranks, now);
-            next_report = now + REPORT_EVERY;
+            next_report = now + REPORT_INTERVAL;
         } else {
-            let took = simulation.step(group * ranks, (group + 1) * ranks, now);
-            step_ms.insert(group, took.as_secs_f64() * 1_000.0);
-            next_step[group] = now + took;
+            let step_time = simulation.step(group * ranks, (group + 1) * ranks, now);
+            step_ms.insert(group, step_time.as_secs_f64() * 1_000.0);
+            next_step[group] = now + step_time;
         }
     }
 }
 
+/// Returns the mean time of one decision among `candidates` targets, in microseconds.
 fn decision_micros(candidates: usize) -> Result<f64, String> {
-    const REPEATS: u32 = 20_000;
+    const REPEAT_COUNT: u32 = 20_000;
     let bundle = bundle(candidates.div_ceil(8), 8)?;
     let mut board = board(&bundle)?;
     let keys: Vec<TargetKey> = board.targets().map(|(key, _)| key).take(candidates).collect();
@@ -315,8 +337,8 @@
         blocks,
     };
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    let began = Instant::now();
-    for _ in 0..REPEATS {
+    let started = Instant::now();
+    for _ in 0..REPEAT_COUNT {
         let decision = choose(
             &board,
             &keys,
@@ -325,9 +347,9 @@
             Duration::from_secs(1),
             &mut random,
         );
-        std::hint::black_box(decision.map_err(|_none| "no candidate")?);
+        std::hint::black_box(decision.map_err(|_error| "no candidate available")?);
     }
-    Ok(began.elapsed().as_secs_f64() * 1e6 / f64::from(REPEATS))
+    Ok(started.elapsed().as_secs_f64() * 1e6 / f64::from(REPEAT_COUNT))
 }
 
 pub(crate) fn run() -> Result<(), String> {
@@ -343,9 +365,10 @@
     compare::<40>(4, 64, 4_000.0)
 }
 
-fn compare<const N: usize>(groups: usize, ranks: usize, per_second: f64) -> Result<(), String> {
+/// Prints skew, step time and latency of each rule for one fleet and load.
+fn compare<const N: usize>(groups: usize, ranks: usize, requests_per_second: f64) -> Result<(), String> {
     println!(
-        "\n{groups} groups of {ranks} ranks, {per_second} requests/s, {N} entries, reports every {REPORT_EVERY:?}, {REPORT_LAG:?} late"
+        "\n{groups} groups of {ranks} ranks, {requests_per_second} requests/s, {N} entries, reports every {REPORT_INTERVAL:?}, {REPORT_LAG:?} late"
     );
     println!(
         "{:<16}{:>10}{:>10}{:>14}{:>14}",
@@ -358,15 +381,15 @@
         ("random", Rule::Random),
     ];
     for (name, rule) in rules {
-        let mut tally = simulate::<N>(rule, groups, ranks, per_second)?;
-        tally.latencies.sort_by(f64::total_cmp);
-        let count = tally.latencies.len();
+        let mut totals = simulate::<N>(rule, groups, ranks, requests_per_second)?;
+        totals.latencies_ms.sort_by(f64::total_cmp);
+        let request_count = totals.latencies_ms.len();
         println!(
             "{name:<16}{:>10.3}{:>10.2}{:>14.0}{:>14.0}",
-            tally.skew / tally.steps,
-            tally.step_ms / tally.steps,
-            tally.latencies.iter().sum::<f64>() / count as f64,
-            tally.latencies[count * 95 / 100]
+            totals.skew_sum / totals.step_count,
+            totals.step_ms_sum / totals.step_count,
+            totals.latencies_ms.iter().sum::<f64>() / request_count as f64,
+            totals.latencies_ms[request_count * 95 / 100]
         );
     }
     Ok(())
--- a/crates/sparscale_bench/src/usage.rs
+++ b/crates/sparscale_bench/src/usage.rs
@@ -1,13 +1,13 @@
-//! Processor time, memory and loopback bytes, as the kernel counts them.
+//! Reads processor time, memory and loopback traffic from `/proc`.
 
 use std::fs;
 
-/// Kernel ticks in a second; fixed for user space on Linux.
+/// Clock ticks per second in `/proc`; the value is fixed for user space on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor time of process `id` so far, in seconds.
-pub(crate) fn processor_seconds(id: u32) -> Result<f64, String> {
-    let text = read(&format!("/proc/{id}/stat"))?;
+/// Returns the processor time (user and system) of process `pid` so far, in seconds.
+pub(crate) fn processor_seconds(pid: u32) -> Result<f64, String> {
+    let text = read(&format!("/proc/{pid}/stat"))?;
     let after_name = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |index: usize| {
@@ -19,9 +19,9 @@
     Ok((ticks(11) + ticks(12)) / TICKS_PER_SECOND)
 }
 
-/// Resident memory of process `id`, in MiB.
-pub(crate) fn resident_mib(id: u32) -> Result<f64, String> {
-    let text = read(&format!("/proc/{id}/status"))?;
+/// Returns the resident memory of process `pid`, in MiB.
+pub(crate) fn resident_mib(pid: u32) -> Result<f64, String> {
+    let text = read(&format!("/proc/{pid}/status"))?;
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
     let kib: f64 = line
         .split_whitespace()
@@ -31,7 +31,7 @@
     Ok(kib / 1_024.0)
 }
 
-/// Bytes that the loopback device has carried.
+/// Returns the number of bytes that the loopback device has received.
 pub(crate) fn loopback_bytes() -> Result<f64, String> {
     let text = read("/proc/net/dev")?;
     let line = text
@@ -49,8 +49,8 @@
     fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))
 }
 
-/// Slope and intercept of the least-squares line through `points`.
-pub(crate) fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// Returns slope and intercept of the least-squares line through `points`.
+pub(crate) fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
--- a/crates/sparscale_standin/src/engine.rs
+++ b/crates/sparscale_standin/src/engine.rs
@@ -41,34 +41,34 @@
 /// A request that waits or runs on a rank.
 #[derive(Debug)]
 pub(crate) struct Sequence {
-    pub(crate) request: String,
+    pub(crate) request_id: String,
     pub(crate) priority: u8,
     pub(crate) prompt: String,
-    pub(crate) tokens: usize,
+    pub(crate) max_tokens: usize,
     pub(crate) sink: mpsc::UnboundedSender<String>,
-    produced_tokens: usize,
-    prefill_remaining: usize,
+    produced_token_count: usize,
+    remaining_prefill_tokens: usize,
     /// Prefix of every token; see [`response_tag_of`].
     response_tag: String,
 }
 
 impl Sequence {
     pub(crate) fn new(
-        request: String,
+        request_id: String,
         priority: u8,
         prompt: String,
-        tokens: usize,
+        max_tokens: usize,
         sink: mpsc::UnboundedSender<String>,
     ) -> Self {
         let response_tag = response_tag_of(&prompt);
         Self {
-            request,
+            request_id,
             priority,
             prompt,
-            tokens,
+            max_tokens,
             sink,
-            produced_tokens: 0,
-            prefill_remaining: 0,
+            produced_token_count: 0,
+            remaining_prefill_tokens: 0,
             response_tag,
         }
     }
@@ -116,7 +116,7 @@
     pub(crate) maps: HashMap<u64, Map>,
     pub(crate) step: u64,
     /// Steps in which ranks would have used different maps.
-    pub(crate) mixed_steps: u64,
+    pub(crate) mixed_step_count: u64,
     /// Polls at which no rank could advance.
     pub(crate) stall_count: u64,
     pub(crate) last_step_micros: u64,
@@ -144,7 +144,7 @@
             ranks,
             maps: HashMap::from([(0, Map::initial(shape))]),
             step: 0,
-            mixed_steps: 0,
+            mixed_step_count: 0,
             stall_count: 0,
             last_step_micros: 0,
             skew_sum: 0.0,
@@ -168,7 +168,7 @@
             return Step::Stalled;
         };
         if map_numbers.iter().any(|number| *number != map_numbers[0]) {
-            self.mixed_steps += 1;
+            self.mixed_step_count += 1;
         }
         self.step = next;
         for rank in &mut self.ranks {
@@ -286,10 +286,10 @@
         self.switch.handle_order(&effective, is_loaded)
     }
 
-    pub(crate) fn cancel(&mut self, request: &str) -> bool {
+    pub(crate) fn cancel(&mut self, request_id: &str) -> bool {
         let len_before = self.waiting.len() + self.running.len();
-        self.waiting.retain(|sequence| sequence.request != request);
-        self.running.retain(|sequence| sequence.request != request);
+        self.waiting.retain(|sequence| sequence.request_id != request_id);
+        self.running.retain(|sequence| sequence.request_id != request_id);
         len_before != self.waiting.len() + self.running.len()
     }
 
@@ -303,7 +303,7 @@
             + self
                 .running
                 .iter()
-                .map(|sequence| sequence.prefill_remaining)
+                .map(|sequence| sequence.remaining_prefill_tokens)
                 .sum::<usize>()
     }
 
@@ -311,15 +311,15 @@
         self.admit(step_model.batch_size);
         let mut budget = step_model.prefill_per_step;
         for sequence in &mut self.running {
-            let prefilled = budget.min(sequence.prefill_remaining);
-            sequence.prefill_remaining -= prefilled;
+            let prefilled = budget.min(sequence.remaining_prefill_tokens);
+            sequence.remaining_prefill_tokens -= prefilled;
             budget -= prefilled;
-            if sequence.prefill_remaining == 0 {
+            if sequence.remaining_prefill_tokens == 0 {
                 sequence.emit_token();
             }
         }
         self.running
-            .retain(|sequence| sequence.produced_tokens < sequence.tokens && !sequence.sink.is_closed());
+            .retain(|sequence| sequence.produced_token_count < sequence.max_tokens && !sequence.sink.is_closed());
     }
 
     fn admit(&mut self, batch_size: usize) {
@@ -335,9 +335,9 @@
             let Some(mut sequence) = self.waiting.remove(index) else {
                 return;
             };
-            let hit_blocks = self.cache_hit(&sequence.prompt);
+            let hit_count = self.cache_hit(&sequence.prompt);
             let prompt_tokens = sequence.prompt.len() / CHARS_PER_TOKEN;
-            sequence.prefill_remaining = prompt_tokens.saturating_sub(hit_blocks * BLOCK_CHARS / CHARS_PER_TOKEN);
+            sequence.remaining_prefill_tokens = prompt_tokens.saturating_sub(hit_count * BLOCK_CHARS / CHARS_PER_TOKEN);
             self.running.push(sequence);
         }
     }
@@ -345,11 +345,11 @@
     /// Returns how many leading blocks of the prompt are cached, and caches the others.
     fn cache_hit(&mut self, prompt: &str) -> usize {
         let blocks = prefix_blocks(prompt);
-        let hit_blocks = blocks.iter().take_while(|block| self.cached.contains(block)).count();
-        for block in blocks.into_iter().skip(hit_blocks) {
+        let hit_count = blocks.iter().take_while(|block| self.cached.contains(block)).count();
+        for block in blocks.into_iter().skip(hit_count) {
             self.insert_block(block);
         }
-        hit_blocks
+        hit_count
     }
 
     fn insert_block(&mut self, block: u64) {
@@ -378,8 +378,8 @@
 
 impl Sequence {
     fn emit_token(&mut self) {
-        let token = format!("{}:{} ", self.response_tag, self.produced_tokens);
-        self.produced_tokens += 1;
+        let token = format!("{}:{} ", self.response_tag, self.produced_token_count);
+        self.produced_token_count += 1;
         // `advance` removes sequences whose reader has closed the channel.
         let _closed = self.sink.send(token);
     }
--- a/crates/sparscale_standin/src/group.rs
+++ b/crates/sparscale_standin/src/group.rs
@@ -222,9 +222,9 @@
     let rank = context.context();
     let group = rank.group();
     let rank_state = &group.ranks[rank.index];
-    let all = rank_state.waiting.iter().chain(&rank_state.running);
+    let sequences = rank_state.waiting.iter().chain(&rank_state.running);
     server::json(&RunningRequests {
-        requests: all.map(|sequence| sequence.request.clone()).collect(),
+        requests: sequences.map(|sequence| sequence.request_id.clone()).collect(),
     })
 }
 
@@ -261,8 +261,8 @@
     let group = rank.group();
     let events = &group.ranks[rank.index].cache_events;
     let first = events.front().map_or(after, |(number, _, _)| *number);
-    let new = events.iter().filter(|(number, _, _)| *number >= after);
-    let events = new.map(|(number, block, added)| CacheEvent {
+    let new_events = events.iter().filter(|(number, _, _)| *number >= after);
+    let events = new_events.map(|(number, block, added)| CacheEvent {
         number: *number,
         block: *block,
         added: *added,
@@ -353,7 +353,7 @@
     let group = rank.group();
     server::json(&RankCounts {
         steps: group.step,
-        mixed_steps: group.mixed_steps,
+        mixed_steps: group.mixed_step_count,
         held: group.stall_count,
         old_orders: group.ranks[rank.index].stale_order_count,
         mean_skew: group.skew_sum / group.step.max(1) as f64,
--- a/crates/sparscale_standin/src/log_service.rs
+++ b/crates/sparscale_standin/src/log_service.rs
@@ -28,8 +28,8 @@
 struct LogContents {
     first_offset: u64,
     records: VecDeque<Bytes>,
-    appends: u64,
-    reads: u64,
+    append_count: u64,
+    read_count: u64,
     bytes_read: u64,
 }
 
@@ -85,7 +85,7 @@
     fn append(&self, data: Bytes) -> u64 {
         let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
         contents.records.push_back(data);
-        contents.appends += 1;
+        contents.append_count += 1;
         let offset = contents.first_offset + contents.records.len() as u64 - 1;
         drop(contents);
         self.appended.notify_waiters();
@@ -94,7 +94,7 @@
 
     fn read(&self, query: &ReadQuery) -> Page {
         let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
-        contents.reads += 1;
+        contents.read_count += 1;
         let next = contents.first_offset + contents.records.len() as u64;
         let from = query.from.max(contents.first_offset);
         let offsets = from..next.min(from.saturating_add(query.limit as u64));
@@ -188,8 +188,8 @@
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     server::json(&LogCounts {
-        appends: contents.appends,
-        reads: contents.reads,
+        appends: contents.append_count,
+        reads: contents.read_count,
         bytes_read: contents.bytes_read,
         earliest: contents.first_offset,
         next: contents.first_offset + contents.records.len() as u64,
