--- a/crates/sparscale_standin/src/boxes.rs
+++ b/crates/sparscale_standin/src/boxes.rs
@@ -95,7 +95,7 @@
 
 type Context = RequestContext<Arc<BoxListState>>;
 
-/// Returns the list that is visible now, with an ETag.
+/// Returns the list that is visible now, with an `ETag` header.
 #[endpoint { method = GET, path = "/v1/boxes" }]
 async fn get_boxes(context: Context) -> Result<Response<Body>, HttpError> {
     context.context().faults.delay_or_reject().await?;
