--- a/crates/sparscale_admit/src/ledger.rs
+++ b/crates/sparscale_admit/src/ledger.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
     /// Incarnation of the sender.
-    pub sender: u64,
+    pub sender_incarnation: u64,
     /// Increasing counter of that incarnation.
     pub counter: u64,
 }
@@ -49,7 +49,7 @@
     },
     /// Its counter is below the sender's floor, so whether it ran is unknown.
     #[snafu(display("the record of the attempt has expired"))]
-    Forgotten,
+    Expired,
     /// The ledger is at capacity, and no record may be evicted yet.
     #[snafu(display("the ledger is at capacity"))]
     Full,
@@ -57,13 +57,13 @@
 
 /// Result of binding an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Keyed {
+pub enum KeyBinding {
     /// The key is new and is now bound to the attempt.
     New,
     /// The key is bound to this earlier attempt, whose outcome also answers the new request.
     Earlier(Attempt),
     /// The key was used for another request body.
-    OtherBody,
+    BodyMismatch,
 }
 
 #[derive(Debug, Clone)]
@@ -116,12 +116,12 @@
     }
 
     /// Registers `attempt` and keeps its record at least until `expires`.
-    pub fn enter(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Result<(), Refusal> {
+    pub fn register(&mut self, attempt: Attempt, expires: Duration, now: Duration) -> Result<(), Refusal> {
         if let Some(record) = self.records.get(&attempt) {
             return Err(Refusal::Known { state: record.state });
         }
         if self.is_below_floor(attempt) {
-            return Err(Refusal::Forgotten);
+            return Err(Refusal::Expired);
         }
         self.expire(now);
         if self.records.len() >= self.capacity {
@@ -132,39 +132,39 @@
     }
 
     /// Binds `key` to `attempt`, which was just registered, unless the key is bound to an earlier attempt.
-    pub fn bind(&mut self, key: Key, body: [u8; 32], attempt: Attempt) -> Keyed {
+    pub fn bind_key(&mut self, key: Key, body: [u8; 32], attempt: Attempt) -> KeyBinding {
         if let Some(earlier) = self.keys.get(&key) {
             return if earlier.body == body {
-                Keyed::Earlier(earlier.attempt)
+                KeyBinding::Earlier(earlier.attempt)
             } else {
-                Keyed::OtherBody
+                KeyBinding::BodyMismatch
             };
         }
         if let Some(record) = self.records.get_mut(&attempt) {
             record.key = Some(key);
             self.keys.insert(key, BoundKey { attempt, body });
         }
-        Keyed::New
+        KeyBinding::New
     }
 
     /// The attempt that `key` is bound to.
-    pub fn bound(&self, key: &Key) -> Option<Attempt> {
+    pub fn attempt_of_key(&self, key: &Key) -> Option<Attempt> {
         self.keys.get(key).map(|record| record.attempt)
     }
 
     /// Records that `attempt` is about to be forwarded. Returns false if it must not be, because it is not queued.
     #[must_use]
-    pub fn hand_on(&mut self, attempt: Attempt) -> bool {
+    pub fn try_forward(&mut self, attempt: Attempt) -> bool {
         self.transition(attempt, State::Queued, State::Running)
     }
 
     /// Records the end of `attempt`, which was forwarded.
-    pub fn end(&mut self, attempt: Attempt) {
+    pub fn record_end(&mut self, attempt: Attempt) {
         self.transition(attempt, State::Running, State::Ended);
     }
 
     /// Records that `attempt` was to be forwarded but provably never reached the target.
-    pub fn take_back(&mut self, attempt: Attempt) {
+    pub fn record_undelivered(&mut self, attempt: Attempt) {
         if self.transition(attempt, State::Running, State::Tombstone) {
             self.release_key(attempt);
         }
@@ -224,7 +224,7 @@
         if let Some(key) = record.key {
             self.keys.remove(&key);
         }
-        let floor = self.counter_floors.entry(attempt.sender).or_default();
+        let floor = self.counter_floors.entry(attempt.sender_incarnation).or_default();
         *floor = (*floor).max(attempt.counter + 1);
     }
 
@@ -253,7 +253,7 @@
     }
 
     fn is_below_floor(&self, attempt: Attempt) -> bool {
-        let floor = self.counter_floors.get(&attempt.sender);
+        let floor = self.counter_floors.get(&attempt.sender_incarnation);
         floor.is_some_and(|floor| attempt.counter < *floor)
     }
 }
--- a/crates/sparscale_admit/src/queue.rs
+++ b/crates/sparscale_admit/src/queue.rs
@@ -50,9 +50,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Most requests that the target runs at the same time.
-    pub running: usize,
+    pub max_running: usize,
     /// Most requests in the queue.
-    pub waiting: usize,
+    pub max_queued: usize,
     /// One in this many dispatches goes to the lowest tier with queued requests; 0 disables this.
     pub floor_one_in: u32,
 }
@@ -113,24 +113,24 @@
     }
 
     /// Number of queued requests.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.queued_count
     }
 
     /// Number of running requests.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running_count
     }
 
     /// Whether the target runs as many requests as it may.
     pub fn is_busy(&self) -> bool {
-        self.running_count >= self.limits.running
+        self.running_count >= self.limits.max_running
     }
 
     /// Queues `job`, or rejects it immediately.
-    pub fn offer(&mut self, job: Job<K>, now: Duration) -> Result<Admission<K>, Refusal> {
+    pub fn enqueue(&mut self, job: Job<K>, now: Duration) -> Result<Admission<K>, Refusal> {
         let wait = self.expected_wait(job.tier, job.cost);
-        if self.running_count >= self.limits.running && now + wait >= job.deadline {
+        if self.running_count >= self.limits.max_running && now + wait >= job.deadline {
             return Err(Refusal::TooLate { retry_after: wait });
         }
         let displaced = if self.has_headroom() {
@@ -145,8 +145,8 @@
 
     /// Removes and returns the request that runs next, if the target may run another one. Requests whose deadline has
     /// passed are added to `expired`.
-    pub fn next(&mut self, now: Duration, expired: &mut Vec<K>) -> Option<Job<K>> {
-        while self.running_count < self.limits.running {
+    pub fn dequeue(&mut self, now: Duration, expired: &mut Vec<K>) -> Option<Job<K>> {
+        while self.running_count < self.limits.max_running {
             let tier = self.next_tier()?;
             let job = self.pop(tier)?;
             if job.deadline <= now {
@@ -161,7 +161,7 @@
     }
 
     /// Records the end of a request that ran for `residence` with expected work `cost`.
-    pub fn finished(&mut self, cost: f64, residence: Duration) {
+    pub fn record_end(&mut self, cost: f64, residence: Duration) {
         self.running_count = self.running_count.saturating_sub(1);
         let observed = residence.as_secs_f64() / cost.max(1.0);
         if self.seconds_per_cost == 0.0 {
@@ -171,7 +171,7 @@
     }
 
     /// Records that a dequeued request did not run.
-    pub fn gave_up_place(&mut self) {
+    pub fn record_not_run(&mut self) {
         self.running_count = self.running_count.saturating_sub(1);
     }
 
@@ -191,17 +191,17 @@
     /// requests that run at the same time.
     pub fn expected_wait(&self, tier: u8, cost: f64) -> Duration {
         let ahead_cost: f64 = self.tiers.range(..=tier).map(|(_, tier)| tier.queued_cost).sum();
-        let wait_cost = if self.running_count >= self.limits.running {
+        let wait_cost = if self.running_count >= self.limits.max_running {
             cost
         } else {
             0.0
         };
-        let seconds = (ahead_cost + wait_cost) * self.seconds_per_cost / self.limits.running.max(1) as f64;
+        let seconds = (ahead_cost + wait_cost) * self.seconds_per_cost / self.limits.max_running.max(1) as f64;
         Duration::from_secs_f64(seconds.clamp(0.0, 3_600.0))
     }
 
     fn has_headroom(&self) -> bool {
-        self.queued_count < self.limits.waiting || self.running_count < self.limits.running
+        self.queued_count < self.limits.max_queued || self.running_count < self.limits.max_running
     }
 
     /// Removes the newest request of the lowest tier below `tier`, to make headroom for one of `tier`.
--- a/crates/sparscale_admit/tests/attempt_ledger.rs
+++ b/crates/sparscale_admit/tests/attempt_ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_admit::ledger::{Attempt, Keyed, Ledger, Refusal, State};
+use sparscale_admit::ledger::{Attempt, KeyBinding, Ledger, Refusal, State};
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -18,7 +18,7 @@
 
 fn attempt(g: &mut Gen) -> Attempt {
     Attempt {
-        sender: u64::arbitrary(g) % 2,
+        sender_incarnation: u64::arbitrary(g) % 2,
         counter: u64::arbitrary(g) % 6,
     }
 }
@@ -47,16 +47,16 @@
     let mut not_run: HashSet<Attempt> = HashSet::new();
     for event in events {
         match event {
-            Event::Register(id) => drop(ledger.enter(id, now + RETENTION, now)),
+            Event::Register(id) => drop(ledger.register(id, now + RETENTION, now)),
             Event::Forward(id) => {
-                if ledger.hand_on(id) {
+                if ledger.try_forward(id) {
                     *forward_counts.entry(id).or_default() += 1;
                 }
             }
-            Event::End(id) => ledger.end(id),
+            Event::End(id) => ledger.record_end(id),
             Event::RecordUndelivered(id) => {
                 if ledger.state(id) == Some(State::Running) {
-                    ledger.take_back(id);
+                    ledger.record_undelivered(id);
                     // The attempt provably never reached the target.
                     forward_counts.remove(&id);
                     not_run.insert(id);
@@ -89,11 +89,17 @@
 #[test]
 fn full_ledger_rejects() {
     let mut ledger = Ledger::new(1);
-    let first = Attempt { sender: 1, counter: 1 };
-    let second = Attempt { sender: 1, counter: 2 };
+    let first = Attempt {
+        sender_incarnation: 1,
+        counter: 1,
+    };
+    let second = Attempt {
+        sender_incarnation: 1,
+        counter: 2,
+    };
     let minute = Duration::from_mins(1);
-    assert_eq!(ledger.enter(first, minute, Duration::ZERO), Ok(()));
-    assert_eq!(ledger.enter(second, minute, Duration::ZERO), Err(Refusal::Full));
+    assert_eq!(ledger.register(first, minute, Duration::ZERO), Ok(()));
+    assert_eq!(ledger.register(second, minute, Duration::ZERO), Err(Refusal::Full));
     assert_eq!(
         ledger.settle(second, minute, Duration::ZERO),
         None,
@@ -104,33 +110,42 @@
 #[test]
 fn evicted_attempt_rejected() {
     let mut ledger = Ledger::new(4);
-    let id = Attempt { sender: 1, counter: 5 };
+    let id = Attempt {
+        sender_incarnation: 1,
+        counter: 5,
+    };
     let second = Duration::from_secs(1);
-    assert_eq!(ledger.enter(id, second, Duration::ZERO), Ok(()));
-    assert!(ledger.hand_on(id));
-    ledger.end(id);
+    assert_eq!(ledger.register(id, second, Duration::ZERO), Ok(()));
+    assert!(ledger.try_forward(id));
+    ledger.record_end(id);
     ledger.expire(second * 2);
     assert!(ledger.is_empty());
-    assert_eq!(ledger.enter(id, second * 9, second * 3), Err(Refusal::Forgotten));
+    assert_eq!(ledger.register(id, second * 9, second * 3), Err(Refusal::Expired));
     assert_eq!(ledger.settle(id, second * 9, second * 3), None);
 }
 
 #[test]
 fn key_binds_once() {
     let mut ledger = Ledger::new(4);
-    let first = Attempt { sender: 1, counter: 1 };
-    let second = Attempt { sender: 2, counter: 1 };
+    let first = Attempt {
+        sender_incarnation: 1,
+        counter: 1,
+    };
+    let second = Attempt {
+        sender_incarnation: 2,
+        counter: 1,
+    };
     let minute = Duration::from_mins(1);
     for id in [first, second] {
-        assert_eq!(ledger.enter(id, minute, Duration::ZERO), Ok(()));
+        assert_eq!(ledger.register(id, minute, Duration::ZERO), Ok(()));
     }
-    assert_eq!(ledger.bind([7; 16], [1; 32], first), Keyed::New);
-    assert_eq!(ledger.bind([7; 16], [1; 32], second), Keyed::Earlier(first));
-    assert_eq!(ledger.bind([7; 16], [2; 32], second), Keyed::OtherBody);
+    assert_eq!(ledger.bind_key([7; 16], [1; 32], first), KeyBinding::New);
+    assert_eq!(ledger.bind_key([7; 16], [1; 32], second), KeyBinding::Earlier(first));
+    assert_eq!(ledger.bind_key([7; 16], [2; 32], second), KeyBinding::BodyMismatch);
     assert_eq!(ledger.settle(first, minute, Duration::ZERO), Some(State::Tombstone));
     assert_eq!(
-        ledger.bind([7; 16], [1; 32], second),
-        Keyed::New,
+        ledger.bind_key([7; 16], [1; 32], second),
+        KeyBinding::New,
         "an attempt that did not run releases its key"
     );
 }
--- a/crates/sparscale_admit/tests/tier_queue.rs
+++ b/crates/sparscale_admit/tests/tier_queue.rs
@@ -21,16 +21,16 @@
 
 fn queue(running: usize, waiting: usize, floor_one_in: u32) -> Queue<u32> {
     Queue::new(Limits {
-        running,
-        waiting,
+        max_running: running,
+        max_queued: waiting,
         floor_one_in,
     })
 }
 
 /// Dequeues the next job and records its end immediately.
 fn run_next(queue: &mut Queue<u32>) -> Option<Job<u32>> {
-    let job = queue.next(Duration::ZERO, &mut Vec::new())?;
-    queue.finished(job.cost, Duration::from_millis(10));
+    let job = queue.dequeue(Duration::ZERO, &mut Vec::new())?;
+    queue.record_end(job.cost, Duration::from_millis(10));
     Some(job)
 }
 
@@ -39,7 +39,7 @@
     let mut queue = queue(1, 100, 0);
     for key in 0..10 {
         queue
-            .offer(job(key, u8::from(key < 5), "a", 1), Duration::ZERO)
+            .enqueue(job(key, u8::from(key < 5), "a", 1), Duration::ZERO)
             .expect("there is headroom");
     }
     let order: Vec<u8> = std::iter::from_fn(|| run_next(&mut queue))
@@ -53,7 +53,7 @@
     let mut queue = queue(1, 1_000, 5);
     for key in 0..200 {
         queue
-            .offer(job(key, u8::from(key >= 100), "a", 1), Duration::ZERO)
+            .enqueue(job(key, u8::from(key >= 100), "a", 1), Duration::ZERO)
             .expect("there is headroom");
     }
     let first = (0..50).filter_map(|_| run_next(&mut queue));
@@ -67,7 +67,7 @@
     for key in 0..300 {
         let (name, weight) = if key % 2 == 0 { ("heavy", 3) } else { ("light", 1) };
         queue
-            .offer(job(key, 0, name, weight), Duration::ZERO)
+            .enqueue(job(key, 0, name, weight), Duration::ZERO)
             .expect("there is headroom");
     }
     let mut served: HashMap<String, u32> = HashMap::new();
@@ -83,7 +83,7 @@
     let mut queue = queue(1, 1_000, 0);
     for key in 0..100 {
         queue
-            .offer(job(key, 0, "busy", 1), Duration::ZERO)
+            .enqueue(job(key, 0, "busy", 1), Duration::ZERO)
             .expect("there is headroom");
     }
     for _ in 0..50 {
@@ -91,7 +91,7 @@
     }
     for key in 100..150 {
         queue
-            .offer(job(key, 0, "late", 1), Duration::ZERO)
+            .enqueue(job(key, 0, "late", 1), Duration::ZERO)
             .expect("there is headroom");
     }
     let next: Vec<String> = (0..20)
@@ -109,21 +109,21 @@
 fn late_request_rejected_early() {
     let mut queue = queue(1, 1_000, 0);
     queue
-        .offer(job(0, 0, "a", 1), Duration::ZERO)
+        .enqueue(job(0, 0, "a", 1), Duration::ZERO)
         .expect("there is headroom");
     let running = queue
-        .next(Duration::ZERO, &mut Vec::new())
+        .dequeue(Duration::ZERO, &mut Vec::new())
         .expect("the target may run a request");
-    queue.finished(running.cost, Duration::from_secs(1));
+    queue.record_end(running.cost, Duration::from_secs(1));
     queue
-        .offer(job(1, 0, "a", 1), Duration::ZERO)
+        .enqueue(job(1, 0, "a", 1), Duration::ZERO)
         .expect("there is headroom");
-    assert!(queue.next(Duration::ZERO, &mut Vec::new()).is_some());
+    assert!(queue.dequeue(Duration::ZERO, &mut Vec::new()).is_some());
     let hasty = Job {
         deadline: Duration::from_millis(500),
         ..job(2, 0, "a", 1)
     };
-    let refused = queue.offer(hasty, Duration::ZERO);
+    let refused = queue.enqueue(hasty, Duration::ZERO);
     assert!(matches!(refused, Err(Refusal::TooLate { retry_after }) if retry_after >= Duration::from_millis(900)));
 }
 
@@ -131,19 +131,19 @@
 fn lower_tier_displaced() {
     let mut queue = queue(1, 2, 0);
     let running = job(0, 0, "a", 1);
-    queue.offer(running, Duration::ZERO).expect("there is headroom");
-    assert!(queue.next(Duration::ZERO, &mut Vec::new()).is_some());
+    queue.enqueue(running, Duration::ZERO).expect("there is headroom");
+    assert!(queue.dequeue(Duration::ZERO, &mut Vec::new()).is_some());
     for key in 1..3 {
         queue
-            .offer(job(key, 1, "low", 1), Duration::ZERO)
+            .enqueue(job(key, 1, "low", 1), Duration::ZERO)
             .expect("there is headroom");
     }
     let admission = queue
-        .offer(job(3, 0, "high", 1), Duration::ZERO)
+        .enqueue(job(3, 0, "high", 1), Duration::ZERO)
         .expect("a job of a lower tier is displaced");
     assert_eq!(admission.displaced, Some(2));
     assert!(matches!(
-        queue.offer(job(4, 1, "low", 1), Duration::ZERO),
+        queue.enqueue(job(4, 1, "low", 1), Duration::ZERO),
         Err(Refusal::Full { .. })
     ));
 }
@@ -187,7 +187,7 @@
             } => {
                 next_key += 1;
                 let offered = job(next_key, tier, &workspace.to_string(), u32::from(weight));
-                if let Ok(admission) = queue.offer(offered, Duration::ZERO) {
+                if let Ok(admission) = queue.enqueue(offered, Duration::ZERO) {
                     waiting.insert(next_key, tier);
                     if let Some(displaced) = admission.displaced
                         && waiting.remove(&displaced).is_none_or(|lower| lower <= tier)
@@ -197,7 +197,7 @@
                 }
             }
             Event::Next => {
-                if let Some(job) = queue.next(Duration::ZERO, &mut Vec::new()) {
+                if let Some(job) = queue.dequeue(Duration::ZERO, &mut Vec::new()) {
                     let known = waiting.remove(&job.key) == Some(job.tier);
                     if !known || waiting.values().any(|tier| *tier < job.tier) {
                         return false;
@@ -207,7 +207,7 @@
             }
             Event::Finish => {
                 if let Some(cost) = running.pop() {
-                    queue.finished(cost, Duration::from_millis(1));
+                    queue.record_end(cost, Duration::from_millis(1));
                 }
             }
             Event::Remove(which) => {
@@ -217,7 +217,7 @@
                 }
             }
         }
-        if queue.waiting() != waiting.len() || queue.running() != running.len() || running.len() > 3 {
+        if queue.queued_count() != waiting.len() || queue.running_count() != running.len() || running.len() > 3 {
             return false;
         }
     }
--- a/crates/sparscale_agent/src/connection.rs
+++ b/crates/sparscale_agent/src/connection.rs
@@ -5,8 +5,8 @@
 
 use sparscale_control::{Journal, serve_follower};
 use sparscale_wire::{
-    Answer as AnswerFrame, Ask, AttemptId, Channel, Endpoint, EndpointError, Failure, Frame, Part, Peer, Role, Sender,
-    StreamError,
+    AttemptId, Channel, Endpoint, EndpointError, Failure, Frame, Peer, ResponseEvent, ResponseFrame as AnswerFrame,
+    Role, Sender, StreamError, StreamRequest,
 };
 
 use crate::core::{AttemptStart, Core};
@@ -53,38 +53,46 @@
 }
 
 async fn serve_stream(context: &Arc<StreamContext>, role: Role, mut channel: Channel) -> Result<(), StreamError> {
-    let Frame::Ask(ask) = channel.receiver.receive().await? else {
+    let Frame::Open(ask) = channel.receiver.receive().await? else {
         return Err(StreamError::Unexpected);
     };
     let mut sender = channel.sender;
     match ask {
-        Ask::Follow { head, version } => {
+        StreamRequest::FollowLog {
+            from_offset: head,
+            bundle_version: version,
+        } => {
             return serve_follower(Arc::clone(&context.journal), head, version, sender).await;
         }
-        Ask::Exchange | Ask::Conduct { .. } | Ask::Leader { .. } => return Err(StreamError::Unexpected),
+        StreamRequest::ExchangeObservations | StreamRequest::LeadRank { .. } | StreamRequest::QueryLeader { .. } => {
+            return Err(StreamError::Unexpected);
+        }
         _ if role != Role::Entry => return Err(StreamError::Unexpected),
-        Ask::Attempt(attempt) => {
+        StreamRequest::Attempt(attempt) => {
             let id = attempt.id;
             let start = context.core.start_attempt(*attempt);
             send_start(start, id, &mut sender).await?;
         }
-        Ask::Resume { attempt, from } => resume(&context.core, attempt, from, &mut sender).await?,
-        Ask::Settle { attempt, incarnation } => {
+        StreamRequest::Resume { attempt, from } => resume(&context.core, attempt, from, &mut sender).await?,
+        StreamRequest::Settle { attempt, incarnation } => {
             let settlement = context.core.settle_for(attempt, incarnation);
             sender.send(&Frame::Settlement(settlement)).await?;
         }
-        Ask::Cancel(attempt) => context.core.cancel(attempt).await,
-        Ask::Watch { entry, interval_ms } => return report_load(&context.core, entry, interval_ms, &mut sender).await,
-        Ask::Order { group, order } => {
+        StreamRequest::Cancel(attempt) => context.core.cancel(attempt).await,
+        StreamRequest::WatchLoad {
+            entry_incarnation: entry,
+            interval_ms,
+        } => return report_load(&context.core, entry, interval_ms, &mut sender).await,
+        StreamRequest::ForwardOrder { group, order } => {
             let report = context.orders.forward(&group, &order).await;
             if let Some(report) = report {
                 sender.send(&Frame::Report(report)).await?;
             }
         }
-        Ask::Ping => sender.send(&Frame::Pong(context.core.incarnation)).await?,
-        Ask::Experts => {
+        StreamRequest::Ping => sender.send(&Frame::Pong(context.core.incarnation)).await?,
+        StreamRequest::QueryExpertTokens => {
             let tokens = context.core.engine().expert_tokens().await.unwrap_or_default();
-            sender.send(&Frame::Experts(tokens)).await?;
+            sender.send(&Frame::ExpertTokens(tokens)).await?;
         }
     }
     sender.finish();
@@ -95,8 +103,10 @@
 async fn send_start(start: AttemptStart, id: AttemptId, sender: &mut Sender) -> Result<(), StreamError> {
     match start {
         AttemptStart::Response(buffer) => send_response(&buffer, id, 0, sender).await,
-        AttemptStart::Rejected(refusal) => send_part(id, Part::Refused(refusal), sender).await,
-        AttemptStart::Unknown(message) => send_part(id, Part::Failed(Failure::Unknown { message }), sender).await,
+        AttemptStart::Rejected(refusal) => send_part(id, ResponseEvent::Rejected(refusal), sender).await,
+        AttemptStart::Unknown(message) => {
+            send_part(id, ResponseEvent::Failed(Failure::Unknown { message }), sender).await
+        }
     }
 }
 
@@ -105,7 +115,7 @@
         return send_response(&buffer, id, from, sender).await;
     }
     let message = "the answer is not kept here".to_owned();
-    send_part(id, Part::Failed(Failure::Unknown { message }), sender).await
+    send_part(id, ResponseEvent::Failed(Failure::Unknown { message }), sender).await
 }
 
 /// Sends a response, starting at chunk `from`, under the attempt id that the receiver expects.
@@ -119,7 +129,7 @@
     let mut index = 0;
     while let Some(part) = buffer.part(index).await {
         index += 1;
-        if matches!(&part, Part::Chunk(chunk) if chunk.sequence < from) {
+        if matches!(&part, ResponseEvent::Chunk(chunk) if chunk.sequence < from) {
             continue;
         }
         send_part(id, part, sender).await?;
@@ -127,8 +137,8 @@
     Ok(())
 }
 
-async fn send_part(attempt: AttemptId, part: Part, sender: &mut Sender) -> Result<(), StreamError> {
-    sender.send(&Frame::Answer(AnswerFrame { attempt, part })).await
+async fn send_part(attempt: AttemptId, part: ResponseEvent, sender: &mut Sender) -> Result<(), StreamError> {
+    sender.send(&Frame::Response(AnswerFrame { attempt, part })).await
 }
 
 /// Reports load changes at the interval that the entry requested; a change of whether the agent accepts new work is
--- a/crates/sparscale_agent/src/core.rs
+++ b/crates/sparscale_agent/src/core.rs
@@ -9,10 +9,12 @@
 
 use sparscale_admit::ledger::{self, Ledger};
 use sparscale_admit::queue::{self, Queue};
-use sparscale_backpressure::Signal;
+use sparscale_backpressure::BackpressureSignal;
 use sparscale_policy::rate_limit::Rate;
 use sparscale_telemetry::{DECISION, Metrics};
-use sparscale_wire::{Attempt, AttemptId, Chunk, Failure, Head, Load, Part, Refusal, RefusalReason, Settlement};
+use sparscale_wire::{
+    Attempt, AttemptId, Chunk, Failure, Head, Refusal, RefusalReason, ResponseEvent, Settlement, TargetLoad,
+};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -57,8 +59,8 @@
 impl Core {
     pub(crate) fn new(incarnation: u64, ledger_entries: usize, engine: Arc<dyn Engine>, metrics: Metrics) -> Self {
         let limits = queue::Limits {
-            running: 1,
-            waiting: 0,
+            max_running: 1,
+            max_queued: 0,
             floor_one_in: 0,
         };
         let (availability_changed, _) = watch::channel(());
@@ -146,11 +148,11 @@
     /// Number of requests that are queued or running.
     pub(crate) fn in_progress_count(&self) -> usize {
         let state = self.lock();
-        state.queue.waiting() + state.queue.running()
+        state.queue.queued_count() + state.queue.running_count()
     }
 
     /// Load report for the entry with this incarnation.
-    pub(crate) fn load(&self, entry: u64) -> Load {
+    pub(crate) fn load(&self, entry: u64) -> TargetLoad {
         self.load_of(&self.lock(), entry)
     }
 
@@ -172,9 +174,9 @@
         if let Some(wait) = wait_past_deadline(&state, &attempt) {
             return self.reject(&mut state, id, RefusalReason::Closed, whole_ms(wait));
         }
-        let deadline = now + Duration::from_millis(attempt.deadline_ms);
-        let retention = Duration::from_secs(attempt.keep_seconds).max(RETENTION_AFTER_DEADLINE);
-        match state.ledger.enter(ledger_id(id), deadline + retention, now) {
+        let deadline = now + Duration::from_millis(attempt.remaining_ms);
+        let retention = Duration::from_secs(attempt.retention_secs).max(RETENTION_AFTER_DEADLINE);
+        match state.ledger.register(ledger_id(id), deadline + retention, now) {
             Ok(()) => {}
             Err(refusal) => return self.resolve_ledger_refusal(&state, id, refusal),
         }
@@ -191,10 +193,10 @@
             tier: attempt.tier,
             workspace: attempt.workspace.clone(),
             weight: attempt.weight,
-            cost: f64::from(attempt.answer_tokens.max(1)),
+            cost: f64::from(attempt.response_tokens.max(1)),
             deadline,
         };
-        match state.queue.offer(job, now) {
+        match state.queue.enqueue(job, now) {
             Ok(admission) => {
                 if let Some(displaced) = admission.displaced {
                     self.displace(&mut state, displaced);
@@ -206,7 +208,7 @@
                     keep_until: Instant::now() + retention,
                 };
                 state.attempts.insert(id, record);
-                *state.in_progress_by_entry.entry(id.entry).or_default() += 1;
+                *state.in_progress_by_entry.entry(id.entry_incarnation).or_default() += 1;
                 AttemptStart::Response(buffer)
             }
             Err(queue::Refusal::Full { retry_after }) => {
@@ -219,7 +221,7 @@
     }
 
     fn reason_to_reject(&self, state: &State, attempt: &Attempt) -> Option<RefusalReason> {
-        if attempt.incarnation != 0 && attempt.incarnation != self.incarnation {
+        if attempt.agent_incarnation != 0 && attempt.agent_incarnation != self.incarnation {
             return Some(RefusalReason::OtherIncarnation);
         }
         if !state.is_ready {
@@ -228,7 +230,7 @@
         // A retry under a key that is bound here needs no new work, only the response of the earlier attempt.
         let is_bound = attempt
             .key
-            .is_some_and(|key| state.ledger.bound(key.as_bytes()).is_some());
+            .is_some_and(|key| state.ledger.attempt_of_key(key.as_bytes()).is_some());
         (state.is_draining && !is_bound).then_some(RefusalReason::Draining)
     }
 
@@ -246,11 +248,11 @@
 
     fn refusal(&self, state: &State, id: AttemptId, reason: RefusalReason, retry_after_ms: u64) -> Refusal {
         self.metrics.count("attempt.refused");
-        log::info!(target: DECISION, decision = "refuse", attempt = id.to_string().as_str(), reason:? = reason, retry_after_ms, queued = state.queue.waiting(), running = state.queue.running(); "rejected an attempt");
+        log::info!(target: DECISION, decision = "refuse", attempt = id.to_string().as_str(), reason:? = reason, retry_after_ms, queued = state.queue.queued_count(), running = state.queue.running_count(); "rejected an attempt");
         Refusal {
             reason,
             retry_after_ms,
-            load: self.load_of(state, id.entry),
+            load: self.load_of(state, id.entry_incarnation),
         }
     }
 
@@ -260,7 +262,7 @@
                 state: ledger::State::Tombstone,
             } => AttemptStart::Rejected(self.refusal(state, id, RefusalReason::Tombstone, 0)),
             ledger::Refusal::Known { .. } => start_from_buffer(state, id),
-            ledger::Refusal::Forgotten => {
+            ledger::Refusal::Expired => {
                 AttemptStart::Unknown("the attempt is older than the ledger remembers".to_owned())
             }
             // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too, or is
@@ -283,7 +285,7 @@
         state.record_end(id);
         let refusal = self.refusal(state, id, reason, retry_after_ms);
         if let Some(record) = state.attempts.get(&id) {
-            record.response.push(Part::Refused(refusal));
+            record.response.push(ResponseEvent::Rejected(refusal));
         }
     }
 
@@ -292,10 +294,10 @@
         let mut state = self.lock();
         let mut expired_ids = Vec::new();
         loop {
-            if state.queue.waiting() > 0 && !state.queue.is_busy() && !self.try_acquire(&mut state) {
+            if state.queue.queued_count() > 0 && !state.queue.is_busy() && !self.try_acquire(&mut state) {
                 return;
             }
-            let job = state.queue.next(self.now(), &mut expired_ids);
+            let job = state.queue.dequeue(self.now(), &mut expired_ids);
             for id in std::mem::take(&mut expired_ids) {
                 self.reject_queued(&mut state, id, RefusalReason::TooLate, DRAIN_RETRY_MS);
             }
@@ -303,13 +305,13 @@
             let record = state.attempts.get(&job.key);
             let record = record.map(|record| (Arc::clone(&record.attempt), Arc::clone(&record.response)));
             if let Some((attempt, buffer)) = record
-                && state.ledger.hand_on(ledger_id(job.key))
+                && state.ledger.try_forward(ledger_id(job.key))
             {
-                log::info!(target: DECISION, decision = "hand_on", attempt = job.key.to_string().as_str(), tier = job.tier, workspace = job.workspace.as_str(), queued = state.queue.waiting(), running = state.queue.running(); "handed on");
+                log::info!(target: DECISION, decision = "hand_on", attempt = job.key.to_string().as_str(), tier = job.tier, workspace = job.workspace.as_str(), queued = state.queue.queued_count(), running = state.queue.running_count(); "handed on");
                 tokio::spawn(Arc::clone(self).run(attempt, buffer, job.cost));
             } else {
                 // The attempt was settled while it was queued; its readers must be notified that it never runs.
-                state.queue.gave_up_place();
+                state.queue.record_not_run();
                 self.reject_queued(&mut state, job.key, RefusalReason::Tombstone, 0);
             }
         }
@@ -333,7 +335,7 @@
 
     /// Records the limits stated by a response of the target. Subscribed entries are notified of a change immediately, and
     /// again when the target accepts requests.
-    fn record_signal(self: &Arc<Self>, signal: Signal) {
+    fn record_signal(self: &Arc<Self>, signal: BackpressureSignal) {
         let time_until_open = {
             let mut state = self.lock();
             if !state.throttle.record_signal(signal) {
@@ -345,8 +347,8 @@
             target: DECISION,
             decision = "target_asks",
             per_second = signal.rate.value().map(Rate::per_second),
-            rest_ms = signal.rest.map(whole_ms),
-            leaving = signal.leaving;
+            rest_ms = signal.backoff.map(whole_ms),
+            leaving = signal.is_draining;
             "the target changed its rate limit, requested a backoff, or announced that it is draining"
         );
         self.availability_changed.send_replace(());
@@ -361,14 +363,14 @@
 
     async fn run(self: Arc<Self>, attempt: Arc<Attempt>, buffer: Arc<ResponseBuffer>, cost: f64) {
         let started_at = Instant::now();
-        let deadline = started_at + Duration::from_millis(attempt.deadline_ms);
+        let deadline = started_at + Duration::from_millis(attempt.remaining_ms);
         let outcome = tokio::time::timeout_at(deadline, self.call(&attempt, &buffer)).await;
         let result = outcome.unwrap_or_else(|_elapsed| {
             Err(CallError::Lost {
                 message: "the deadline passed".to_owned(),
             })
         });
-        if result.is_err() && attempt.repeatable {
+        if result.is_err() && attempt.retryable {
             // The target may still be working on the request. A cancel that fails only wastes that work.
             let _cancelled = self.engine.cancel(&attempt.id.to_string()).await;
         }
@@ -380,16 +382,16 @@
     async fn call(self: &Arc<Self>, attempt: &Attempt, buffer: &ResponseBuffer) -> Result<u64, CallError> {
         let mut response = self.engine.call(attempt).await?;
         self.record_signal(response.signal);
-        buffer.push(Part::Head(Head {
+        buffer.push(ResponseEvent::Head(Head {
             status: response.status,
             content_type: response.content_type,
             incarnation: self.incarnation,
-            load: self.load(attempt.id.entry),
+            load: self.load(attempt.id.entry_incarnation),
         }));
         let mut sequence = 0;
         while let Some(data) = response.chunks.next().await {
             let data = data?;
-            buffer.push(Part::Chunk(Chunk { sequence, data }));
+            buffer.push(ResponseEvent::Chunk(Chunk { sequence, data }));
             sequence += 1;
             if buffer.has_ended() {
                 // The attempt was cancelled.
@@ -409,30 +411,38 @@
         residence: Duration,
     ) {
         let mut state = self.lock();
-        state.queue.finished(cost, residence);
+        state.queue.record_end(cost, residence);
         state.record_end(attempt.id);
         self.metrics.time("attempt.held", residence);
         let part = match result {
             Ok(chunks) => {
-                state.ledger.end(ledger_id(attempt.id));
-                let load = self.load_of(&state, attempt.id.entry);
-                Part::End { chunks, load }
+                state.ledger.record_end(ledger_id(attempt.id));
+                let load = self.load_of(&state, attempt.id.entry_incarnation);
+                ResponseEvent::End {
+                    chunk_count: chunks,
+                    load,
+                }
             }
             Err(CallError::NotSent { message }) => {
-                state.ledger.take_back(ledger_id(attempt.id));
+                state.ledger.record_undelivered(ledger_id(attempt.id));
                 self.record_listening(&mut state, false);
                 log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(); "the target cannot be reached; check that it is running");
-                Part::Refused(self.refusal(&state, attempt.id, RefusalReason::TargetDown, UNREACHABLE_RETRY_MS))
+                ResponseEvent::Rejected(self.refusal(
+                    &state,
+                    attempt.id,
+                    RefusalReason::TargetDown,
+                    UNREACHABLE_RETRY_MS,
+                ))
             }
             Err(CallError::Lost { message }) => {
-                state.ledger.end(ledger_id(attempt.id));
+                state.ledger.record_end(ledger_id(attempt.id));
                 log::warn!(attempt = attempt.id.to_string().as_str(), message = message.as_str(), ended = has_target_ended; "the target sent no complete response");
                 let failure = if has_target_ended {
-                    Failure::Ended { message }
+                    Failure::TargetEnded { message }
                 } else {
                     Failure::Unknown { message }
                 };
-                Part::Failed(failure)
+                ResponseEvent::Failed(failure)
             }
         };
         buffer.push(part);
@@ -482,11 +492,11 @@
             .get(&id)
             .map(|record| (Arc::clone(&record.attempt), Arc::clone(&record.response)));
         let Some((attempt, buffer)) = record else { return };
-        if !attempt.repeatable || attempt.key.is_some() {
+        if !attempt.retryable || attempt.key.is_some() {
             return;
         }
         let message = "the caller went away".to_owned();
-        buffer.push(Part::Failed(Failure::Unknown { message }));
+        buffer.push(ResponseEvent::Failed(Failure::Unknown { message }));
         // If the target can't be reached, the request ends without a cancel.
         let _cancelled = self.engine.cancel(&id.to_string()).await;
     }
@@ -507,17 +517,17 @@
         }
     }
 
-    fn load_of(&self, state: &State, entry: u64) -> Load {
-        Load {
+    fn load_of(&self, state: &State, entry: u64) -> TargetLoad {
+        TargetLoad {
             incarnation: self.incarnation,
-            seen: state.highest_counters.get(&entry).copied().unwrap_or(0),
-            running: state.queue.running() as u32,
-            queued: state.queue.waiting() as u32,
-            own: state.in_progress_by_entry.get(&entry).copied().unwrap_or(0),
+            highest_counter: state.highest_counters.get(&entry).copied().unwrap_or(0),
+            running: state.queue.running_count() as u32,
+            queued: state.queue.queued_count() as u32,
+            from_entry: state.in_progress_by_entry.get(&entry).copied().unwrap_or(0),
             prefill_tokens: state.engine_load.prefill_tokens,
             step_micros: state.engine_load.step_micros,
-            map: state.engine_load.map_number,
-            closed: state.is_draining || !state.is_listening || state.throttle.is_closed(),
+            map_number: state.engine_load.map_number,
+            is_closed: state.is_draining || !state.is_listening || state.throttle.is_closed(),
         }
     }
 
--- a/crates/sparscale_agent/src/core/state.rs
+++ b/crates/sparscale_agent/src/core/state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_admit::ledger::{self, Keyed, Ledger};
+use sparscale_admit::ledger::{self, KeyBinding, Ledger};
 use sparscale_admit::queue::Queue;
 use sparscale_wire::{Attempt, AttemptId};
 use tokio::time::Instant;
@@ -49,10 +49,10 @@
 impl State {
     /// Removes a request from its entry's count of requests in progress.
     pub(super) fn record_end(&mut self, id: AttemptId) {
-        if let Some(count) = self.in_progress_by_entry.get_mut(&id.entry) {
+        if let Some(count) = self.in_progress_by_entry.get_mut(&id.entry_incarnation) {
             *count = count.saturating_sub(1);
             if *count == 0 {
-                self.in_progress_by_entry.remove(&id.entry);
+                self.in_progress_by_entry.remove(&id.entry_incarnation);
             }
         }
     }
@@ -62,12 +62,12 @@
 pub(super) fn wait_past_deadline(state: &State, attempt: &Attempt) -> Option<Duration> {
     let is_bound = attempt
         .key
-        .is_some_and(|key| state.ledger.bound(key.as_bytes()).is_some());
+        .is_some_and(|key| state.ledger.attempt_of_key(key.as_bytes()).is_some());
     let wait = state
         .throttle
-        .expected_wait(state.queue.waiting())
+        .expected_wait(state.queue.queued_count())
         .unwrap_or(DRAINING_RETRY);
-    let deadline = Duration::from_millis(attempt.deadline_ms);
+    let deadline = Duration::from_millis(attempt.remaining_ms);
     (!is_bound && wait >= deadline).then_some(wait)
 }
 
@@ -84,31 +84,31 @@
     let key = attempt.key?;
     match state
         .ledger
-        .bind(*key.as_bytes(), attempt.call.digest(), ledger_id(attempt.id))
+        .bind_key(*key.as_bytes(), attempt.call.digest(), ledger_id(attempt.id))
     {
-        Keyed::New => None,
-        Keyed::Earlier(earlier) => Some(EarlierUse::Attempt(AttemptId {
-            entry: earlier.sender,
+        KeyBinding::New => None,
+        KeyBinding::Earlier(earlier) => Some(EarlierUse::Attempt(AttemptId {
+            entry_incarnation: earlier.sender_incarnation,
             counter: earlier.counter,
         })),
-        Keyed::OtherBody => Some(EarlierUse::OtherBody),
+        KeyBinding::BodyMismatch => Some(EarlierUse::OtherBody),
     }
 }
 
 pub(super) fn ledger_id(id: AttemptId) -> ledger::Attempt {
     ledger::Attempt {
-        sender: id.entry,
+        sender_incarnation: id.entry_incarnation,
         counter: id.counter,
     }
 }
 
 /// Records the counter of an attempt if it is the highest one received from its entry.
 pub(super) fn record_counter(highest_counters: &mut HashMap<u64, u64>, id: AttemptId) {
-    if highest_counters.len() >= MAX_ENTRIES && !highest_counters.contains_key(&id.entry) {
+    if highest_counters.len() >= MAX_ENTRIES && !highest_counters.contains_key(&id.entry_incarnation) {
         // Counters of terminated entries aren't needed, and an active entry merely receives a lower counter once.
         highest_counters.clear();
     }
-    let highest = highest_counters.entry(id.entry).or_default();
+    let highest = highest_counters.entry(id.entry_incarnation).or_default();
     *highest = (*highest).max(id.counter);
 }
 
@@ -128,5 +128,5 @@
         .response
         .unread_since()
         .is_some_and(|since| now >= since + ABANDON_AFTER);
-    record.attempt.repeatable && record.attempt.key.is_none() && !record.response.has_ended() && is_unread
+    record.attempt.retryable && record.attempt.key.is_none() && !record.response.has_ended() && is_unread
 }
--- a/crates/sparscale_agent/src/engine.rs
+++ b/crates/sparscale_agent/src/engine.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use snafu::Snafu;
-use sparscale_backpressure::Signal;
+use sparscale_backpressure::BackpressureSignal;
 use sparscale_place::Map;
 use sparscale_place::switch::{Order, Report};
 use sparscale_wire::Attempt;
@@ -39,7 +39,7 @@
     /// Media type.
     pub content_type: String,
     /// Limits that the target states for its senders.
-    pub signal: Signal,
+    pub signal: BackpressureSignal,
     /// Body of the response.
     pub chunks: Box<dyn Chunks>,
 }
--- a/crates/sparscale_agent/src/http_engine.rs
+++ b/crates/sparscale_agent/src/http_engine.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
-use sparscale_backpressure::{Names, Signal};
+use sparscale_backpressure::{BackpressureSignal, SignalHeaders};
 use sparscale_place::switch::{Order, Report};
 use sparscale_wire::{Attempt, Call};
 use tokio::net::TcpStream;
@@ -41,7 +41,7 @@
     client: Client<HttpConnector, Full<Bytes>>,
     base_url: String,
     kind: Kind,
-    header_names: Names,
+    header_names: SignalHeaders,
 }
 
 #[derive(Deserialize)]
@@ -80,7 +80,7 @@
             client: Client::builder(TokioExecutor::new()).build(connector),
             base_url: base_url.trim_end_matches('/').to_owned(),
             kind,
-            header_names: Names::own(),
+            header_names: SignalHeaders::defaults(),
         }
     }
 
@@ -131,7 +131,7 @@
 impl Engine for HttpEngine {
     async fn call(&self, attempt: &Attempt) -> Result<TargetResponse, CallError> {
         let response = self.send(self.request(attempt)?).await?;
-        let signal = Signal::read(response.status(), response.headers(), &self.header_names);
+        let signal = BackpressureSignal::read(response.status(), response.headers(), &self.header_names);
         let status = response.status().as_u16();
         let content_type = response.headers().get(header::CONTENT_TYPE);
         let content_type = content_type
--- a/crates/sparscale_agent/src/order.rs
+++ b/crates/sparscale_agent/src/order.rs
@@ -40,7 +40,7 @@
     pub(crate) async fn forward(&self, group: &str, order: &Order) -> Option<Report> {
         let mut highest_fence = self.highest_fence.lock().await;
         // The log may contain a higher fence until this agent has read it to its head.
-        if !self.journal.confirm_head().await || !self.is_rank_of(group) {
+        if !self.journal.has_folded_initial_log().await || !self.is_rank_of(group) {
             return None;
         }
         *highest_fence = (*highest_fence).max(self.fence_in_log(group));
@@ -65,7 +65,7 @@
     }
 
     fn is_rank_of(&self, group: &str) -> bool {
-        let certificate = self.journal.in_force();
+        let certificate = self.journal.active_certificate();
         let group_config = certificate
             .as_ref()
             .and_then(|certificate| certificate.bundle.fleet().group(group));
@@ -91,13 +91,13 @@
 
     /// Finds the map with this number: the initial one, the latest one in the log, or the latest one's predecessor.
     fn find_map(&self, group: &str, number: u64) -> Option<NumberedMap> {
-        let certificate = self.journal.in_force()?;
+        let certificate = self.journal.active_certificate()?;
         let shape = shape(certificate.bundle.fleet().group(group)?);
         let map = self.journal.with_state(|state| {
             let latest = state.map(group);
             match latest {
                 Some(latest) if latest.number == number => Some(latest.map.as_ref().clone()),
-                Some(latest) if latest.base == number => latest.before.as_ref().map(|map| map.as_ref().clone()),
+                Some(latest) if latest.base == number => latest.previous.as_ref().map(|map| map.as_ref().clone()),
                 _ => None,
             }
         });
--- a/crates/sparscale_agent/src/program.rs
+++ b/crates/sparscale_agent/src/program.rs
@@ -7,7 +7,7 @@
 use clap::{Arg, Command, value_parser};
 use snafu::Snafu;
 use sparscale_admit::queue::Limits;
-use sparscale_control::{Journal, Listing, Standing, process};
+use sparscale_control::{BoxList, BoxStanding, Journal, process};
 use sparscale_telemetry::{DECISION, Signals};
 use sparscale_wire::Endpoint;
 use tokio::sync::watch;
@@ -104,13 +104,13 @@
 }
 
 async fn follow_limits(core: Arc<Core>, journal: Arc<Journal>) {
-    let mut heads = journal.heads();
+    let mut heads = journal.subscribe_heads();
     loop {
-        if let Some(certificate) = journal.in_force() {
+        if let Some(certificate) = journal.active_certificate() {
             let limits = &certificate.bundle.fleet().limits;
             core.set_limits(Limits {
-                running: limits.in_flight_per_target as usize,
-                waiting: limits.queue_per_target as usize,
+                max_running: limits.in_flight_per_target as usize,
+                max_queued: limits.queue_per_target as usize,
                 floor_one_in: limits.floor_one_in,
             });
         }
@@ -158,11 +158,11 @@
 }
 
 /// Drains the agent as soon as the box list marks this box as leaving.
-async fn drain_with_box(core: Arc<Core>, name: String, mut boxes: watch::Receiver<Arc<Listing>>) {
+async fn drain_with_box(core: Arc<Core>, name: String, mut boxes: watch::Receiver<Arc<BoxList>>) {
     while boxes.changed().await.is_ok() {
         let listing = boxes.borrow().clone();
         let own = listing.boxes.iter().find(|listed| listed.name == name);
-        if own.is_some_and(|listed| listed.standing == Standing::Leaving) {
+        if own.is_some_and(|listed| listed.standing == BoxStanding::Leaving) {
             log::info!(target: DECISION, decision = "drain", reason = "the box list shows this box as leaving"; "draining");
             core.drain();
             return;
--- a/crates/sparscale_agent/src/response_buffer.rs
+++ b/crates/sparscale_agent/src/response_buffer.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use sparscale_wire::Part;
+use sparscale_wire::ResponseEvent;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 struct BufferState {
-    parts: Vec<Part>,
+    parts: Vec<ResponseEvent>,
     reader_count: usize,
     /// Time at which the last reader detached or the response ended; the retention of an unread response starts here.
     idle_since: Instant,
@@ -34,7 +34,7 @@
     }
 
     /// Appends a part; ignored if the response has already ended.
-    pub(crate) fn push(&self, part: Part) {
+    pub(crate) fn push(&self, part: ResponseEvent) {
         let mut state = self.lock();
         if state.parts.last().is_some_and(is_last) {
             return;
@@ -52,7 +52,7 @@
     }
 
     /// Waits for the part at `index`; returns `None` after the last part.
-    pub(crate) async fn part(&self, index: usize) -> Option<Part> {
+    pub(crate) async fn part(&self, index: usize) -> Option<ResponseEvent> {
         loop {
             let part_added = self.part_added.notified();
             {
@@ -98,9 +98,9 @@
     }
 }
 
-fn is_last(part: &Part) -> bool {
+fn is_last(part: &ResponseEvent) -> bool {
     match part {
-        Part::Head(_) | Part::Chunk(_) => false,
-        Part::End { .. } | Part::Refused(_) | Part::Failed(_) => true,
+        ResponseEvent::Head(_) | ResponseEvent::Chunk(_) => false,
+        ResponseEvent::End { .. } | ResponseEvent::Rejected(_) | ResponseEvent::Failed(_) => true,
     }
 }
--- a/crates/sparscale_agent/src/settings.rs
+++ b/crates/sparscale_agent/src/settings.rs
@@ -42,7 +42,7 @@
 
     fn try_from(raw: Raw) -> Result<Self, Self::Error> {
         let mut problems = Vec::new();
-        process::check_url("target", &raw.target, &mut problems);
+        process::require_http_url("target", &raw.target, &mut problems);
         if raw.ledger_entries < 16 {
             problems.push(Problem::new(
                 "ledger_entries",
--- a/crates/sparscale_agent/src/throttle.rs
+++ b/crates/sparscale_agent/src/throttle.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_backpressure::Signal;
-use sparscale_catalog::Start;
+use sparscale_backpressure::BackpressureSignal;
+use sparscale_catalog::StartId;
 use sparscale_clock::{Clock, system_clock};
 use sparscale_policy::rate_limit::Members;
 use sparscale_policy::throttle::{Availability, Notice, Tracker};
@@ -44,17 +44,17 @@
     }
 
     /// Records the limits stated by a response; returns whether they differ from the known ones.
-    pub(crate) fn record_signal(&mut self, signal: Signal) -> bool {
+    pub(crate) fn record_signal(&mut self, signal: BackpressureSignal) -> bool {
         let (start, now) = (self.start(), self.clock.now());
         let notice = Notice {
             start,
             rate: signal.rate.value(),
-            leaving: signal.leaving,
+            leaving: signal.is_draining,
             as_of: now,
         };
         let has_changed_limits = self.tracker.merge(notice, now);
         let has_new_backoff = signal
-            .rest
+            .backoff
             .and_then(|backoff| self.tracker.record_backoff(start, backoff, now))
             .is_some();
         has_changed_limits || has_new_backoff
@@ -101,7 +101,7 @@
         self.has_pending_wakeup = false;
     }
 
-    fn start(&self) -> Start {
-        Start::of("target", Some(self.start_count))
+    fn start(&self) -> StartId {
+        StartId::of("target", Some(self.start_count))
     }
 }
--- a/crates/sparscale_backpressure/src/lib.rs
+++ b/crates/sparscale_backpressure/src/lib.rs
@@ -9,16 +9,16 @@
 
 /// Names of the headers that targets set; a backoff is always requested by `Retry-After`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Names {
+pub struct SignalHeaders {
     /// Rate limit of the responding target in requests per second, as a decimal number; it applies to all senders together.
     pub rate_limit: HeaderName,
     /// Announces that the responding target drains.
     pub draining: HeaderName,
 }
 
-impl Names {
+impl SignalHeaders {
     /// Returns the names that sparscale uses by default.
-    pub fn own() -> Self {
+    pub fn defaults() -> Self {
         Self {
             rate_limit: HeaderName::from_static("sparscale-rate-limit"),
             draining: HeaderName::from_static("sparscale-draining"),
@@ -28,60 +28,60 @@
 
 /// The backpressure that one response requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Signal {
+pub struct BackpressureSignal {
     /// Rate limit of the target in requests per second; it applies to all senders together.
-    pub rate: Asked<Rate>,
+    pub rate: ParsedHeader<Rate>,
     /// Backoff requested from the receiver of the response.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Whether the target drains.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
 /// The value of a header that a response may lack.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Asked<T> {
+pub enum ParsedHeader<T> {
     /// The response has no such header.
-    Nothing,
+    Absent,
     /// The header has this value.
-    For(T),
+    Value(T),
     /// The header cannot be parsed, so it neither sets nor removes a limit.
-    Unreadable,
+    Malformed,
 }
 
-impl Signal {
+impl BackpressureSignal {
     /// Parses the headers of a response; headers that cannot be parsed are logged.
-    pub fn read(status: StatusCode, headers: &HeaderMap, names: &Names) -> Self {
+    pub fn read(status: StatusCode, headers: &HeaderMap, names: &SignalHeaders) -> Self {
         let is_rejection = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
         Self {
             rate: parse_header(headers, &names.rate_limit, |text| Rate::try_from(text).ok()),
-            rest: is_rejection
+            backoff: is_rejection
                 .then(|| parse_header(headers, &RETRY_AFTER, parse_seconds))
-                .and_then(Asked::value),
-            leaving: parse_header(headers, &names.draining, parse_bool).value() == Some(true),
+                .and_then(ParsedHeader::value),
+            is_draining: parse_header(headers, &names.draining, parse_bool).value() == Some(true),
         }
     }
 }
 
-impl<T> Asked<T> {
+impl<T> ParsedHeader<T> {
     /// Returns the value, or `None` if the header is absent or cannot be parsed.
     pub fn value(self) -> Option<T> {
         match self {
-            Self::For(value) => Some(value),
-            Self::Nothing | Self::Unreadable => None,
+            Self::Value(value) => Some(value),
+            Self::Absent | Self::Malformed => None,
         }
     }
 }
 
-fn parse_header<T>(headers: &HeaderMap, name: &HeaderName, parse: impl Fn(&str) -> Option<T>) -> Asked<T> {
+fn parse_header<T>(headers: &HeaderMap, name: &HeaderName, parse: impl Fn(&str) -> Option<T>) -> ParsedHeader<T> {
     let Some(value) = headers.get(name) else {
-        return Asked::Nothing;
+        return ParsedHeader::Absent;
     };
     let text = value.to_str().unwrap_or_default().trim();
     if let Some(parsed) = parse(text) {
-        return Asked::For(parsed);
+        return ParsedHeader::Value(parsed);
     }
     log::warn!(target: DECISION, decision = "unreadable", header = name.as_str(), text; "a backpressure header of a target cannot be parsed and is ignored");
-    Asked::Unreadable
+    ParsedHeader::Malformed
 }
 
 /// Parses a decimal number of seconds; `None` if it is negative, not finite or too large for a [`Duration`].
--- a/crates/sparscale_backpressure/tests/answer_heads.rs
+++ b/crates/sparscale_backpressure/tests/answer_heads.rs
@@ -4,22 +4,22 @@
 
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
-use sparscale_backpressure::{Asked, Names, Signal};
+use sparscale_backpressure::{BackpressureSignal, ParsedHeader, SignalHeaders};
 use sparscale_policy::rate_limit::Rate;
 
-fn signal(status: StatusCode, headers: &[(&'static str, &'static str)]) -> Signal {
+fn signal(status: StatusCode, headers: &[(&'static str, &'static str)]) -> BackpressureSignal {
     let headers = headers
         .iter()
         .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
-    Signal::read(status, &headers.collect::<HeaderMap>(), &Names::own())
+    BackpressureSignal::read(status, &headers.collect::<HeaderMap>(), &SignalHeaders::defaults())
 }
 
 #[test]
 fn no_headers() {
     let signal = signal(StatusCode::OK, &[("content-type", "text/plain")]);
     assert_eq!(
-        (signal.rate, signal.rest, signal.leaving),
-        (Asked::Nothing, None, false)
+        (signal.rate, signal.backoff, signal.is_draining),
+        (ParsedHeader::Absent, None, false)
     );
 }
 
@@ -33,14 +33,14 @@
     ] {
         let signal = signal(status, &[("sparscale-rate-limit", "2.5"), ("sparscale-draining", "1")]);
         assert_eq!(signal.rate.value().map(Rate::per_second), Some(2.5), "{status}");
-        assert!(signal.leaving, "{status}");
+        assert!(signal.is_draining, "{status}");
     }
 }
 
 /// `Retry-After` requests a backoff only in a rejection.
 #[test]
 fn backoff_of_rejections() {
-    let backoff = |status| signal(status, &[("retry-after", "0.5")]).rest;
+    let backoff = |status| signal(status, &[("retry-after", "0.5")]).backoff;
     assert_eq!(
         backoff(StatusCode::SERVICE_UNAVAILABLE),
         Some(Duration::from_millis(500))
@@ -61,8 +61,8 @@
             ],
         );
         assert_eq!(
-            (signal.rate, signal.rest, signal.leaving),
-            (Asked::Unreadable, None, false),
+            (signal.rate, signal.backoff, signal.is_draining),
+            (ParsedHeader::Malformed, None, false),
             "{text}"
         );
     }
--- a/crates/sparscale_belief/src/departed.rs
+++ b/crates/sparscale_belief/src/departed.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use sparscale_catalog::{Roster, Standing, Target};
+use sparscale_catalog::{Roster, Target, TargetStatus};
 use sparscale_clock::Timestamp;
 
 /// Time for which a departure is remembered: a snapshot is some seconds old, and the registrations that it brings back
@@ -33,13 +33,13 @@
             .targets
             .iter()
             .filter(|target| !current_keys.contains(&borrowed_start_key(target)));
-        let leaving = |target: &&Target| target.standing == Standing::Leaving;
+        let leaving = |target: &&Target| target.status == TargetStatus::Draining;
         let leaving = current.targets.iter().filter(leaving);
         self.departed_at
             .extend(removed.chain(leaving).map(|target| (start_key(target), at)));
         // A registration that reappears within the same era was written again, so its target is alive.
         let reappeared = |target: &&Target| {
-            target.standing == Standing::Ready && !previous_keys.contains(&borrowed_start_key(target))
+            target.status == TargetStatus::Ready && !previous_keys.contains(&borrowed_start_key(target))
         };
         for target in current.targets.iter().filter(reappeared) {
             self.departed_at.remove(&start_key(target));
@@ -53,17 +53,17 @@
         }
         let has_departed = |target: &Target| {
             let departed_at = self.departed_at.get(&start_key(target));
-            target.standing == Standing::Ready
+            target.status == TargetStatus::Ready
                 && departed_at.is_some_and(|departed_at| at.since(*departed_at) < RETENTION)
         };
         if !roster.targets.iter().any(has_departed) {
             return None;
         }
         let corrected = roster.targets.iter().map(|target| Target {
-            standing: if has_departed(target) {
-                Standing::Leaving
+            status: if has_departed(target) {
+                TargetStatus::Draining
             } else {
-                target.standing
+                target.status
             },
             ..target.clone()
         });
--- a/crates/sparscale_belief/src/missing.rs
+++ b/crates/sparscale_belief/src/missing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use sparscale_catalog::{Roster, Standing, Target};
+use sparscale_catalog::{Roster, Target, TargetStatus};
 use sparscale_clock::Timestamp;
 
 use crate::observation::Observation;
@@ -34,7 +34,7 @@
             return None;
         }
         let registered = previous.value.targets.iter();
-        let ready = registered.filter(|target| target.standing == Standing::Ready);
+        let ready = registered.filter(|target| target.status == TargetStatus::Ready);
         let mut missing = Self {
             deadline: current.as_of + REGISTRATION_TIMEOUT,
             targets: ready.cloned().collect(),
--- a/crates/sparscale_belief/src/quarantine.rs
+++ b/crates/sparscale_belief/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use sparscale_clock::{Clock, Timestamp, unix_ms};
-use sparscale_quarantine::{End, Fingerprint, Hold, News, Register, Strike};
+use sparscale_quarantine::{EndedStart, Fingerprint, Hold, Strike, StrikeSource, Tracker};
 use sparscale_telemetry::DECISION;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -34,7 +34,7 @@
 /// The strikes that this process knows of.
 #[derive(Debug)]
 pub struct Quarantine {
-    tracker: Mutex<Register>,
+    tracker: Mutex<Tracker>,
     /// Notifies subscribers of changes.
     changed: watch::Sender<()>,
     /// Everything that the store had accepted before this time is in the tracker; `None` before the first read.
@@ -57,32 +57,35 @@
 
     /// The hold that keeps a request from being sent now, if any.
     pub fn active_hold(&self, request: &Fingerprint) -> Option<Hold> {
-        self.tracker().held(request, unix_ms())
+        self.tracker().active_hold(request, unix_ms())
     }
 
     /// Records that a target ended while it served a request. Returns how many targets have.
-    pub fn record_end(&self, request: Fingerprint, end: End) -> usize {
+    pub fn record_end(&self, request: Fingerprint, end: EndedStart) -> usize {
         let now_ms = unix_ms();
         let strike = Strike {
             request,
-            end,
+            ended_start: end,
             at_ms: now_ms,
-            standing: sparscale_quarantine::Standing::Counts,
+            status: sparscale_quarantine::StrikeStatus::Counted,
         };
         let (is_new, ends) = {
             let mut tracker = self.tracker();
-            (tracker.take_in(strike, News::Seen, now_ms), tracker.ends(&request))
+            (
+                tracker.merge(strike, StrikeSource::Local, now_ms),
+                tracker.end_count(&request),
+            )
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), ends, news = is_new; "a target ended while it served a request");
+        log::info!(target: DECISION, decision = "strike", content = request.log_prefix().as_str(), ends, news = is_new; "a target ended while it served a request");
         self.notify_if(is_new);
         ends
     }
 
     /// Records that a request was answered completely, which clears it.
-    pub fn record_answer(&self, request: &Fingerprint) {
-        let cleared = self.tracker().note_answer(request, unix_ms());
+    pub fn record_response(&self, request: &Fingerprint) {
+        let cleared = self.tracker().record_response(request, unix_ms());
         if cleared {
-            log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the request was answered completely, so it is not the cause of the crashes");
+            log::info!(target: DECISION, decision = "cleared", content = request.log_prefix().as_str(); "the request was answered completely, so it is not the cause of the crashes");
         }
         self.notify_if(cleared);
     }
@@ -94,7 +97,7 @@
             let mut tracker = self.tracker();
             let results = strikes
                 .iter()
-                .map(|strike| tracker.take_in(*strike, News::Told, now_ms));
+                .map(|strike| tracker.merge(*strike, StrikeSource::Peer, now_ms));
             results.filter(|is_new| *is_new).count()
         };
         if new_strikes > 0 {
@@ -115,11 +118,13 @@
             known_era.replace(era).is_some_and(|known_era| known_era < era)
         };
         if restored {
-            self.tracker().doubt_store();
+            self.tracker().mark_stored_unconfirmed();
         }
         let now_ms = unix_ms();
         let queried_at_ms = now_ms.saturating_sub(self.clock.now().since(queried_at).as_millis() as u64);
-        let has_changed = self.tracker().read(strikes, queried_at_ms, WRITE_MARGIN, now_ms);
+        let has_changed = self
+            .tracker()
+            .merge_snapshot(strikes, queried_at_ms, WRITE_MARGIN, now_ms);
         self.confirm(queried_at);
         self.notify_if(has_changed);
     }
@@ -138,7 +143,7 @@
 
     /// The strikes that changed after version `since`, and the current version.
     pub fn changes_since(&self, since: u64) -> (Vec<Strike>, u64) {
-        self.tracker().news(since)
+        self.tracker().changes_since(since)
     }
 
     /// Wakes whenever strikes change.
@@ -157,7 +162,7 @@
                 result = changes.changed() => if result.is_err() { return },
                 () = tokio::time::sleep_until(next_expiry) => {
                     next_expiry = Instant::now() + EXPIRY_INTERVAL;
-                    let expired = self.tracker().expire(unix_ms());
+                    let expired = self.tracker().remove_expired(unix_ms());
                     if !expired.is_empty() && is_first() {
                         log_failure("forget", &archive.forget(&expired).await);
                     }
@@ -170,7 +175,7 @@
     async fn write_to_store(&self, archive: &mut dyn Archive) {
         let mut delay = MIN_RETRY_DELAY;
         loop {
-            let unwritten = self.tracker().untold();
+            let unwritten = self.tracker().unsaved();
             if unwritten.is_empty() {
                 return;
             }
@@ -182,7 +187,7 @@
             let now_ms = unix_ms();
             let mut tracker = self.tracker();
             for strike in unwritten {
-                tracker.take_in(strike, News::Read, now_ms);
+                tracker.merge(strike, StrikeSource::Store, now_ms);
             }
         }
     }
@@ -193,7 +198,7 @@
         }
     }
 
-    fn tracker(&self) -> MutexGuard<'_, Register> {
+    fn tracker(&self) -> MutexGuard<'_, Tracker> {
         // A panic cannot leave a partial entry, because each is replaced in one step; so a poisoned lock is usable.
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/sparscale_belief/src/reader.rs
+++ b/crates/sparscale_belief/src/reader.rs
@@ -106,12 +106,12 @@
         let labels = [("source", source), ("result", result)];
         self.registry
             .counter("sparscale_store_reads_total", help, &labels)
-            .add_one();
+            .increment();
         let help = "Time that a reading of the store took.";
         let labels = [("source", source)];
         self.registry
             .histogram("sparscale_store_read_seconds", help, &labels)
-            .note(elapsed);
+            .record(elapsed);
     }
 }
 
--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sparscale_catalog::{Directory, Seat, Start};
+use sparscale_catalog::{Directory, Instance, StartId};
 use sparscale_clock::{Clock, Timestamp};
 use sparscale_policy::rate_limit::{Members, Rate};
 use sparscale_policy::throttle::{Availability, Notice, Tracker};
@@ -30,7 +30,7 @@
 
     /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it
     /// has one, and whether it is leaving.
-    pub fn record_notice(&self, instance: &Seat, rate: Option<Rate>, leaving: bool) {
+    pub fn record_notice(&self, instance: &Instance, rate: Option<Rate>, leaving: bool) {
         let notice = Notice {
             start: instance.start,
             rate,
@@ -45,7 +45,7 @@
     }
 
     /// Records that a target asked this process to send nothing for `backoff`.
-    pub fn record_backoff(&self, instance: &Seat, backoff: Duration) {
+    pub fn record_backoff(&self, instance: &Instance, backoff: Duration) {
         let now = self.clock.now();
         let Some(until) = self.tracker().record_backoff(instance.start, backoff, now) else {
             return;
@@ -80,24 +80,24 @@
     }
 
     /// Whether this process may send to a target now.
-    pub fn is_open(&self, instance: &Seat) -> bool {
+    pub fn is_open(&self, instance: &Instance) -> bool {
         self.opening(instance) == Availability::Now
     }
 
     /// Whether this process may send to a target now; if so, counts a request as sent.
-    pub fn try_acquire(&self, instance: &Seat) -> bool {
+    pub fn try_acquire(&self, instance: &Instance) -> bool {
         let now = self.clock.now();
         self.tracker().try_acquire(instance.start, now)
     }
 
     /// When the target accepts the next request.
-    pub fn opening(&self, instance: &Seat) -> Availability {
+    pub fn opening(&self, instance: &Instance) -> Availability {
         let now = self.clock.now();
         self.tracker().availability(instance.start, now)
     }
 
     /// Limit of a target in requests per second from all entries together, if it has one.
-    pub fn rate(&self, instance: &Seat) -> Option<f64> {
+    pub fn rate(&self, instance: &Instance) -> Option<f64> {
         self.tracker().rate(instance.start).map(Rate::per_second)
     }
 
@@ -117,7 +117,7 @@
         if tracker.is_empty() {
             return;
         }
-        let current: Vec<Start> = targets.seats().iter().map(|instance| instance.start).collect();
+        let current: Vec<StartId> = targets.instances().iter().map(|instance| instance.start).collect();
         tracker.retain(|start| current.contains(&start));
     }
 
--- a/crates/sparscale_belief/tests/expired_registrations.rs
+++ b/crates/sparscale_belief/tests/expired_registrations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sparscale_belief::Board;
-use sparscale_catalog::{Membership, Roster, Standing, Target};
+use sparscale_catalog::{Membership, Roster, Target, TargetStatus};
 use sparscale_samples as samples;
 use tokio::time::{Instant, sleep};
 
@@ -15,7 +15,7 @@
 const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn target(id: &str, port: u16) -> Target {
-    samples::target(id, samples::MODEL, port)
+    samples::target(id, samples::MODEL_SERVICE, port)
 }
 
 /// A board and the position of the last roster that it got from the store.
@@ -50,7 +50,7 @@
     fn target_ids(&self) -> Vec<String> {
         let targets = self.board.targets().expect("a list of targets").value;
         targets
-            .seats()
+            .instances()
             .iter()
             .map(|instance| instance.target.id.clone())
             .collect()
@@ -114,7 +114,7 @@
 #[tokio::test(start_paused = true)]
 async fn leaving_target_not_kept() {
     let mut leaving = target("m-1", 1);
-    leaving.standing = Standing::Leaving;
+    leaving.status = TargetStatus::Draining;
     let mut store = Store::new(vec![leaving, target("m-2", 2)]);
     sleep(OUTAGE).await;
     store.change(vec![target("m-2", 2)]);
@@ -144,7 +144,7 @@
         group: "g".to_owned(),
         rank: 3,
         size: 4,
-        open: true,
+        is_open: true,
     });
     let mut new = target("m-9", 9);
     new.membership.clone_from(&old.membership);
--- a/crates/sparscale_belief/tests/restored_store.rs
+++ b/crates/sparscale_belief/tests/restored_store.rs
@@ -8,7 +8,7 @@
 
 use quickcheck::quickcheck;
 use sparscale_belief::{Board, MergeOutcome};
-use sparscale_catalog::{Roster, Standing, Target};
+use sparscale_catalog::{Roster, Target, TargetStatus};
 use sparscale_history::Position;
 use sparscale_samples as samples;
 use tokio::time::sleep;
@@ -17,12 +17,12 @@
 const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn target(id: &str, port: u16) -> Target {
-    samples::target(id, samples::MODEL, port)
+    samples::target(id, samples::MODEL_SERVICE, port)
 }
 
 fn leaving(id: &str, port: u16) -> Target {
     Target {
-        standing: Standing::Leaving,
+        status: TargetStatus::Draining,
         ..target(id, port)
     }
 }
@@ -34,8 +34,8 @@
 /// Ids of the targets that accept new requests.
 fn ready(board: &Board) -> Vec<String> {
     let targets = board.targets().expect("a list of targets").value;
-    let instances = targets.seats().iter();
-    let ready = instances.filter(|instance| instance.target.standing == Standing::Ready);
+    let instances = targets.instances().iter();
+    let ready = instances.filter(|instance| instance.target.status == TargetStatus::Ready);
     ready.map(|instance| instance.target.id.clone()).collect()
 }
 
--- a/crates/sparscale_bench/src/fold.rs
+++ b/crates/sparscale_bench/src/fold.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use sparscale_bundle::{Bundle, KeyHash, Operator, Workspace};
-use sparscale_journal::{Batch, Binding, BindingKey, Body, Claim, Duty, Entry, Reader, Record};
+use sparscale_journal::{Batch, Binding, BindingKey, Claim, Duty, LogEntry, Reader, Record, RecordBody};
 
 use crate::operators::Operators;
 use crate::route;
@@ -44,7 +44,7 @@
 }
 
 fn batch(records: &[Vec<u8>]) -> Batch {
-    let entries = records.iter().enumerate().map(|(offset, data)| Entry {
+    let entries = records.iter().enumerate().map(|(offset, data)| LogEntry {
         offset: offset as u64,
         data: Bytes::from(data.clone()),
     });
@@ -81,24 +81,24 @@
 }
 
 /// Returns a small record: one in ten is a claim, the others are bindings.
-fn small_record(number: u64) -> Body {
+fn small_record(number: u64) -> RecordBody {
     if number.is_multiple_of(10) {
-        return Body::Claim(Claim {
+        return RecordBody::Claim(Claim {
             duty: Duty::Placer(format!("group-{}", number % 20)),
             node: "entry-1".to_owned(),
             incarnation: number,
-            over: 0,
+            superseded_fence: 0,
         });
     }
-    Body::Bind(Binding {
+    RecordBody::Bind(Binding {
         key: BindingKey::new("teal", &number.to_string()),
         target: "rank-0-0".to_owned(),
         incarnation: 1,
-        body: [0; 32],
+        body_hash: [0; 32],
     })
 }
 
-fn encode(body: Body) -> Vec<u8> {
+fn encode(body: RecordBody) -> Vec<u8> {
     Record::new(body).encode()
 }
 
--- a/crates/sparscale_bench/src/keys.rs
+++ b/crates/sparscale_bench/src/keys.rs
@@ -26,7 +26,7 @@
 
 pub(crate) async fn run() -> Result<(), String> {
     let plan = Plan {
-        services: 2,
+        service_count: 2,
         service_work_ms: 0,
         ..Plan::default()
     };
@@ -68,7 +68,7 @@
         KeyMode::NoKey => fleet.call_service("entry-0", "illustration", &body, &[]).await?,
         KeyMode::Ticket => {
             let issued = fleet
-                .ask_entry("entry-0", Method::POST, "/v1/tickets/calculator")
+                .send_to_entry("entry-0", Method::POST, "/v1/tickets/calculator")
                 .await?;
             let ticket = issued.member("ticket").ok_or_else(|| issued.text())?;
             fleet
@@ -94,7 +94,7 @@
 
 /// Returns the number of records appended to the log so far.
 async fn appends(fleet: &Fleet) -> Result<u64, String> {
-    let counts = fleet.ask_standin("log", "/admin/counts").await?;
+    let counts = fleet.query_standin("log", "/admin/counts").await?;
     let appends = counts.member("appends").and_then(|text| text.parse().ok());
     appends.ok_or_else(|| counts.text())
 }
@@ -105,11 +105,11 @@
         outage: Outage::Refuse,
         ..Fault::default()
     };
-    fleet.fault("log", outage_fault).await?;
+    fleet.set_fault("log", outage_fault).await?;
     let mut rejected_count = 0;
     for index in 0..OUTAGE_CALLS_PER_MODE {
         rejected_count += usize::from(!call(fleet, mode, 1_000 + index).await?);
     }
-    fleet.fault("log", Fault::default()).await?;
+    fleet.set_fault("log", Fault::default()).await?;
     Ok(rejected_count as f64 / OUTAGE_CALLS_PER_MODE as f64)
 }
--- a/crates/sparscale_bench/src/path.rs
+++ b/crates/sparscale_bench/src/path.rs
@@ -31,9 +31,9 @@
 
 pub(crate) async fn run() -> Result<(), String> {
     let plan = Plan {
-        entries: 1,
-        ranks: 2,
-        services: 0,
+        entry_count: 1,
+        rank_count: 2,
+        service_count: 0,
         step_micros: 400,
         ..Plan::default()
     };
@@ -158,7 +158,7 @@
                     fleet
                         .stream_chat("entry-0", "teal", &prompt, tokens)
                         .await?
-                        .rest()
+                        .read_remainder()
                         .await?;
                 }
                 Ok::<(), String>(())
--- a/crates/sparscale_bench/src/queue.rs
+++ b/crates/sparscale_bench/src/queue.rs
@@ -71,8 +71,8 @@
         latency_ms: [histogram()?, histogram()?],
     };
     let mut queue = Queue::new(Limits {
-        running: MAX_RUNNING,
-        waiting: MAX_WAITING,
+        max_running: MAX_RUNNING,
+        max_queued: MAX_WAITING,
         floor_one_in: 20,
     });
     let mut fifo: VecDeque<usize> = VecDeque::new();
@@ -95,7 +95,7 @@
             };
             record_end(&requests[index], ended_at, &mut results)?;
             if discipline == Discipline::Tiers {
-                queue.finished(1.0, requests[index].service_time);
+                queue.record_end(1.0, requests[index].service_time);
             }
             ended_at
         };
@@ -133,7 +133,7 @@
         deadline: deadline(request),
     };
     // A rejected request is not offered again; its caller receives the rejection at once.
-    drop(queue.offer(job, request.arrived_at));
+    drop(queue.enqueue(job, request.arrived_at));
 }
 
 /// Removes and returns the request to run next, if the target has headroom.
@@ -145,7 +145,7 @@
     now: Duration,
 ) -> Option<usize> {
     match discipline {
-        Discipline::Tiers => queue.next(now, &mut Vec::new()).map(|job| job.key),
+        Discipline::Tiers => queue.dequeue(now, &mut Vec::new()).map(|job| job.key),
         Discipline::Fifo if running_count < MAX_RUNNING => {
             // Does not check deadlines: the oldest request runs even if its caller has given up.
             fifo.pop_front()
--- a/crates/sparscale_bench/src/rollout.rs
+++ b/crates/sparscale_bench/src/rollout.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use sparscale_bundle::Bundle;
-use sparscale_control::{Follower, HttpBoxes, Journal, Settings, serve_follower, watch_boxes};
+use sparscale_control::{Follower, FollowerSettings, HttpBoxList, Journal, serve_follower, watch_boxes};
 use sparscale_fleet::{Fleet, Plan, eventually};
-use sparscale_journal::{Content, HttpLog, Reader, Record, Settled, Writer};
-use sparscale_standin::boxes::{List, Listed, Role, Standing};
-use sparscale_wire::{Ask, Endpoint, Files, Frame, Identity};
+use sparscale_journal::{BundleContent, HttpLog, Reader, Record, SubmitOutcome, Writer};
+use sparscale_standin::boxes::{BoxList, ListedBox, Role, Standing};
+use sparscale_wire::{CertificateFiles, Endpoint, Frame, Identity, StreamRequest};
 
 use crate::fold::{large_bundle, next_version};
 use crate::operators::Operators;
@@ -46,9 +46,9 @@
     let mut fleet = Fleet::prepare(
         "rollout",
         Plan {
-            ranks: 1,
-            services: 0,
-            entries: 0,
+            rank_count: 1,
+            service_count: 0,
+            entry_count: 0,
             ..Plan::default()
         },
     )?;
@@ -151,7 +151,7 @@
         let next = next_version(&self.bundle)?;
         let mut bodies = self.operators.rollout_records(Some(&self.bundle), &next);
         if publish_whole {
-            let content = Content::Whole(next.clone());
+            let content = BundleContent::Whole(next.clone());
             bodies[0] = self
                 .operators
                 .publish_record_with(self.bundle.version(), &next, content);
@@ -163,19 +163,23 @@
 
     /// Submits the records of a rollout. Returns the time in milliseconds from the acceptance of the last one until
     /// `version` is active on all followers.
-    async fn submit_rollout(&mut self, bodies: Vec<sparscale_journal::Body>, version: u64) -> Result<f64, String> {
+    async fn submit_rollout(
+        &mut self,
+        bodies: Vec<sparscale_journal::RecordBody>,
+        version: u64,
+    ) -> Result<f64, String> {
         let deadline = tokio::time::Instant::now() + Duration::from_secs(30);
         for body in bodies {
             match self.writer.submit(&Record::new(body), deadline).await {
-                Settled::Judged(_) => {}
+                SubmitOutcome::Judged(_) => {}
                 other => return Err(format!("{other:?}")),
             }
         }
         let started = Instant::now();
         for journal in &self.journals {
-            let mut heads = journal.heads();
+            let mut heads = journal.subscribe_heads();
             while journal
-                .in_force()
+                .active_certificate()
                 .is_none_or(|certificate| certificate.bundle.version() < version)
             {
                 heads.changed().await.map_err(|error| error.to_string())?;
@@ -198,10 +202,10 @@
 }
 
 /// Returns the box list with all followers as targets.
-fn box_list(fleet: &Fleet) -> Result<List, String> {
-    let boxes: Result<Vec<Listed>, String> = (0..FOLLOWER_COUNT)
+fn box_list(fleet: &Fleet) -> Result<BoxList, String> {
+    let boxes: Result<Vec<ListedBox>, String> = (0..FOLLOWER_COUNT)
         .map(|index| {
-            Ok(Listed {
+            Ok(ListedBox {
                 name: format!("follower-{index}"),
                 role: Role::Target,
                 hall: follower_hall(index),
@@ -210,7 +214,7 @@
             })
         })
         .collect();
-    Ok(List {
+    Ok(BoxList {
         boxes: boxes?,
         lag_ms: 0,
     })
@@ -223,7 +227,7 @@
     let log = || Arc::new(HttpLog::new(&log_url, Duration::from_secs(5)));
     let mut journals = Vec::new();
     for index in 0..FOLLOWER_COUNT {
-        let identity = Identity::Files(Files {
+        let identity = Identity::Files(CertificateFiles {
             certificate: fleet.folder().join("agent.pem"),
             key: fleet.folder().join("agent.key"),
             authority: fleet.folder().join("authority.pem"),
@@ -232,10 +236,10 @@
         let endpoint = Arc::new(endpoint);
         let journal = Arc::new(Journal::new(log(), operators.public_operators()));
         let boxes = watch_boxes(
-            Box::new(HttpBoxes::new(&fleet.standin_url("boxes")?)),
+            Box::new(HttpBoxList::new(&fleet.standin_url("boxes")?)),
             Duration::from_secs(5),
         );
-        let settings = Settings {
+        let settings = FollowerSettings {
             name: format!("follower-{index}"),
             hall: follower_hall(index),
             snapshot_every: 1_000_000,
@@ -270,7 +274,11 @@
             while let Ok(mut channel) = peer.accept().await {
                 let journal = Arc::clone(&journal);
                 tokio::spawn(async move {
-                    if let Ok(Frame::Ask(Ask::Follow { head, version })) = channel.receiver.receive().await {
+                    if let Ok(Frame::Open(StreamRequest::FollowLog {
+                        from_offset: head,
+                        bundle_version: version,
+                    })) = channel.receiver.receive().await
+                    {
                         // The stream ends when the follower closes it.
                         let _closed = serve_follower(journal, head, version, channel.sender).await;
                     }
--- a/crates/sparscale_bench/src/route.rs
+++ b/crates/sparscale_bench/src/route.rs
@@ -11,7 +11,7 @@
 use sparscale_bundle::{
     Bundle, Document, Fleet, Group, Hall, KeyHash, Limits, Model, Operator, Placement, Target, Tier, Workspace, sign,
 };
-use sparscale_route::{Request, Rule, choose, subset};
+use sparscale_route::{Request, Rule, choose, select_subset};
 
 /// Step time without load.
 const BASE_STEP_MS: f64 = 4.5;
@@ -28,7 +28,7 @@
 pub(crate) fn bundle(groups: usize, ranks: usize) -> Result<Bundle, String> {
     let operator = |name: &str| Operator {
         name: name.to_owned(),
-        key: sign::public_text(&sign::new_key()),
+        key: sign::encode_public_key(&sign::generate_key()),
     };
     let name = |group: usize, rank: usize| format!("rank-{group}-{rank}");
     let group_ranks = (0..groups).flat_map(|group| (0..ranks).map(move |rank| (group, rank)));
@@ -110,7 +110,7 @@
         .targets
         .iter()
         .map(|target| (target.name.clone(), (address, Standing::Live)));
-    board.apply_listed(&listed.collect());
+    board.apply_box_list(&listed.collect());
     Ok(board)
 }
 
@@ -168,8 +168,9 @@
         let names = bundle.fleet().targets.iter().map(|target| target.name.clone());
         let keys: Option<Vec<TargetKey>> = names.map(|name| boards[0].find(&name)).collect();
         let keys = keys.ok_or("a target is missing from the board")?;
-        let candidates_of =
-            |(entry, board): (usize, &Board)| subset(board, &format!("entry-{entry}"), &keys, keys.len()).targets;
+        let candidates_of = |(entry, board): (usize, &Board)| {
+            select_subset(board, &format!("entry-{entry}"), &keys, keys.len()).targets
+        };
         let candidates = boards.iter().enumerate().map(candidates_of).collect();
         let rank_count = groups * ranks;
         Ok(Self {
@@ -193,8 +194,8 @@
         let tokens = (20.0 / self.random.random_range(0.02_f64..1.0)) as u32;
         let request = Request {
             prompt_tokens: 200,
-            answer_tokens: tokens,
-            blocks: Vec::new(),
+            response_tokens: tokens,
+            block_hashes: Vec::new(),
         };
         let rule = match rule {
             Rule::RoundRobin(_) => {
@@ -208,7 +209,7 @@
         let decision = choose(board, candidates, &request, rule, now, &mut self.random);
         let target = decision.map_err(|_error| "no candidate available")?.target;
         self.sent_counts[entry] += 1;
-        board.note_sent(target, self.sent_counts[entry], 0, &[], now);
+        board.record_sent(target, self.sent_counts[entry], 0, &[], now);
         let rank = self
             .keys
             .iter()
@@ -241,7 +242,7 @@
                 running.remaining_tokens -= 1;
                 if running.remaining_tokens == 0 {
                     let key = self.keys[first_rank + index];
-                    self.boards[running.entry].note_ended(key, running.send_number, now + step_time);
+                    self.boards[running.entry].record_end(key, running.send_number, now + step_time);
                     self.totals
                         .latencies_ms
                         .push((now + step_time).saturating_sub(running.arrived_at).as_secs_f64() * 1_000.0);
@@ -275,9 +276,9 @@
             for (entry, board) in self.boards.iter_mut().enumerate() {
                 let load = Load {
                     incarnation: 1,
-                    seen: report.last_received[entry],
+                    last_seen_counter: report.last_received[entry],
                     running: report.running,
-                    own: report.running_by_entry[entry],
+                    own_requests: report.running_by_entry[entry],
                     step_ms: report.step_ms,
                     ..Load::default()
                 };
@@ -329,12 +330,12 @@
     let keys: Vec<TargetKey> = board.targets().map(|(key, _)| key).take(candidates).collect();
     let blocks = prefix_blocks(&[b'x'; 2_048]);
     for (index, key) in keys.iter().enumerate() {
-        board.note_sent(*key, 1, 10, if index == 0 { &blocks } else { &[] }, Duration::ZERO);
+        board.record_sent(*key, 1, 10, if index == 0 { &blocks } else { &[] }, Duration::ZERO);
     }
     let request = Request {
         prompt_tokens: 512,
-        answer_tokens: 200,
-        blocks,
+        response_tokens: 200,
+        block_hashes: blocks,
     };
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let started = Instant::now();
@@ -376,7 +377,7 @@
     );
     let rules = [
         ("group cost", Rule::GroupCost),
-        ("least of two", Rule::LeastOfTwo),
+        ("least of two", Rule::TwoChoices),
         ("round robin", Rule::RoundRobin(0)),
         ("random", Rule::Random),
     ];
--- a/crates/sparscale_board/src/board.rs
+++ b/crates/sparscale_board/src/board.rs
@@ -63,13 +63,13 @@
     /// Incarnation of the agent that reported.
     pub incarnation: u64,
     /// Highest request counter of this entry that the report covers.
-    pub seen: u64,
+    pub last_seen_counter: u64,
     /// Requests that run at the target.
     pub running: u32,
     /// Requests that are queued at the agent.
     pub queued: u32,
     /// Running and queued requests that this entry has sent.
-    pub own: u32,
+    pub own_requests: u32,
     /// Prompt tokens waiting for prefill.
     pub prefill_tokens: u32,
     /// Time of the latest step, in milliseconds.
@@ -293,7 +293,7 @@
     }
 
     /// Applies the box list, given as address and standing by target name; a target that is not in it becomes absent.
-    pub fn apply_listed(&mut self, box_list: &HashMap<String, (SocketAddr, Standing)>) {
+    pub fn apply_box_list(&mut self, box_list: &HashMap<String, (SocketAddr, Standing)>) {
         for target in self.targets.values_mut() {
             let (address, standing) = match box_list.get(&target.name) {
                 Some((address, standing)) => (Some(*address), *standing),
@@ -332,7 +332,7 @@
     }
 
     /// Records that request `counter` was sent to the target under `key`.
-    pub fn note_sent(&mut self, key: TargetKey, counter: u64, prefill_tokens: u32, blocks: &[u64], now: Duration) {
+    pub fn record_sent(&mut self, key: TargetKey, counter: u64, prefill_tokens: u32, blocks: &[u64], now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -356,7 +356,7 @@
     }
 
     /// Records the end of request `counter` at the target under `key`.
-    pub fn note_ended(&mut self, key: TargetKey, counter: u64, now: Duration) {
+    pub fn record_end(&mut self, key: TargetKey, counter: u64, now: Duration) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -421,7 +421,7 @@
     pub fn reported_others(&self) -> Option<f64> {
         self.reported_at?;
         let all = self.load.running + self.load.queued;
-        Some(f64::from(all.saturating_sub(self.load.own)))
+        Some(f64::from(all.saturating_sub(self.load.own_requests)))
     }
 
     /// Age of the last report, including its assumed delivery time.
@@ -437,7 +437,10 @@
 
     /// Prompt tokens waiting for prefill, including those of requests that this entry has sent since the report.
     pub fn expected_prefill(&self) -> f64 {
-        let unreported = self.in_flight.iter().filter(|request| request.counter > self.load.seen);
+        let unreported = self
+            .in_flight
+            .iter()
+            .filter(|request| request.counter > self.load.last_seen_counter);
         let unreported: u32 = unreported.map(|request| request.prefill_tokens).sum();
         f64::from(self.load.prefill_tokens + unreported)
     }
--- a/crates/sparscale_bundle/src/sign.rs
+++ b/crates/sparscale_bundle/src/sign.rs
@@ -9,7 +9,7 @@
 
 /// Action that an operator authorizes with a signature.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Action {
     /// Publishes the content of a version.
     Publish,
     /// Approves the content as a second operator.
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
     /// Action that is authorized.
-    pub act: Act,
+    pub action: Action,
     /// Name of the operator who signs.
     pub author: String,
     /// Version that the action applies to.
@@ -55,12 +55,12 @@
 }
 
 /// Generates a random key pair; the secret key must stay with the operator.
-pub fn new_key() -> SigningKey {
+pub fn generate_key() -> SigningKey {
     SigningKey::from_bytes(&rand::random())
 }
 
 /// Parses a secret key from 64 hexadecimal digits.
-pub fn secret_key(text: &str) -> Option<SigningKey> {
+pub fn parse_secret_key(text: &str) -> Option<SigningKey> {
     let mut bytes = [0; 32];
     hex::decode_to_slice(text.trim(), &mut bytes).ok()?;
     Some(SigningKey::from_bytes(&bytes))
@@ -74,7 +74,7 @@
 }
 
 /// Encodes the public key of `key` as 64 hexadecimal digits, the form used in settings and bundles.
-pub fn public_text(key: &SigningKey) -> String {
+pub fn encode_public_key(key: &SigningKey) -> String {
     hex::encode(key.verifying_key().as_bytes())
 }
 
--- a/crates/sparscale_bundle/tests/bundle_delta.rs
+++ b/crates/sparscale_bundle/tests/bundle_delta.rs
@@ -8,7 +8,7 @@
 fn document(version: u64, workspaces: Vec<Workspace>) -> Document {
     let operator = |name: &str| Operator {
         name: name.to_owned(),
-        key: sign::public_text(&sign::new_key()),
+        key: sign::encode_public_key(&sign::generate_key()),
     };
     Document {
         version,
--- a/crates/sparscale_catalog/src/catalog.rs
+++ b/crates/sparscale_catalog/src/catalog.rs
@@ -6,7 +6,7 @@
 use snafu::{OptionExt as _, ensure};
 use sparscale_bundle::KeyHash;
 
-use crate::document::{Document, Kind, Limits, Route, Service, Workspace};
+use crate::document::{Document, Limits, RequestKind, Route, Service, Workspace};
 use crate::error::{DuplicateNameSnafu, Error, InvalidPrefixSnafu, NoWeightSnafu, SharedKeySnafu, UnknownServiceSnafu};
 use crate::routes::{RouteKey, RouteTable, ServiceKey};
 
@@ -76,7 +76,7 @@
 
     /// Decides whether a request with the API key `bearer` may use a route.
     pub fn access(&self, key: RouteKey, bearer: Option<&str>) -> Access<'_> {
-        if self.document.workspaces.is_empty() || self.route(key).public {
+        if self.document.workspaces.is_empty() || self.route(key).is_public {
             return Access::Open;
         }
         let workspace = bearer.and_then(|bearer| self.workspaces_by_key.get(&KeyHash::of(bearer)));
@@ -86,11 +86,14 @@
     }
 
     /// The smallest limit on the pause between two events among the routes to a service.
-    pub fn pause_of(&self, service: &str) -> Option<Duration> {
+    pub fn max_pause_of(&self, service: &str) -> Option<Duration> {
         let leads_to_service = |route: &&Route| route.shares.iter().any(|share| share.service == service);
         let routes = self.document.routes.iter().filter(leads_to_service);
         let pauses = routes.filter_map(|route| match route.kind {
-            Kind::Stream { longest_pause, .. } => longest_pause,
+            RequestKind::Stream {
+                max_pause: longest_pause,
+                ..
+            } => longest_pause,
             _ => None,
         });
         pauses.min()
--- a/crates/sparscale_catalog/src/directory.rs
+++ b/crates/sparscale_catalog/src/directory.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use crate::incarnation::{Incarnation, Incarnations, Start};
-use crate::roster::{Membership, Roster, Standing, Target};
+use crate::incarnation::{Incarnation, Incarnations, StartId};
+use crate::roster::{Membership, Roster, Target, TargetStatus};
 
 /// A target together with its current start.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seat {
+pub struct Instance {
     /// Key under which this process keeps state about the start.
     pub key: Incarnation,
     /// Identifies the start across all processes.
-    pub start: Start,
+    pub start: StartId,
     /// The target, as the roster lists it.
     pub target: Target,
 }
@@ -30,7 +30,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Directory {
     /// Sorted by id, as in the roster.
-    instances: Vec<Seat>,
+    instances: Vec<Instance>,
     index_by_key: HashMap<Incarnation, usize>,
     /// Names and sizes of the groups of each service. Each request looks them up, so they are computed once per roster.
     groups_by_service: HashMap<String, Vec<(String, usize)>>,
@@ -42,14 +42,14 @@
     /// Indexes `roster`; the instances get their keys from `starts`.
     pub fn new(roster: &Roster, starts: &mut Incarnations) -> Self {
         let instance = |target: &Target| {
-            let start = Start::of(&target.id, target.born_ms);
-            Seat {
+            let start = StartId::of(&target.id, target.born_ms);
+            Instance {
                 key: starts.key(start),
                 start,
                 target: target.clone(),
             }
         };
-        let instances: Vec<Seat> = roster.targets.iter().map(instance).collect();
+        let instances: Vec<Instance> = roster.targets.iter().map(instance).collect();
         let mut keys: Vec<Incarnation> = instances.iter().map(|instance| instance.key).collect();
         let index_by_key = keys.iter().enumerate().map(|(index, key)| (*key, index)).collect();
         keys.sort_unstable();
@@ -63,17 +63,17 @@
     }
 
     /// All instances, sorted by the id of the target.
-    pub fn seats(&self) -> &[Seat] {
+    pub fn instances(&self) -> &[Instance] {
         &self.instances
     }
 
     /// Finds an instance by the key of its start.
-    pub fn find(&self, key: Incarnation) -> Option<&Seat> {
+    pub fn find(&self, key: Incarnation) -> Option<&Instance> {
         self.instances.get(*self.index_by_key.get(&key)?)
     }
 
     /// Finds an instance by the id of its target.
-    pub fn find_id(&self, id: &str) -> Option<&Seat> {
+    pub fn find_id(&self, id: &str) -> Option<&Instance> {
         let index = self
             .instances
             .binary_search_by(|instance| instance.target.id.as_str().cmp(id));
@@ -81,17 +81,17 @@
     }
 
     /// The instances of one service.
-    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Seat> {
+    pub fn instances_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Instance> {
         self.instances
             .iter()
             .filter(move |instance| instance.target.service == service)
     }
 
     /// Finds the instance that supersedes `of` at its address.
-    pub fn successor(&self, of: &Target) -> Option<&Seat> {
-        let is_successor = |instance: &&Seat| {
+    pub fn successor(&self, of: &Target) -> Option<&Instance> {
+        let is_successor = |instance: &&Instance| {
             let other = &instance.target;
-            other.service == of.service && other.address == of.address && !other.superseded
+            other.service == of.service && other.address == of.address && !other.is_superseded
         };
         self.instances.iter().find(is_successor)
     }
@@ -99,9 +99,9 @@
     /// Possible addresses of rank `rank` of group `group`, the most likely first.
     ///
     /// Several registrations may claim the rank: a target that lost power and its successor, or one from another writer.
-    pub fn places(&self, group: &str, rank: usize) -> Vec<SocketAddr> {
+    pub fn addresses_of_rank(&self, group: &str, rank: usize) -> Vec<SocketAddr> {
         let is_rank = |membership: &Membership| membership.group == group && membership.rank == rank;
-        let claims_rank = |instance: &&Seat| instance.target.membership.as_ref().is_some_and(is_rank);
+        let claims_rank = |instance: &&Instance| instance.target.membership.as_ref().is_some_and(is_rank);
         let mut targets: Vec<&Target> = self
             .instances
             .iter()
@@ -109,8 +109,8 @@
             .map(|instance| &instance.target)
             .collect();
         targets.sort_by_key(|target| {
-            let is_draining = target.standing == Standing::Leaving;
-            (target.superseded, is_draining, std::cmp::Reverse(target.born_ms))
+            let is_draining = target.status == TargetStatus::Draining;
+            (target.is_superseded, is_draining, std::cmp::Reverse(target.born_ms))
         });
         let mut addresses: Vec<SocketAddr> = Vec::with_capacity(targets.len());
         for target in targets {
@@ -145,7 +145,7 @@
 }
 
 /// Determines the groups of each service from the memberships that its targets report.
-fn groups_by_service(instances: &[Seat]) -> HashMap<String, Vec<(String, usize)>> {
+fn groups_by_service(instances: &[Instance]) -> HashMap<String, Vec<(String, usize)>> {
     let mut votes: HashMap<&str, BTreeMap<Group<'_>, usize>> = HashMap::new();
     for instance in instances {
         if let Some(membership) = &instance.target.membership {
@@ -162,7 +162,7 @@
 }
 
 /// Determines the service and size of each group, as most of its targets report them.
-fn services_by_group(instances: &[Seat]) -> HashMap<String, (String, usize)> {
+fn services_by_group(instances: &[Instance]) -> HashMap<String, (String, usize)> {
     let mut votes: HashMap<&str, HashMap<(&str, usize), usize>> = HashMap::new();
     for instance in instances {
         if let Some(membership) = &instance.target.membership {
--- a/crates/sparscale_catalog/src/document.rs
+++ b/crates/sparscale_catalog/src/document.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use sparscale_bundle::KeyHash;
 
-use crate::engine::Engine;
+use crate::engine::EngineProfile;
 
 /// A whole catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -24,29 +24,29 @@
 
 /// Whether requests of a route may be retried, and whether the response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RequestKind {
     /// A request may run more than once.
     #[serde(rename = "Repeatable")]
-    Repeatable,
+    Idempotent,
     /// A request runs at most once.
     #[serde(rename = "Once")]
-    Once,
+    AtMostOnce,
     /// The response is a stream of events.
     Stream {
         /// Whether another target may continue the stream after the last event that the caller received.
         resumable: bool,
         /// Longest pause between two events with which the stream is still on time.
         #[serde(rename = "longest_pause")]
-        longest_pause: Option<Duration>,
+        max_pause: Option<Duration>,
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request may run more than once.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
-            Self::Repeatable => true,
-            Self::Once => false,
+            Self::Idempotent => true,
+            Self::AtMostOnce => false,
             Self::Stream { resumable, .. } => resumable,
         }
     }
@@ -76,22 +76,22 @@
     /// Path prefix, with a slash at both ends; the longest matching prefix applies.
     pub prefix: String,
     /// Kind of its requests.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Time within which a request has to be completed.
     pub timeout: Duration,
     /// Latency objective: time until the response, or until the first event of a stream.
     #[serde(rename = "objective")]
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Tier of its requests, 0 for the highest; used if the workspace has none of its own.
     pub tier: u8,
     /// Services that receive its requests.
     pub shares: Vec<Share>,
     /// Most targets to which one request is sent.
     #[serde(rename = "attempts")]
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     #[serde(rename = "public")]
-    pub public: bool,
+    pub is_public: bool,
 }
 
 /// A service: all targets of one kind.
@@ -102,7 +102,7 @@
     /// Most connections that one target accepts from all senders together.
     pub max_connections: u32,
     /// Performance model of its targets; none if they are not model engines.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineProfile>,
 }
 
 /// A customer.
@@ -121,26 +121,26 @@
 pub struct Limits {
     /// Largest header section of a request, in bytes.
     #[serde(rename = "header_bytes")]
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Largest body of a request, in bytes.
     #[serde(rename = "body_bytes")]
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time within which the header section of a request has to arrive.
     #[serde(rename = "header_time")]
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Longest time that a connection may stay idle between two requests.
     #[serde(rename = "idle_time")]
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Limits that apply before a catalog is known: small enough to be safe, large enough for typical callers.
     fn default() -> Self {
         Self {
-            header_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/sparscale_catalog/src/incarnation.rs
+++ b/crates/sparscale_catalog/src/incarnation.rs
@@ -19,9 +19,9 @@
 
 /// Identifies one start of one target across all processes: a digest of the target's id and start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Start(u64);
+pub struct StartId(u64);
 
-impl Start {
+impl StartId {
     /// Identifies the start of target `id` at `born_ms`; `None` if targets do not report when they started.
     pub fn of(id: &str, born_ms: Option<u64>) -> Self {
         let mut hasher = Sha256::new();
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for Start {
+impl fmt::Display for StartId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -48,13 +48,13 @@
 /// Assigns a key to each start that this process knows; no key is reused.
 #[derive(Debug, Default)]
 pub struct Incarnations {
-    by_start: HashMap<Start, Incarnation>,
+    by_start: HashMap<StartId, Incarnation>,
     last_key: u64,
 }
 
 impl Incarnations {
     /// Returns the key of a start, and assigns one if it is new.
-    pub fn key(&mut self, start: Start) -> Incarnation {
+    pub fn key(&mut self, start: StartId) -> Incarnation {
         let last_key = &mut self.last_key;
         *self.by_start.entry(start).or_insert_with(|| {
             *last_key += 1;
--- a/crates/sparscale_catalog/src/lib.rs
+++ b/crates/sparscale_catalog/src/lib.rs
@@ -13,10 +13,10 @@
 mod routes;
 
 pub use catalog::{Access, Catalog};
-pub use directory::{Directory, Group, Seat};
-pub use document::{Document, Kind, Limits, Route, Service, Share, Workspace};
-pub use engine::{Engine, Experts};
+pub use directory::{Directory, Group, Instance};
+pub use document::{Document, Limits, RequestKind, Route, Service, Share, Workspace};
+pub use engine::{EngineProfile, ExpertLayout};
 pub use error::Error;
-pub use incarnation::{Incarnation, Incarnations, Start};
-pub use roster::{Membership, Roster, Standing, Target, start_mark};
+pub use incarnation::{Incarnation, Incarnations, StartId};
+pub use roster::{Membership, Roster, Target, TargetStatus, start_mark};
 pub use routes::{RouteKey, ServiceKey};
--- a/crates/sparscale_catalog/src/roster.rs
+++ b/crates/sparscale_catalog/src/roster.rs
@@ -8,12 +8,12 @@
 
 /// Whether a target accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum TargetStatus {
     /// It accepts new requests.
     Ready,
     /// It drains: it completes its requests in flight and then terminates.
     #[serde(rename = "Leaving")]
-    Leaving,
+    Draining,
 }
 
 /// The membership of a target in a group of ranks.
@@ -27,7 +27,7 @@
     pub size: usize,
     /// Whether the group serves requests, as last reported by the target.
     #[serde(rename = "open")]
-    pub open: bool,
+    pub is_open: bool,
 }
 
 /// One target, as its registration in the platform's list describes it.
@@ -47,13 +47,13 @@
     pub slots: u32,
     /// Whether it accepts new requests.
     #[serde(rename = "standing")]
-    pub standing: Standing,
+    pub status: TargetStatus,
     /// Membership in a group of ranks, if it has one.
     pub membership: Option<Membership>,
     /// Whether a later registration of the same service has the same address. Either this target lost power and its
     /// registration has not expired yet, or the later registration is from another writer and this target still runs.
     #[serde(rename = "superseded")]
-    pub superseded: bool,
+    pub is_superseded: bool,
 }
 
 impl Target {
@@ -113,14 +113,14 @@
     /// Of several targets of one service at one address all but the latest are marked as superseded: a target that lost power
     /// stays registered until its registration expires, and requests to its address reach the successor. None is removed, because
     /// the latest registration may be from another writer.
-    pub fn of_latest<P: Copy + Default + Ord>(listed: Vec<(Target, P)>) -> Self {
+    pub fn with_superseded_marked<P: Copy + Default + Ord>(listed: Vec<(Target, P)>) -> Self {
         let mut latest: HashMap<(SocketAddr, String), P> = HashMap::with_capacity(listed.len());
         for (target, first_position) in &listed {
             let latest_position = latest.entry((target.address, target.service.clone())).or_default();
             *latest_position = (*latest_position).max(*first_position);
         }
         let mark = |(target, first_position): (Target, P)| Target {
-            superseded: latest
+            is_superseded: latest
                 .get(&(target.address, target.service.clone()))
                 .is_some_and(|latest_position| first_position < *latest_position),
             ..target
--- a/crates/sparscale_catalog/tests/latest_targets.rs
+++ b/crates/sparscale_catalog/tests/latest_targets.rs
@@ -5,7 +5,7 @@
 
 /// Ids of the targets that are not superseded.
 fn latest_ids(roster: &Roster) -> Vec<&str> {
-    let latest = roster.targets.iter().filter(|target| !target.superseded);
+    let latest = roster.targets.iter().filter(|target| !target.is_superseded);
     latest.map(|target| target.id.as_str()).collect()
 }
 
@@ -14,7 +14,7 @@
 fn successor_is_latest() {
     let at_port = |id: &str, port: u16| Target {
         address: ([127, 0, 0, 1], port).into(),
-        ..samples::target(id, samples::MODEL, 0)
+        ..samples::target(id, samples::MODEL_SERVICE, 0)
     };
     let listed = vec![
         (at_port("b-old", 2), 11),
@@ -23,7 +23,10 @@
         (at_port("b-new", 2), 24),
         (at_port("c-old", 3), 12),
     ];
-    assert_eq!(latest_ids(&Roster::of_latest(listed)), ["a-new", "b-new", "c-old"]);
+    assert_eq!(
+        latest_ids(&Roster::with_superseded_marked(listed)),
+        ["a-new", "b-new", "c-old"]
+    );
 }
 
 /// A registration of another service, or a later one of the same service, does not remove the running target from the roster.
@@ -34,11 +37,11 @@
         ..samples::target(id, service, 0)
     };
     let listed = vec![
-        (same_address("real", samples::MODEL), 10),
+        (same_address("real", samples::MODEL_SERVICE), 10),
         (same_address("other-service", "nowhere"), 30),
-        (same_address("same-service", samples::MODEL), 20),
+        (same_address("same-service", samples::MODEL_SERVICE), 20),
     ];
-    let roster = Roster::of_latest(listed);
+    let roster = Roster::with_superseded_marked(listed);
     assert_eq!(latest_ids(&roster), ["other-service", "same-service"]);
     assert_eq!(roster.targets.len(), 3);
 }
--- a/crates/sparscale_cli/src/bundle.rs
+++ b/crates/sparscale_cli/src/bundle.rs
@@ -5,10 +5,10 @@
 
 use serde::Serialize;
 use snafu::{OptionExt as _, ResultExt as _};
-use sparscale_bundle::sign::Act;
+use sparscale_bundle::sign::Action;
 use sparscale_bundle::{Bundle, Delta, Document};
 use sparscale_journal::{
-    Approve, Body, Content, Proposal, Publish, Receipt, Record, Roll, Settled, State, Verdict, Writer,
+    Approve, BundleContent, Proposal, Publish, Receipt, Record, RecordBody, Roll, State, SubmitOutcome, Verdict, Writer,
 };
 use sparscale_settings::Problems;
 use tokio::time::Instant;
@@ -72,7 +72,7 @@
 /// Reads and checks the bundle file at `path`.
 pub(crate) fn load(path: &Path) -> Result<Bundle, Error> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
-    let document: Document = sparscale_settings::document(path, &text)?;
+    let document: Document = sparscale_settings::parse_unchecked(path, &text)?;
     let bundle = Bundle::try_from(document).map_err(|error| sparscale_settings::Error::Values {
         problems: Problems::locate(path, &text, error.problems),
     })?;
@@ -96,8 +96,8 @@
     let version = bundle.version();
     let hash = bundle.hash();
     let content = match &active {
-        Some(certificate) => Content::Delta(Delta::between(&certificate.bundle, &bundle)),
-        None => Content::Whole(bundle),
+        Some(certificate) => BundleContent::Delta(Delta::between(&certificate.bundle, &bundle)),
+        None => BundleContent::Whole(bundle),
     };
     let publish = Publish {
         author: settings.name().to_owned(),
@@ -105,9 +105,9 @@
         base,
         hash,
         content,
-        signature: settings.sign(Act::Publish, version, base, hash)?,
+        signature: settings.sign(Action::Publish, version, base, hash)?,
     };
-    let record = Record::new(Body::Publish(Box::new(publish)));
+    let record = Record::new(RecordBody::Publish(Box::new(publish)));
     let outcome = submit(&mut writer, settings, &record, version, hash.to_string()).await;
     Ok(report(&outcome, "published", "ask another operator to approve it"))
 }
@@ -134,9 +134,9 @@
         version,
         base: proposal.base,
         hash: published_hash,
-        signature: settings.sign(Act::Approve, version, proposal.base, published_hash)?,
+        signature: settings.sign(Action::Approve, version, proposal.base, published_hash)?,
     };
-    let record = Record::new(Body::Approve(approve));
+    let record = Record::new(RecordBody::Approve(approve));
     let outcome = submit(&mut writer, settings, &record, version, published_hash.to_string()).await;
     Ok(report(&outcome, "approved", "roll it"))
 }
@@ -150,9 +150,9 @@
         version,
         base: proposal.base,
         hash,
-        signature: settings.sign(Act::Roll, version, proposal.base, hash)?,
+        signature: settings.sign(Action::Roll, version, proposal.base, hash)?,
     };
-    let record = Record::new(Body::Roll(roll));
+    let record = Record::new(RecordBody::Roll(roll));
     let outcome = submit(&mut writer, settings, &record, version, hash.to_string()).await;
     Ok(report(
         &outcome,
@@ -188,16 +188,16 @@
 async fn submit(writer: &mut Writer, settings: &Settings, record: &Record, version: u64, hash: String) -> Outcome {
     let deadline = Instant::now() + settings.submit_timeout();
     match writer.submit(record, deadline).await {
-        Settled::Judged(Receipt {
+        SubmitOutcome::Judged(Receipt {
             offset,
             verdict: Verdict::Accepted,
         }) => Outcome::Accepted { version, hash, offset },
-        Settled::Judged(Receipt { offset, verdict }) => Outcome::Refused {
+        SubmitOutcome::Judged(Receipt { offset, verdict }) => Outcome::Refused {
             because: verdict_text(&verdict),
             offset,
         },
-        Settled::NotAppended { message } => Outcome::NotAppended { trouble: message },
-        Settled::Unknown { id, message } => Outcome::Unknown {
+        SubmitOutcome::NotAppended { message } => Outcome::NotAppended { trouble: message },
+        SubmitOutcome::Unknown { id, message } => Outcome::Unknown {
             record: id.to_string(),
             trouble: message,
         },
@@ -279,13 +279,17 @@
 fn describe_operator_action(data: &[u8]) -> Option<String> {
     let record = Record::decode(data).ok()?;
     match record.body {
-        Body::Publish(publish) => Some(format!(
+        RecordBody::Publish(publish) => Some(format!(
             "{} published version {} on base {}",
             publish.author, publish.version, publish.base
         )),
-        Body::Approve(approve) => Some(format!("{} approved version {}", approve.author, approve.version)),
-        Body::Roll(roll) => Some(format!("{} rolled version {}", roll.author, roll.version)),
-        Body::Claim(_) | Body::Map(_) | Body::Bind(_) | Body::Snapshot(_) | Body::Strike(_) => None,
+        RecordBody::Approve(approve) => Some(format!("{} approved version {}", approve.author, approve.version)),
+        RecordBody::Roll(roll) => Some(format!("{} rolled version {}", roll.author, roll.version)),
+        RecordBody::Claim(_)
+        | RecordBody::Map(_)
+        | RecordBody::Bind(_)
+        | RecordBody::Snapshot(_)
+        | RecordBody::Strike(_) => None,
     }
 }
 
--- a/crates/sparscale_cli/src/key.rs
+++ b/crates/sparscale_cli/src/key.rs
@@ -24,13 +24,13 @@
 
 /// Writes a new secret key to `path`, readable only by its owner, and reports the public key.
 pub(crate) fn new(path: &Path) -> Result<Report, Error> {
-    let key = sign::new_key();
+    let key = sign::generate_key();
     let mut options = OpenOptions::new();
     // `create_new` fails if the file exists, so that no key is overwritten.
     options.write(true).create_new(true).mode(0o600);
     let mut file = options.open(path).context(WriteSnafu { path })?;
     writeln!(file, "{}", hex::encode(key.to_bytes())).context(WriteSnafu { path })?;
-    let public_key = sign::public_text(&key);
+    let public_key = sign::encode_public_key(&key);
     Ok(Report::new(
         Exit::Success,
         public_key.clone(),
--- a/crates/sparscale_cli/src/operator.rs
+++ b/crates/sparscale_cli/src/operator.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 use snafu::{OptionExt as _, ResultExt as _};
-use sparscale_bundle::sign::{self, Act, Signature, Statement};
+use sparscale_bundle::sign::{self, Action, Signature, Statement};
 use sparscale_bundle::{Hash, Operator};
 use sparscale_journal::{HttpLog, Reader, Writer};
 use sparscale_settings::{Check, Problem};
@@ -106,12 +106,12 @@
     }
 
     /// Signs a statement with the key of this operator.
-    pub(crate) fn sign(&self, act: Act, version: u64, base: u64, hash: Hash) -> Result<Signature, Error> {
+    pub(crate) fn sign(&self, act: Action, version: u64, base: u64, hash: Hash) -> Result<Signature, Error> {
         let path = &self.raw.key_file;
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
-        let key = sign::secret_key(&text).context(KeySnafu { path })?;
+        let key = sign::parse_secret_key(&text).context(KeySnafu { path })?;
         let statement = Statement {
-            act,
+            action: act,
             author: self.raw.operator.clone(),
             version,
             base,
--- a/crates/sparscale_conduct/src/agent.rs
+++ b/crates/sparscale_conduct/src/agent.rs
@@ -7,7 +7,7 @@
 use sparscale_place::Map;
 use sparscale_place::barrier::{Act, Answer, Order, Report, View};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{MapUpdate, Placement, RankNews, RankOrder};
+use sparscale_wire::{MapUpdate, RankExperts, RankOrder, RankUpdate};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
@@ -126,7 +126,7 @@
         if !self.accept_leader(subscriber.assignment.claim) {
             let claim = self.leader.borrow().claim.unwrap_or_default();
             // A leader that does not read its updates has terminated.
-            let _gone = subscriber.updates.try_send(RankNews::Overtaken { claim });
+            let _gone = subscriber.updates.try_send(RankUpdate::Superseded { claim });
             return;
         }
         self.subscriber = Some(subscriber);
@@ -184,7 +184,7 @@
         }
         match command.order {
             RankOrder::Heartbeat => {}
-            RankOrder::Own { order, map } => self.carry_out(command.assignment.claim, order, map).await,
+            RankOrder::ToRank { order, map } => self.carry_out(command.assignment.claim, order, map).await,
             RankOrder::Delegation { order, engine } => self.carry_out_delegated(order, engine),
         }
     }
@@ -200,7 +200,7 @@
             if let Some(updates) = updates {
                 // A leader that has terminated does not wait for the answer.
                 let _gone = updates
-                    .send(RankNews::Delegation {
+                    .send(RankUpdate::Delegation {
                         serial: order.serial,
                         answer,
                     })
@@ -317,7 +317,7 @@
             return;
         }
         self.reported_state = Some((report.view.map(without_step), Instant::now()));
-        if !self.send_update(RankNews::Report { report, load }) {
+        if !self.send_update(RankUpdate::Report { report, load }) {
             self.unsent_answer = answer;
         }
     }
@@ -353,13 +353,13 @@
             return;
         };
         let reported = (held.epoch, held.number);
-        let placement = Placement {
+        let placement = RankExperts {
             epoch: held.epoch,
-            number: held.number,
-            sets: held.sets,
-            whole: self.cache.contains(held.number),
+            map_number: held.number,
+            experts_by_set: held.sets,
+            has_full_map: self.cache.contains(held.number),
         };
-        if self.send_update(RankNews::Holds(placement)) {
+        if self.send_update(RankUpdate::Experts(placement)) {
             self.reported_map = Some(reported);
         }
     }
@@ -385,16 +385,16 @@
             return;
         };
         // Counts that do not fit into the queue are dropped: the next ones show the demand as well.
-        let _missed = self.send_update(RankNews::Picks {
+        let _missed = self.send_update(RankUpdate::SelectionCounts {
             epoch: counts.epoch,
-            span_ms: now.saturating_duration_since(at).as_millis() as u64,
-            picks: selections,
+            period_ms: now.saturating_duration_since(at).as_millis() as u64,
+            selections,
         });
     }
 
     /// Sends an update to the leader. Returns false if its queue is full; the update is dropped, and the next state
     /// follows.
-    fn send_update(&mut self, update: RankNews) -> bool {
+    fn send_update(&mut self, update: RankUpdate) -> bool {
         let Some(subscriber) = &self.subscriber else {
             return true;
         };
--- a/crates/sparscale_conduct/src/decision.rs
+++ b/crates/sparscale_conduct/src/decision.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use sparscale_catalog::Experts;
+use sparscale_catalog::ExpertLayout;
 use sparscale_place::{LoadLimits, Map, Popularity, Refinement, Shape, Trend, mean_skew, refine};
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Decider {
     shape: Shape,
-    experts: Experts,
+    experts: ExpertLayout,
     popularity: Popularity,
     accumulated: Vec<f64>,
     window_start: Instant,
@@ -50,18 +50,18 @@
 
 impl Decider {
     /// Creates a decider without any demand data for a group of `ranks` ranks.
-    pub(crate) fn new(experts: Experts, ranks: usize) -> Self {
+    pub(crate) fn new(experts: ExpertLayout, ranks: usize) -> Self {
         let shape = Shape {
             ranks,
-            layers: experts.sets,
-            experts: experts.count,
-            slots: experts.places,
+            layers: experts.set_count,
+            experts: experts.experts_per_set,
+            slots: experts.max_experts_per_rank,
         };
         Self {
             shape,
             experts,
-            popularity: Popularity::new(experts.sets, experts.count, DEMAND_HALF_LIFE),
-            accumulated: vec![0.0; experts.sets * experts.count],
+            popularity: Popularity::new(experts.set_count, experts.experts_per_set, DEMAND_HALF_LIFE),
+            accumulated: vec![0.0; experts.set_count * experts.experts_per_set],
             window_start: Instant::now(),
             slowdowns: vec![1.0; ranks],
             pressure: 1.0,
@@ -130,11 +130,11 @@
         if !self.has_demand() {
             return None;
         }
-        let load_limits = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare);
+        let load_limits = 1..=MAX_LOADS_PER_RANK.min(self.experts.spare_experts_per_rank);
         let candidates = load_limits.map(|per_rank| {
             let bounds = LoadLimits {
                 loads_per_rank: per_rank,
-                loads_per_set: self.experts.spare,
+                loads_per_set: self.experts.spare_experts_per_rank,
             };
             let refined = refine(&self.popularity, map, self.shape, bounds, &self.slowdowns);
             (self.cost(&refined), refined)
--- a/crates/sparscale_conduct/src/handle.rs
+++ b/crates/sparscale_conduct/src/handle.rs
@@ -1,6 +1,6 @@
 //! Interface of the agent beside a rank: orders, subscriptions and the latest state.
 
-use sparscale_wire::{RankNews, RankOrder};
+use sparscale_wire::{RankOrder, RankUpdate};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct Subscriber {
     pub(crate) assignment: Assignment,
-    pub(crate) updates: mpsc::Sender<RankNews>,
+    pub(crate) updates: mpsc::Sender<RankUpdate>,
 }
 
 /// Handle to the task of a rank's agent.
@@ -62,7 +62,7 @@
     }
 
     /// Subscribes a leader to updates about the rank.
-    pub(crate) async fn subscribe(&self, assignment: Assignment) -> mpsc::Receiver<RankNews> {
+    pub(crate) async fn subscribe(&self, assignment: Assignment) -> mpsc::Receiver<RankUpdate> {
         let (updates, receiver) = mpsc::channel(UPDATE_QUEUE_LEN);
         let _stopping = self.subscribers.send(Subscriber { assignment, updates }).await;
         receiver
--- a/crates/sparscale_conduct/src/leader.rs
+++ b/crates/sparscale_conduct/src/leader.rs
@@ -8,7 +8,7 @@
 use sparscale_place::barrier::{Coordinator, Progress};
 use sparscale_place::{Map, Trend};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Base, RankNews};
+use sparscale_wire::{PatchBase, RankUpdate};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
@@ -172,11 +172,11 @@
         }
     }
 
-    fn handle_update(&mut self, rank: usize, update: RankNews) {
+    fn handle_update(&mut self, rank: usize, update: RankUpdate) {
         let now = Instant::now();
         match update {
-            RankNews::Delegation { serial, answer } => self.handle_delegation_answer(serial, answer),
-            RankNews::Report { mut report, load } => {
+            RankUpdate::Delegation { serial, answer } => self.handle_delegation_answer(serial, answer),
+            RankUpdate::Report { mut report, load } => {
                 if rank != self.term.own_rank {
                     self.members[rank].agent_bypassed = false;
                 }
@@ -204,19 +204,19 @@
                 }
                 self.coordinator.record_report(rank, report);
             }
-            RankNews::Picks { picks, .. } => {
+            RankUpdate::SelectionCounts { selections: picks, .. } => {
                 if let Some(decider) = &mut self.decider {
                     decider.add_selections(&picks);
                 }
             }
-            RankNews::Holds(placement) => {
+            RankUpdate::Experts(placement) => {
                 let member = &mut self.members[rank];
-                if placement.whole && member.pending_map.is_none() {
-                    member.sent_maps.record_reported(placement.number);
+                if placement.has_full_map && member.pending_map.is_none() {
+                    member.sent_maps.record_reported(placement.map_number);
                 }
                 member.placement = Some(placement);
             }
-            RankNews::Overtaken { claim } => self.overtaken |= claim > self.term.claim,
+            RankUpdate::Superseded { claim } => self.overtaken |= claim > self.term.claim,
         }
     }
 
@@ -346,10 +346,10 @@
         if !in_force {
             return;
         }
-        metrics.switch_seconds.note(switch.started_at.elapsed());
+        metrics.switch_seconds.record(switch.started_at.elapsed());
         metrics.expert_loads.add(u64::from(switch.loads));
         if let Some(since) = switch.held_since {
-            metrics.hold_seconds.note(since.elapsed());
+            metrics.hold_seconds.record(since.elapsed());
         }
     }
 
@@ -385,10 +385,10 @@
         let slowdowns = self
             .members
             .iter()
-            .map(|member| member.load.map_or(1.0, |(load, _)| load.pace()));
+            .map(|member| member.load.map_or(1.0, |(load, _)| load.slowdown()));
         let slowdowns = slowdowns.collect();
         let pause = self.context.board.catalog();
-        let pause = pause.and_then(|catalog| catalog.value.pause_of(&self.term.service));
+        let pause = pause.and_then(|catalog| catalog.value.max_pause_of(&self.term.service));
         let (Some(decider), Some((_, base, map))) = (&mut self.decider, &self.current_map) else {
             return;
         };
@@ -400,11 +400,15 @@
         let number = (self.term.claim + 1) * FENCES_PER_CLAIM + self.switch_count;
         if self.coordinator.begin_change(number) {
             let base = match base {
-                0 => Base::Initial(decider.shape()),
-                number => Base::Sent(*number),
+                0 => PatchBase::Initial(decider.shape()),
+                number => PatchBase::Sent(*number),
             };
             let mut bases = vec![(base, Arc::clone(map))];
-            bases.extend(self.dropped_map.take().map(|(number, map)| (Base::Sent(number), map)));
+            bases.extend(
+                self.dropped_map
+                    .take()
+                    .map(|(number, map)| (PatchBase::Sent(number), map)),
+            );
             self.switch = Some(MapSwitch {
                 next_map: OutgoingMap::new(number, refined.map, &bases),
                 started_at: Instant::now(),
--- a/crates/sparscale_conduct/src/leader/outbound.rs
+++ b/crates/sparscale_conduct/src/leader/outbound.rs
@@ -92,15 +92,15 @@
         let map = switch.map(|switch| switch.next_map.update_for(&self.members[rank].sent_maps));
         if let (Some(switch), Some(map)) = (&mut self.switch, &map) {
             let base = match map {
-                MapUpdate::Whole(_) => None,
-                MapUpdate::Change { base, .. } => Some(*base),
+                MapUpdate::Full(_) => None,
+                MapUpdate::Patch { base, .. } => Some(*base),
             };
             if rank != self.term.own_rank {
                 self.outbox.charge(encoded_bytes(map));
             }
             self.members[rank].pending_map = Some((switch.next_map.number, base));
         }
-        let sent = self.members[rank].orders.try_send(RankOrder::Own { order, map });
+        let sent = self.members[rank].orders.try_send(RankOrder::ToRank { order, map });
         if sent.is_err() {
             self.members[rank].pending_order = None;
             self.coordinator.record_no_answer(rank);
@@ -167,7 +167,7 @@
             return;
         };
         for (rank, member) in self.members.iter().enumerate() {
-            let engines = targets.value.places(&self.term.group, rank);
+            let engines = targets.value.addresses_of_rank(&self.term.group, rank);
             // A rank without an entry may only have lapsed; its last location is the best guess.
             if engines.is_empty() {
                 continue;
@@ -205,12 +205,12 @@
         self.context.metrics.pass_seconds.set(self.pass_micros / 1.0e6);
         let load = GroupLoad {
             group: self.term.group.clone(),
-            order: (self.term.claim, self.load_messages),
-            open: self.coordinator.progress() != Progress::Surveying,
+            sequence: (self.term.claim, self.load_messages),
+            is_running: self.coordinator.progress() != Progress::Surveying,
             skew,
-            pass_micros: self.pass_micros as u64,
-            pass: self.latest_pass,
-            ranks: self.members.iter().map(fresh_load).collect(),
+            mean_pass_micros: self.pass_micros as u64,
+            latest_pass: self.latest_pass,
+            rank_loads: self.members.iter().map(fresh_load).collect(),
         };
         self.context.mesh.merge_group_load(load, true);
     }
@@ -219,8 +219,8 @@
 /// Upper bound of the encoded size of a map update: an expert in a whole map takes two bytes at most.
 fn encoded_bytes(map: &MapUpdate) -> usize {
     let content = match map {
-        MapUpdate::Change { patch, .. } => patch.size_bytes(),
-        MapUpdate::Whole(map) => map
+        MapUpdate::Patch { patch, .. } => patch.size_bytes(),
+        MapUpdate::Full(map) => map
             .layers
             .iter()
             .flat_map(|layer| &layer.ranks)
--- a/crates/sparscale_conduct/src/leader_poll.rs
+++ b/crates/sparscale_conduct/src/leader_poll.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use sparscale_wire::{Ask, Channel, Frame, Role, Sighting};
+use sparscale_wire::{Channel, Frame, LeaderContact, Role, StreamRequest};
 use tokio::task::JoinSet;
 
 use crate::context::Context;
@@ -46,7 +46,7 @@
 /// Judges from the answers of a poll whether the leader is gone. `next_claim` is the number of the next claim,
 /// known for `known_for`.
 pub fn evaluate_poll(
-    sightings: &[Sighting],
+    sightings: &[LeaderContact],
     next_claim: u64,
     known_for: Duration,
     timing: &GroupTiming,
@@ -54,7 +54,7 @@
     if sightings.is_empty() {
         return LeaderStatus::Alone;
     }
-    let is_recent = |sighting: &&Sighting| Duration::from_millis(sighting.heard_ms) < timing.leader_live_age();
+    let is_recent = |sighting: &&LeaderContact| Duration::from_millis(sighting.heard_ms) < timing.leader_live_age();
     let live_claims = sightings.iter().filter(is_recent).filter_map(|sighting| sighting.claim);
     if let Some(claim) = live_claims.max().filter(|claim| claim + 1 >= next_claim) {
         return LeaderStatus::Lives { claim };
@@ -73,7 +73,7 @@
 }
 
 /// Polls other agents of the group of the engine in `state` for their observations of the leader.
-pub(crate) async fn poll_peers(context: &Context, group: &str, state: &EngineState) -> Vec<Sighting> {
+pub(crate) async fn poll_peers(context: &Context, group: &str, state: &EngineState) -> Vec<LeaderContact> {
     let mut polls = JoinSet::new();
     for poll in 0..POLLED_PEERS.min(state.size.saturating_sub(1)) {
         let rank = (state.rank + 1 + poll * state.size / POLLED_PEERS) % state.size;
@@ -94,17 +94,17 @@
     sightings
 }
 
-async fn poll_rank(context: &Context, group: &str, rank: usize) -> Option<Sighting> {
+async fn poll_rank(context: &Context, group: &str, rank: usize) -> Option<LeaderContact> {
     let targets = context.board.targets()?.value;
-    let engine = *targets.places(group, rank).first()?;
+    let engine = *targets.addresses_of_rank(group, rank).first()?;
     let agent = std::net::SocketAddr::new(engine.ip(), context.port);
     let mut channel = context.endpoint.open(agent, Role::Agent).await.ok()?;
-    let query = Ask::Leader {
+    let query = StreamRequest::QueryLeader {
         group: group.to_owned(),
     };
-    channel.sender.send(&Frame::Ask(query)).await.ok()?;
+    channel.sender.send(&Frame::Open(query)).await.ok()?;
     match channel.receiver.receive().await.ok()? {
-        Frame::Leader(sighting) => Some(sighting),
+        Frame::LeaderContact(sighting) => Some(sighting),
         _ => None,
     }
 }
@@ -121,13 +121,13 @@
         return;
     }
     let leader = *handle.leader.borrow();
-    let sighting = Sighting {
+    let sighting = LeaderContact {
         claim: leader.claim,
         heard_ms: millis(leader.last_seen.elapsed()),
         up_ms: millis(handle.started_at.elapsed()),
     };
     // The polling agent may have stopped waiting, so a failure is ignored.
-    let _gone = channel.sender.send(&Frame::Leader(sighting)).await;
+    let _gone = channel.sender.send(&Frame::LeaderContact(sighting)).await;
     channel.sender.finish();
     channel.sender.stopped().await;
 }
--- a/crates/sparscale_conduct/src/link.rs
+++ b/crates/sparscale_conduct/src/link.rs
@@ -9,7 +9,7 @@
 
 use sparscale_belief::Board;
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Ask, Channel, Endpoint, Frame, MapUpdate, Peer, RankNews, RankOrder, Role};
+use sparscale_wire::{Channel, Endpoint, Frame, MapUpdate, Peer, RankOrder, RankUpdate, Role, StreamRequest};
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
@@ -34,9 +34,9 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     /// The rank's agent sent an update.
-    Update { rank: usize, update: RankNews },
+    Update { rank: usize, update: RankUpdate },
     /// The rank's engine answered a direct order because its agent is unreachable.
-    DirectUpdate { rank: usize, update: RankNews },
+    DirectUpdate { rank: usize, update: RankUpdate },
     /// Pending orders to the rank will not be answered.
     OrdersLost { rank: usize },
 }
@@ -59,7 +59,7 @@
         tokio::select! {
             update = updates.recv() => {
                 let Some(update) = update else { return };
-                if sender.send(&Frame::RankNews(update)).await.is_err() {
+                if sender.send(&Frame::RankUpdate(update)).await.is_err() {
                     return;
                 }
             }
@@ -94,10 +94,12 @@
         let handle = handle.clone();
         tokio::spawn(async move {
             match channel.receiver.receive().await {
-                Ok(Frame::Ask(Ask::Conduct { group, rank, claim })) => {
+                Ok(Frame::Open(StreamRequest::LeadRank { group, rank, claim })) => {
                     serve_leader(handle, Assignment { group, rank, claim }, channel).await;
                 }
-                Ok(Frame::Ask(Ask::Leader { group })) => leader_poll::answer_poll(&handle, &group, channel).await,
+                Ok(Frame::Open(StreamRequest::QueryLeader { group })) => {
+                    leader_poll::answer_poll(&handle, &group, channel).await;
+                }
                 _ => log::warn!("ignored a stream with an unknown request"),
             }
         });
@@ -245,7 +247,7 @@
                     }
                 }
                 received = receiver.receive() => {
-                    let Ok(Frame::RankNews(update)) = received else { return last_update };
+                    let Ok(Frame::RankUpdate(update)) = received else { return last_update };
                     last_received = Instant::now();
                     last_update = Some(last_received);
                     if link.events.send(Event::Update { rank: self.assignment.rank, update }).await.is_err() {
@@ -254,7 +256,7 @@
                 }
                 () = tokio::time::sleep_until(last_received + self.timing.agent_timeout()) => {
                     if let Some(location) = location_for(&self.locations.borrow(), self.attempt) {
-                        self.endpoint.renew(location.agent, Role::Agent);
+                        self.endpoint.drop_connection(location.agent, Role::Agent);
                     }
                     return last_update;
                 }
@@ -268,13 +270,13 @@
 
     async fn order_directly(&self, order: RankOrder) -> Option<Event> {
         let rank = self.assignment.rank;
-        let RankOrder::Own { order, map } = order else {
+        let RankOrder::ToRank { order, map } = order else {
             return None;
         };
         let map = match map {
-            Some(MapUpdate::Whole(map)) => Some(map),
+            Some(MapUpdate::Full(map)) => Some(map),
             // An engine needs the whole map, and this change was meant for an agent that has its base.
-            Some(MapUpdate::Change { .. }) => return Some(Event::OrdersLost { rank }),
+            Some(MapUpdate::Patch { .. }) => return Some(Event::OrdersLost { rank }),
             None => None,
         };
         let Some(location) = location_for(&self.locations.borrow(), self.attempt) else {
@@ -291,7 +293,7 @@
         log::info!(target: DECISION, decision = "order_directly", rank, act:? = order.act, answer:? = report.answer; "agent unreachable; ordered its engine directly");
         Some(Event::DirectUpdate {
             rank,
-            update: RankNews::Report { report, load },
+            update: RankUpdate::Report { report, load },
         })
     }
 }
@@ -322,12 +324,12 @@
     let _permit = dial_permits.acquire().await.ok()?;
     let opening = async {
         let mut channel = endpoint.open(agent, Role::Agent).await.ok()?;
-        let request = Ask::Conduct {
+        let request = StreamRequest::LeadRank {
             group: assignment.group,
             rank: assignment.rank,
             claim: assignment.claim,
         };
-        channel.sender.send(&Frame::Ask(request)).await.ok()?;
+        channel.sender.send(&Frame::Open(request)).await.ok()?;
         Some(channel)
     };
     tokio::time::timeout(OPEN_TIMEOUT, opening).await.ok().flatten()
--- a/crates/sparscale_conduct/src/member.rs
+++ b/crates/sparscale_conduct/src/member.rs
@@ -4,7 +4,7 @@
 
 use sparscale_place::Map;
 use sparscale_place::barrier::{Act, Answer, Order};
-use sparscale_wire::{Base, Placement, RankLoad, RankOrder};
+use sparscale_wire::{PatchBase, RankExperts, RankLoad, RankOrder};
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
@@ -23,7 +23,7 @@
     /// Candidate locations, the most likely first.
     pub(crate) locations: watch::Sender<Vec<Location>>,
     pub(crate) load: Option<(RankLoad, Instant)>,
-    pub(crate) placement: Option<Placement>,
+    pub(crate) placement: Option<RankExperts>,
     /// Serial of the order that awaits an answer, and when it was sent.
     pub(crate) pending_order: Option<(u64, Instant)>,
     /// When the latest order or heartbeat was sent to it.
@@ -34,7 +34,7 @@
     /// Maps known to be in the agent's cache.
     pub(crate) sent_maps: SentMaps,
     /// The map whose staging it has not answered yet: its number, and the base if it was sent as a change.
-    pub(crate) pending_map: Option<(u64, Option<Base>)>,
+    pub(crate) pending_map: Option<(u64, Option<PatchBase>)>,
 }
 
 impl Member {
@@ -135,14 +135,14 @@
 
 /// Assembles the group's map from the placements that the ranks report, if all report the same epoch and number.
 pub(crate) fn assemble_map<'a>(
-    placements: impl Iterator<Item = Option<&'a Placement>>,
+    placements: impl Iterator<Item = Option<&'a RankExperts>>,
     epoch: u64,
     number: u64,
     layers: usize,
 ) -> Option<Map> {
-    let placements: Vec<&Placement> = placements.collect::<Option<_>>()?;
-    let matches = |placement: &&Placement| {
-        (placement.epoch, placement.number) == (epoch, number) && placement.sets.len() == layers
+    let placements: Vec<&RankExperts> = placements.collect::<Option<_>>()?;
+    let matches = |placement: &&RankExperts| {
+        (placement.epoch, placement.map_number) == (epoch, number) && placement.experts_by_set.len() == layers
     };
     if !placements.iter().all(matches) {
         return None;
@@ -150,7 +150,7 @@
     let layer = |index: usize| sparscale_place::Layer {
         ranks: placements
             .iter()
-            .map(|placement| placement.sets[index].clone())
+            .map(|placement| placement.experts_by_set[index].clone())
             .collect(),
     };
     Some(Map {
--- a/crates/sparscale_conduct/src/metrics.rs
+++ b/crates/sparscale_conduct/src/metrics.rs
@@ -64,7 +64,9 @@
         };
         let help = "Orders to the own rank, by answer.";
         let labels = [("act", act), ("answer", answer)];
-        self.registry.counter("sparscale_orders_total", help, &labels).add_one();
+        self.registry
+            .counter("sparscale_orders_total", help, &labels)
+            .increment();
     }
 
     /// Counts a finished map switch by its result.
@@ -74,13 +76,15 @@
         let labels = [("result", result)];
         self.registry
             .counter("sparscale_switches_total", help, &labels)
-            .add_one();
+            .increment();
     }
 
     /// Counts a claim of the leadership by its result.
     pub(crate) fn record_claim(&self, result: &str) {
         let help = "Claims of the duty to lead, by result.";
         let labels = [("result", result)];
-        self.registry.counter("sparscale_claims_total", help, &labels).add_one();
+        self.registry
+            .counter("sparscale_claims_total", help, &labels)
+            .increment();
     }
 }
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -9,7 +9,7 @@
 use sparscale_catalog::{Catalog, Roster};
 use sparscale_mesh::Mesh;
 use sparscale_telemetry::{DECISION, Registry, Signals};
-use sparscale_wire::{Endpoint, EndpointError, FEW_STREAMS, Identity, Role};
+use sparscale_wire::{Endpoint, EndpointError, Identity, MAX_LONG_LIVED_STREAMS, Role};
 
 use crate::agent;
 use crate::bandwidth::Bandwidth;
@@ -93,8 +93,10 @@
 /// Starts an agent's tasks on the current runtime.
 pub fn start(settings: &Settings, parts: Dependencies) -> Result<(), Error> {
     let board = Arc::new(Board::default());
-    let identity = Identity::Made(Role::Agent);
-    let endpoint = Arc::new(Endpoint::with_streams(settings.address, identity, FEW_STREAMS).context(EndpointSnafu)?);
+    let identity = Identity::SelfSigned(Role::Agent);
+    let endpoint = Arc::new(
+        Endpoint::bind_with_max_streams(settings.address, identity, MAX_LONG_LIVED_STREAMS).context(EndpointSnafu)?,
+    );
     let mesh = Mesh::new(
         sparscale_mesh::Settings {
             address: settings.address,
--- a/crates/sparscale_conduct/src/standby.rs
+++ b/crates/sparscale_conduct/src/standby.rs
@@ -39,7 +39,7 @@
             };
             let endpoint = Arc::clone(&context.endpoint);
             tokio::spawn(async move {
-                if let Err(error) = endpoint.keep_ready(agent, Role::Agent).await {
+                if let Err(error) = endpoint.ensure_connected(agent, Role::Agent).await {
                     log::debug!(agent = agent.to_string().as_str(), error = error.to_string().as_str(); "failed to open a standby connection");
                 }
                 drop(permit);
@@ -63,7 +63,7 @@
         return Vec::new();
     };
     let others = (0..state.size).filter(|rank| *rank != state.rank);
-    let engine_of = |rank| targets.value.places(group, rank).first().copied();
+    let engine_of = |rank| targets.value.addresses_of_rank(group, rank).first().copied();
     let agent_of = |engine: SocketAddr| SocketAddr::new(engine.ip(), context.port);
     others.filter_map(engine_of).map(agent_of).collect()
 }
--- a/crates/sparscale_conduct/tests/duty_inquiry.rs
+++ b/crates/sparscale_conduct/tests/duty_inquiry.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use sparscale_conduct::{GroupTiming, LeaderStatus, evaluate_poll};
-use sparscale_wire::Sighting;
+use sparscale_wire::LeaderContact;
 
 const LONG_UPTIME_MS: u64 = 60_000;
 
-fn seen_by_peer(claim: u64, heard_ms: u64) -> Sighting {
-    Sighting {
+fn seen_by_peer(claim: u64, heard_ms: u64) -> LeaderContact {
+    LeaderContact {
         claim: Some(claim),
         heard_ms,
         up_ms: LONG_UPTIME_MS,
     }
 }
 
-fn never_led(up_ms: u64) -> Sighting {
-    Sighting {
+fn never_led(up_ms: u64) -> LeaderContact {
+    LeaderContact {
         claim: None,
         heard_ms: up_ms,
         up_ms,
--- a/crates/sparscale_conduct/tests/group/engines.rs
+++ b/crates/sparscale_conduct/tests/group/engines.rs
@@ -7,7 +7,7 @@
 
 use async_trait::async_trait;
 use sparscale_belief::{Error as SourceError, Source, Versioned};
-use sparscale_catalog::{Catalog, Experts, Membership, Roster};
+use sparscale_catalog::{Catalog, ExpertLayout, Membership, Roster};
 use sparscale_conduct::{
     Bandwidth, ClaimError, ClaimOutcome, Claims, Dependencies, Engine, EngineError, EngineState, Engines, HeldExperts,
     SelectionCounts, Settings, start,
@@ -98,7 +98,7 @@
     pub fn with_ranks(network: u8, ranks: usize) -> Self {
         let group = Group {
             ranks: vec![Rank::default(); ranks],
-            counts: vec![0; experts().sets * experts().count],
+            counts: vec![0; experts().set_count * experts().experts_per_set],
             epoch: 1,
             started_ms: vec![1; ranks],
             ..Group::default()
@@ -143,7 +143,7 @@
             name: format!("agent-{rank}"),
             address: self.agent_address(rank),
             engine_address: self.address(rank, 8_000),
-            service: samples::MODEL.to_owned(),
+            service: samples::MODEL_SERVICE.to_owned(),
             seeds: Vec::new(),
             keepalive_interval: Duration::from_millis(100),
             bandwidth: Bandwidth::from_mbps(20.0),
@@ -172,9 +172,9 @@
                 group: "g".to_owned(),
                 rank,
                 size,
-                open: true,
+                is_open: true,
             }),
-            ..samples::target(&format!("m-{rank}"), samples::MODEL, 8_000)
+            ..samples::target(&format!("m-{rank}"), samples::MODEL_SERVICE, 8_000)
         };
         let mut targets: Vec<_> = (0..size).map(target).collect();
         if let Some(rank) = self.lock().misplaced_rank {
@@ -202,7 +202,7 @@
     }
 }
 
-pub fn experts() -> Experts {
+pub fn experts() -> ExpertLayout {
     samples::engine().experts.expect("experts")
 }
 
@@ -213,7 +213,7 @@
 impl Group {
     /// Moves the demand to another expert.
     pub fn shift_demand(&mut self) {
-        self.hot_expert = (self.hot_expert + 7) % experts().count;
+        self.hot_expert = (self.hot_expert + 7) % experts().experts_per_set;
     }
 
     /// Restarts the engine of `rank`: it loses its state, and the group re-forms.
@@ -254,10 +254,10 @@
         }
         self.map_changes += u32::from(changed);
         self.maps_differ |= self.ranks.iter().any(|rank| rank.map.0 != self.ranks[0].map.0);
-        for set in 0..experts().sets {
-            for expert in 0..experts().count {
+        for set in 0..experts().set_count {
+            for expert in 0..experts().experts_per_set {
                 let selections = if expert == self.hot_expert { 400 } else { 20 };
-                self.counts[set * experts().count + expert] += selections;
+                self.counts[set * experts().experts_per_set + expert] += selections;
             }
         }
     }
@@ -440,9 +440,9 @@
         let (number, map) = &group.ranks[self.rank].map;
         let shape = Shape {
             ranks: group.ranks.len(),
-            layers: experts().sets,
-            experts: experts().count,
-            slots: experts().places,
+            layers: experts().set_count,
+            experts: experts().experts_per_set,
+            slots: experts().max_experts_per_rank,
         };
         let map = map.clone().unwrap_or_else(|| Map::initial(shape));
         let sets = map.layers.iter().map(|layer| layer.ranks[self.rank].clone());
--- a/crates/sparscale_conduct/tests/group/first_order.rs
+++ b/crates/sparscale_conduct/tests/group/first_order.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use sparscale_place::barrier::{Act, Order};
-use sparscale_wire::{Ask, Endpoint, Frame, Identity, RankNews, RankOrder, Role};
+use sparscale_wire::{Endpoint, Frame, Identity, RankOrder, RankUpdate, Role, StreamRequest};
 
 use crate::engines::World;
 
@@ -34,7 +34,7 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let unanswered = runtime.block_on(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let endpoint = Endpoint::bind(any, Identity::Made(Role::Agent)).expect("a free port");
+        let endpoint = Endpoint::bind(any, Identity::SelfSigned(Role::Agent)).expect("a free port");
         let mut unanswered = Vec::new();
         for claim in 1..=LEADERS {
             if !is_answered(&endpoint, world.agent_address(0), claim).await {
@@ -53,7 +53,7 @@
 /// Leads the agent, polls its rank at once and returns whether that order is answered.
 async fn is_answered(endpoint: &Endpoint, agent: SocketAddr, claim: u64) -> bool {
     let mut channel = endpoint.open(agent, Role::Agent).await.expect("an agent");
-    let ask = Ask::Conduct {
+    let ask = StreamRequest::LeadRank {
         group: "g".to_owned(),
         rank: 0,
         claim,
@@ -64,13 +64,16 @@
         epoch: 1,
         act: Act::Look,
     };
-    for frame in [Frame::Ask(ask), Frame::RankOrder(RankOrder::Own { order, map: None })] {
+    for frame in [
+        Frame::Open(ask),
+        Frame::RankOrder(RankOrder::ToRank { order, map: None }),
+    ] {
         channel.sender.send(&frame).await.expect("an agent that reads");
     }
     let answered = async {
         loop {
             match channel.receiver.receive().await {
-                Ok(Frame::RankNews(RankNews::Report { report, .. })) if report.answer.is_some() => return true,
+                Ok(Frame::RankUpdate(RankUpdate::Report { report, .. })) if report.answer.is_some() => return true,
                 Ok(_) => {}
                 Err(_) => return false,
             }
--- a/crates/sparscale_control/src/boxes.rs
+++ b/crates/sparscale_control/src/boxes.rs
@@ -27,7 +27,7 @@
 /// Process that a box runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Role {
+pub enum BoxRole {
     /// An entry, which takes requests from callers.
     Entry,
     /// A target with its agent.
@@ -37,7 +37,7 @@
 /// Whether a box is about to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum BoxStanding {
     /// In service, without a planned removal.
     Live,
     /// About to be removed.
@@ -50,18 +50,18 @@
     /// Name of the target, or of the entry.
     pub name: String,
     /// Process that the box runs.
-    pub role: Role,
+    pub role: BoxRole,
     /// Hall of the box.
     pub hall: String,
     /// Address of the sparscale process on the box.
     pub address: SocketAddr,
     /// Whether the box is about to be removed.
-    pub standing: Standing,
+    pub standing: BoxStanding,
 }
 
 /// The box list as last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
-pub struct Listing {
+pub struct BoxList {
     /// All boxes of the platform.
     pub boxes: Vec<ListedBox>,
 }
@@ -77,18 +77,18 @@
 #[async_trait]
 pub trait BoxListSource: Send + Sync + 'static {
     /// Reads the list; returns `None` if it has not changed since the last read.
-    async fn read(&mut self) -> Result<Option<Listing>, Error>;
+    async fn read(&mut self) -> Result<Option<BoxList>, Error>;
 }
 
 /// Reads the box list over HTTP, with conditional requests so that an unchanged list is not transferred again.
 #[derive(Debug)]
-pub struct HttpBoxes {
+pub struct HttpBoxList {
     client: Client<HttpConnector, Empty<Bytes>>,
     address: String,
     etag: Option<http::HeaderValue>,
 }
 
-impl HttpBoxes {
+impl HttpBoxList {
     /// Creates a client of the list at `base`, for example `http://127.0.0.1:7001`.
     pub fn new(base: &str) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn exchange(&mut self) -> Result<Option<Listing>, Error> {
+    async fn exchange(&mut self) -> Result<Option<BoxList>, Error> {
         let mut request = http::Request::get(&self.address);
         if let Some(etag) = &self.etag {
             request = request.header(header::IF_NONE_MATCH, etag);
@@ -123,8 +123,8 @@
 }
 
 #[async_trait]
-impl BoxListSource for HttpBoxes {
-    async fn read(&mut self) -> Result<Option<Listing>, Error> {
+impl BoxListSource for HttpBoxList {
+    async fn read(&mut self) -> Result<Option<BoxList>, Error> {
         let read = tokio::time::timeout(READ_TIMEOUT, self.exchange()).await;
         read.map_err(|_elapsed| error("timed out"))?
     }
@@ -136,10 +136,10 @@
     }
 }
 
-impl Listing {
+impl BoxList {
     /// Returns the sparscale processes on live boxes.
-    pub fn live(&self) -> Vec<Node> {
-        let live = self.boxes.iter().filter(|listed| listed.standing == Standing::Live);
+    pub fn live_nodes(&self) -> Vec<Node> {
+        let live = self.boxes.iter().filter(|listed| listed.standing == BoxStanding::Live);
         live.map(ListedBox::node).collect()
     }
 }
@@ -149,8 +149,8 @@
         Node {
             name: self.name.clone(),
             role: match self.role {
-                Role::Entry => sparscale_wire::Role::Entry,
-                Role::Target => sparscale_wire::Role::Agent,
+                BoxRole::Entry => sparscale_wire::Role::Entry,
+                BoxRole::Target => sparscale_wire::Role::Agent,
             },
             hall: self.hall.clone(),
             address: self.address,
@@ -159,7 +159,7 @@
 }
 
 /// Reads `boxes` every `interval` and publishes each change in the returned channel until all receivers are dropped.
-pub fn watch_boxes(mut boxes: Box<dyn BoxListSource>, interval: Duration) -> watch::Receiver<Arc<Listing>> {
+pub fn watch_boxes(mut boxes: Box<dyn BoxListSource>, interval: Duration) -> watch::Receiver<Arc<BoxList>> {
     let (sender, receiver) = watch::channel(Arc::default());
     tokio::spawn(async move {
         while !sender.is_closed() {
--- a/crates/sparscale_control/src/follower.rs
+++ b/crates/sparscale_control/src/follower.rs
@@ -8,13 +8,13 @@
 
 use rand::Rng as _;
 use snafu::Snafu;
-use sparscale_journal::{Batch, Body, Entry, LogError, ReaderError, Snapshot};
+use sparscale_journal::{Batch, LogEntry, LogError, ReaderError, RecordBody, Snapshot};
 use sparscale_telemetry::ALARM;
-use sparscale_wire::{Ask, Channel, Endpoint, EndpointError, Frame, Relayed, StreamError};
+use sparscale_wire::{Channel, Endpoint, EndpointError, Frame, RelayedLog, StreamError, StreamRequest};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::boxes::Listing;
+use crate::boxes::BoxList;
 use crate::journal::Journal;
 use crate::topology::{self, Source};
 
@@ -40,7 +40,7 @@
 
 /// Settings of a follower.
 #[derive(Debug, Clone)]
-pub struct Settings {
+pub struct FollowerSettings {
     /// Name of this process in the box list.
     pub name: String,
     /// Hall of this process.
@@ -73,20 +73,20 @@
 /// Keeps a [`Journal`] up to date.
 #[derive(Debug)]
 pub struct Follower {
-    settings: Settings,
+    settings: FollowerSettings,
     journal: Arc<Journal>,
     endpoint: Arc<Endpoint>,
-    boxes: watch::Receiver<Arc<Listing>>,
+    boxes: watch::Receiver<Arc<BoxList>>,
     appending_snapshot: Arc<AtomicBool>,
 }
 
 impl Follower {
     /// Creates a follower that keeps `journal` current.
     pub fn new(
-        settings: Settings,
+        settings: FollowerSettings,
         journal: Arc<Journal>,
         endpoint: Arc<Endpoint>,
-        boxes: watch::Receiver<Arc<Listing>>,
+        boxes: watch::Receiver<Arc<BoxList>>,
     ) -> Self {
         Self {
             settings,
@@ -121,7 +121,7 @@
     }
 
     fn sources(&self) -> Vec<Source> {
-        let live = self.boxes.borrow().live();
+        let live = self.boxes.borrow().live_nodes();
         topology::sources(&self.settings.name, &self.settings.hall, &live)
     }
 
@@ -162,18 +162,30 @@
     async fn follow_peer(&self, mut channel: Channel, deadline: Option<Instant>) -> Result<(), EndReason> {
         let version = self
             .journal
-            .in_force()
+            .active_certificate()
             .map_or(0, |certificate| certificate.bundle.version());
         let head = self.journal.head();
-        channel.sender.send(&Frame::Ask(Ask::Follow { head, version })).await?;
+        channel
+            .sender
+            .send(&Frame::Open(StreamRequest::FollowLog {
+                from_offset: head,
+                bundle_version: version,
+            }))
+            .await?;
         let mut image = Vec::new();
         while !has_passed(deadline) {
             let frame = tokio::time::timeout(PEER_TIMEOUT, channel.receiver.receive()).await;
             let frame = frame.map_err(|_elapsed| EndReason::PeerTimeout)??;
             match frame {
-                Frame::Relayed(Relayed::Records { first, records }) => self.fold_relayed(first, records)?,
-                Frame::Relayed(Relayed::Idle { age_ms, .. }) => self.record_log_age(age_ms)?,
-                Frame::Relayed(Relayed::Image { part, last }) => {
+                Frame::RelayedLog(RelayedLog::Records {
+                    first_offset: first,
+                    records,
+                }) => self.fold_relayed(first, records)?,
+                Frame::RelayedLog(RelayedLog::Idle { age_ms, .. }) => self.record_log_age(age_ms)?,
+                Frame::RelayedLog(RelayedLog::Image {
+                    fragment: part,
+                    is_last: last,
+                }) => {
                     image.extend_from_slice(&part);
                     if image.len() > MAX_IMAGE_BYTES {
                         return ImageTooLargeSnafu.fail();
@@ -203,7 +215,7 @@
             // The peer has all records from `first`; if `first` is above the head, the fold stops at the gap.
             earliest: 0,
             next,
-            entries: numbered.map(|(offset, data)| Entry { offset, data }).collect(),
+            entries: numbered.map(|(offset, data)| LogEntry { offset, data }).collect(),
         };
         Ok(self.journal.fold(&batch)?)
     }
@@ -257,7 +269,7 @@
         chain_digest,
         image: image.encode(),
     };
-    let result = journal.submit(Body::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
+    let result = journal.submit(RecordBody::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
     appending.store(false, Ordering::Relaxed);
     match result {
         Ok(_) => log::info!(at = head; "appended a snapshot of the folded state"),
--- a/crates/sparscale_control/src/journal.rs
+++ b/crates/sparscale_control/src/journal.rs
@@ -8,11 +8,11 @@
 use snafu::{ResultExt as _, Snafu};
 use sparscale_bundle::Operator;
 use sparscale_journal::{
-    Alarm, Batch, Body, Budget, Certificate, Entry, Image, Log, LogError, Outcome, Reader, ReaderError, Receipt,
-    Record, RecordId, RecordKind, State, without_image,
+    Alarm, Batch, Budget, Certificate, Image, Log, LogEntry, LogError, Outcome, Reader, ReaderError, Receipt, Record,
+    RecordBody, RecordId, RecordKind, State, without_image,
 };
 use sparscale_telemetry::ALARM;
-use sparscale_wire::Relayed;
+use sparscale_wire::RelayedLog;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Default)]
 struct RelayBuffer {
-    entries: VecDeque<Entry>,
+    entries: VecDeque<LogEntry>,
     bytes: usize,
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns the certificate of the active bundle.
-    pub fn in_force(&self) -> Option<Arc<Certificate>> {
+    pub fn active_certificate(&self) -> Option<Arc<Certificate>> {
         self.with_state(|state| state.active_certificate().cloned())
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Subscribes to changes of the head.
-    pub fn heads(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_heads(&self) -> watch::Receiver<u64> {
         self.heads.subscribe()
     }
 
@@ -130,7 +130,7 @@
     ///
     /// Queries the log itself, once: the head that a peer reports may be as old as the time for which the peer or this
     /// process was frozen.
-    pub async fn confirm_head(&self) -> bool {
+    pub async fn has_folded_initial_log(&self) -> bool {
         let known_end = self.initial_log_end.get().copied();
         let end = match known_end {
             Some(end) => end,
@@ -185,7 +185,7 @@
     }
 
     /// Returns the records from offset `head` on; `None` if some are no longer kept or there are none.
-    pub(crate) fn records_from(&self, head: u64) -> Option<Relayed> {
+    pub(crate) fn records_from(&self, head: u64) -> Option<RelayedLog> {
         let relay = lock(&self.relay);
         let first = relay.entries.front()?.offset;
         let skip = head.checked_sub(first)? as usize;
@@ -195,13 +195,16 @@
             .skip(skip)
             .map(|entry| entry.data.clone())
             .collect();
-        (!records.is_empty()).then_some(Relayed::Records { first: head, records })
+        (!records.is_empty()).then_some(RelayedLog::Records {
+            first_offset: head,
+            records,
+        })
     }
 
     /// Appends a record and waits until this process has folded it and knows its verdict.
     ///
     /// After a lost response the same record is appended again; the fold applies its id only once.
-    pub async fn submit(&self, body: Body, timeout: Duration) -> Result<Receipt, SubmitError> {
+    pub async fn submit(&self, body: RecordBody, timeout: Duration) -> Result<Receipt, SubmitError> {
         self.admit(RecordKind::of(&body))?;
         let record = Record::new(body);
         let (sender, receiver) = oneshot::channel();
@@ -240,7 +243,7 @@
         admitted.map_err(|retry_after| SubmitError::Budget { retry_after })
     }
 
-    fn record_entries(&self, entries: Vec<Entry>) {
+    fn record_entries(&self, entries: Vec<LogEntry>) {
         let now = self.started_at.elapsed();
         let mut relay = lock(&self.relay);
         for entry in entries {
--- a/crates/sparscale_control/src/lib.rs
+++ b/crates/sparscale_control/src/lib.rs
@@ -11,8 +11,10 @@
 mod relay;
 mod topology;
 
-pub use boxes::{BoxListSource, Error as BoxListError, HttpBoxes, ListedBox, Listing, Role, Standing, watch_boxes};
-pub use follower::{Follower, Settings};
+pub use boxes::{
+    BoxList, BoxListSource, BoxRole, BoxStanding, Error as BoxListError, HttpBoxList, ListedBox, watch_boxes,
+};
+pub use follower::{Follower, FollowerSettings};
 pub use journal::{Journal, SubmitError};
 pub use relay::serve as serve_follower;
 pub use topology::{Node, Source, sources};
--- a/crates/sparscale_control/src/process.rs
+++ b/crates/sparscale_control/src/process.rs
@@ -11,10 +11,10 @@
 use sparscale_journal::HttpLog;
 use sparscale_settings::Problem;
 use sparscale_telemetry::{ALARM, Metrics};
-use sparscale_wire::{Endpoint, EndpointError, Files, Identity};
+use sparscale_wire::{CertificateFiles, Endpoint, EndpointError, Identity};
 use tokio::sync::watch;
 
-use crate::boxes::{HttpBoxes, Listing, watch_boxes};
+use crate::boxes::{BoxList, HttpBoxList, watch_boxes};
 use crate::follower::{self, Follower};
 use crate::journal::Journal;
 
@@ -86,7 +86,7 @@
     /// The log as this process knows it.
     pub journal: Arc<Journal>,
     /// The box list as last read.
-    pub boxes: watch::Receiver<Arc<Listing>>,
+    pub boxes: watch::Receiver<Arc<BoxList>>,
     /// Sink for counts and times.
     pub metrics: Metrics,
     /// Unique number of this run of the process; increases with each run on the same box.
@@ -104,7 +104,7 @@
             }
         }
         for (field, value) in [("log", &raw.log), ("boxes", &raw.boxes)] {
-            check_url(field, value, &mut problems);
+            require_http_url(field, value, &mut problems);
         }
         if raw.boxes_interval_ms == 0 {
             problems.push(Problem::new("boxes_interval_ms", "is 0", "use 100 or more"));
@@ -136,7 +136,7 @@
 }
 
 /// Adds a problem if `value` is not an `http://` URL.
-pub fn check_url(field: &str, value: &str, problems: &mut Vec<Problem>) {
+pub fn require_http_url(field: &str, value: &str, problems: &mut Vec<Problem>) {
     if !value.starts_with("http://") {
         problems.push(Problem::new(
             field,
@@ -150,7 +150,7 @@
     /// Opens the socket and starts to follow the log and the box list.
     pub fn start(&self, program: &str) -> Result<Process, Error> {
         let raw = &self.raw;
-        let identity = Identity::Files(Files {
+        let identity = Identity::Files(CertificateFiles {
             certificate: raw.certificate.clone(),
             key: raw.key.clone(),
             authority: raw.authority.clone(),
@@ -159,9 +159,9 @@
         let log = Arc::new(HttpLog::new(&raw.log, LOG_TIMEOUT));
         let journal = Arc::new(Journal::new(log, raw.operators.clone()));
         let interval = Duration::from_millis(raw.boxes_interval_ms);
-        let boxes = watch_boxes(Box::new(HttpBoxes::new(&raw.boxes)), interval);
+        let boxes = watch_boxes(Box::new(HttpBoxList::new(&raw.boxes)), interval);
         let follower = Follower::new(
-            follower::Settings {
+            follower::FollowerSettings {
                 name: raw.name.clone(),
                 hall: raw.hall.clone(),
                 snapshot_every: raw.snapshot_every,
@@ -194,10 +194,10 @@
 }
 
 async fn log_bundles(journal: Arc<Journal>) {
-    let mut heads = journal.heads();
+    let mut heads = journal.subscribe_heads();
     let mut version = 0;
     while heads.changed().await.is_ok() {
-        let Some(certificate) = journal.in_force() else {
+        let Some(certificate) = journal.active_certificate() else {
             continue;
         };
         if certificate.bundle.version() > version {
--- a/crates/sparscale_control/src/relay.rs
+++ b/crates/sparscale_control/src/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sparscale_wire::{Frame, Relayed, Sender, StreamError};
+use sparscale_wire::{Frame, RelayedLog, Sender, StreamError};
 
 use crate::journal::Journal;
 
@@ -17,8 +17,8 @@
 ///
 /// A peer that has no bundle (`version` 0) or is too far behind receives the folded state first.
 pub async fn serve(journal: Arc<Journal>, mut head: u64, version: u64, mut sender: Sender) -> Result<(), StreamError> {
-    let mut heads = journal.heads();
-    let mut needs_image = version == 0 && journal.in_force().is_some();
+    let mut heads = journal.subscribe_heads();
+    let mut needs_image = version == 0 && journal.active_certificate().is_some();
     loop {
         heads.mark_unchanged();
         if needs_image || head < journal.head() {
@@ -27,7 +27,9 @@
             continue;
         }
         let age_ms = journal.log_age().as_millis() as u64;
-        sender.send(&Frame::Relayed(Relayed::Idle { head, age_ms })).await?;
+        sender
+            .send(&Frame::RelayedLog(RelayedLog::Idle { head, age_ms }))
+            .await?;
         // Waits for new records, or until the next idle frame is due.
         let _idle = tokio::time::timeout(MAX_IDLE_INTERVAL, heads.changed()).await;
     }
@@ -40,10 +42,17 @@
     sender: &mut Sender,
 ) -> Result<u64, StreamError> {
     let records = if needs_image { None } else { journal.records_from(head) };
-    if let Some(Relayed::Records { first, records }) = records {
+    if let Some(RelayedLog::Records {
+        first_offset: first,
+        records,
+    }) = records
+    {
         let next = first + records.len() as u64;
         sender
-            .send(&Frame::Relayed(Relayed::Records { first, records }))
+            .send(&Frame::RelayedLog(RelayedLog::Records {
+                first_offset: first,
+                records,
+            }))
             .await?;
         return Ok(next);
     }
@@ -57,7 +66,12 @@
     loop {
         let part = remaining.split_to(remaining.len().min(MAX_IMAGE_PART_BYTES));
         let last = remaining.is_empty();
-        sender.send(&Frame::Relayed(Relayed::Image { part, last })).await?;
+        sender
+            .send(&Frame::RelayedLog(RelayedLog::Image {
+                fragment: part,
+                is_last: last,
+            }))
+            .await?;
         if last {
             return Ok(());
         }
--- a/crates/sparscale_entry/src/api.rs
+++ b/crates/sparscale_entry/src/api.rs
@@ -137,7 +137,7 @@
 async fn readiness(context: Context) -> HandlerResult {
     let api = context.context();
     let mut response = Response::new(Body::from("ready\n"));
-    if api.is_stopping.load(Ordering::Relaxed) || api.journal.in_force().is_none() {
+    if api.is_stopping.load(Ordering::Relaxed) || api.journal.active_certificate().is_none() {
         response = Response::new(Body::from("not ready\n"));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
@@ -189,8 +189,8 @@
             pool: Pool::Model(request.model.clone()),
             route: RouteRequest {
                 prompt_tokens: completion::prompt_tokens(&prompt),
-                answer_tokens: request.answer_tokens(),
-                blocks: prefix_blocks(&prompt),
+                response_tokens: request.answer_tokens(),
+                block_hashes: prefix_blocks(&prompt),
             },
             limits: caller.bundle.fleet().limits.clone(),
         });
@@ -257,7 +257,7 @@
             },
             pool: Pool::Service(path.service.clone()),
             route: RouteRequest {
-                answer_tokens: SERVICE_TOKENS,
+                response_tokens: SERVICE_TOKENS,
                 ..RouteRequest::default()
             },
             limits: caller.bundle.fleet().limits.clone(),
@@ -338,7 +338,7 @@
 
     /// Authenticates the caller and counts its request as in flight.
     fn admit_caller(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
-        let Some(certificate) = self.journal.in_force() else {
+        let Some(certificate) = self.journal.active_certificate() else {
             let detail = "this entry has no configuration yet";
             let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "Not ready", detail);
             return Err(problem.retry_after(SHORT_RETRY_DELAY));
--- a/crates/sparscale_entry/src/assembly.rs
+++ b/crates/sparscale_entry/src/assembly.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use sparscale_wire::{Answer, AttemptId, Failure, Head, Load, Part, Refusal};
+use sparscale_wire::{AttemptId, Failure, Head, Refusal, ResponseEvent, ResponseFrame, TargetLoad};
 
 /// Most chunks that are buffered while an earlier one is missing; with more the stream counts as broken.
 const MAX_OUT_OF_ORDER_CHUNKS: usize = 1_024;
@@ -25,7 +25,7 @@
         /// The last chunks to forward.
         chunks: Vec<Bytes>,
         /// Load that the agent reported with the end frame.
-        load: Load,
+        load: TargetLoad,
     },
     /// The agent rejected the request without forwarding it.
     Refused(Refusal),
@@ -41,7 +41,7 @@
     attempt: AttemptId,
     next_sequence: u64,
     out_of_order: BTreeMap<u64, Bytes>,
-    announced_end: Option<(u64, Load)>,
+    announced_end: Option<(u64, TargetLoad)>,
     head_seen: bool,
     is_complete: bool,
 }
@@ -70,21 +70,24 @@
     }
 
     /// Processes one frame.
-    pub fn accept(&mut self, answer: Answer) -> Step {
+    pub fn accept(&mut self, answer: ResponseFrame) -> Step {
         if answer.attempt != self.attempt || self.is_complete {
             return Step::Nothing;
         }
         match answer.part {
-            Part::Head(_) if self.head_seen => Step::Nothing,
-            Part::Head(head) => {
+            ResponseEvent::Head(_) if self.head_seen => Step::Nothing,
+            ResponseEvent::Head(head) => {
                 self.head_seen = true;
                 Step::Head(head)
             }
-            Part::Chunk(chunk) => self.accept_chunk(chunk.sequence, chunk.data),
-            Part::End { chunks, load } => self.accept_end(chunks, load),
-            Part::Refused(_) if self.head_seen => Step::Broken("refused after the answer began"),
-            Part::Refused(refusal) => Step::Refused(refusal),
-            Part::Failed(failure) => Step::Failed(failure),
+            ResponseEvent::Chunk(chunk) => self.accept_chunk(chunk.sequence, chunk.data),
+            ResponseEvent::End {
+                chunk_count: chunks,
+                load,
+            } => self.accept_end(chunks, load),
+            ResponseEvent::Rejected(_) if self.head_seen => Step::Broken("refused after the answer began"),
+            ResponseEvent::Rejected(refusal) => Step::Refused(refusal),
+            ResponseEvent::Failed(failure) => Step::Failed(failure),
         }
     }
 
@@ -103,7 +106,7 @@
         self.finish_if_complete(ready)
     }
 
-    fn accept_end(&mut self, chunks: u64, load: Load) -> Step {
+    fn accept_end(&mut self, chunks: u64, load: TargetLoad) -> Step {
         let highest = self
             .out_of_order
             .last_key_value()
--- a/crates/sparscale_entry/src/binding.rs
+++ b/crates/sparscale_entry/src/binding.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use sparscale_control::SubmitError;
-use sparscale_journal::{Binding, BindingKey, Body as RecordBody, Verdict};
+use sparscale_journal::{Binding, BindingKey, RecordBody, Verdict};
 
 use crate::api::{Api, bad_request};
 use crate::job::{Job, Pool};
@@ -64,7 +64,7 @@
             Some(binding) => binding,
             None => self.append_binding(job, key).await?,
         };
-        if binding.body != job.call.digest() {
+        if binding.body_hash != job.call.digest() {
             return Err(key_reused());
         }
         job.pool = Pool::Bound {
@@ -81,7 +81,7 @@
             key,
             target,
             incarnation,
-            body: job.call.digest(),
+            body_hash: job.call.digest(),
         };
         let append_result = self
             .journal
--- a/crates/sparscale_entry/src/board_control.rs
+++ b/crates/sparscale_entry/src/board_control.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use sparscale_board::{Board, Load, Standing, TargetKey};
-use sparscale_control::{Journal, Listing, Role as BoxRole, Standing as ListedStanding};
-use sparscale_route::{Subset, subset};
-use sparscale_wire::{Ask, Endpoint, Frame, Role};
+use sparscale_control::{BoxList, BoxRole, BoxStanding as ListedStanding, Journal};
+use sparscale_route::{Subset, select_subset};
+use sparscale_wire::{Endpoint, Frame, Role, StreamRequest};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -51,7 +51,9 @@
         let mut subsets = self.subsets.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = self.entry.as_str();
         let cached = subsets.entry(pool.to_owned());
-        cached.or_insert_with(|| subset(board, entry, all, limit)).clone()
+        cached
+            .or_insert_with(|| select_subset(board, entry, all, limit))
+            .clone()
     }
 
     fn clear_subsets(&self) {
@@ -63,11 +65,11 @@
 pub(crate) async fn follow_bundle(
     board: Arc<SharedBoard>,
     journal: Arc<Journal>,
-    boxes: watch::Receiver<Arc<Listing>>,
+    boxes: watch::Receiver<Arc<BoxList>>,
 ) {
-    let mut heads = journal.heads();
+    let mut heads = journal.subscribe_heads();
     loop {
-        if let Some(certificate) = journal.in_force()
+        if let Some(certificate) = journal.active_certificate()
             && certificate.bundle.version() > board.lock().bundle_version
         {
             board.lock().apply_bundle(&certificate.bundle);
@@ -81,14 +83,14 @@
 }
 
 /// Applies each change of the box list to the board.
-pub(crate) async fn follow_boxes(board: Arc<SharedBoard>, mut boxes: watch::Receiver<Arc<Listing>>) {
+pub(crate) async fn follow_boxes(board: Arc<SharedBoard>, mut boxes: watch::Receiver<Arc<BoxList>>) {
     while boxes.changed().await.is_ok() {
         let listing = boxes.borrow_and_update().clone();
         apply_listing(&board, &listing);
     }
 }
 
-fn apply_listing(board: &SharedBoard, listing: &Listing) {
+fn apply_listing(board: &SharedBoard, listing: &BoxList) {
     let targets = listing.boxes.iter().filter(|listed| listed.role == BoxRole::Target);
     let listed: HashMap<String, (SocketAddr, Standing)> = targets
         .map(|listed| {
@@ -99,7 +101,7 @@
             (listed.name.clone(), (listed.address, standing))
         })
         .collect();
-    board.lock().apply_listed(&listed);
+    board.lock().apply_box_list(&listed);
 }
 
 /// Targets that this entry watches, with their addresses.
@@ -189,11 +191,11 @@
     async fn follow(&self, endpoint: &Endpoint, incarnation: u64) -> Option<()> {
         let mut channel = endpoint.open(self.address, Role::Agent).await.ok()?;
         let interval_ms = self.interval.as_millis() as u64;
-        let ask = Ask::Watch {
-            entry: incarnation,
+        let ask = StreamRequest::WatchLoad {
+            entry_incarnation: incarnation,
             interval_ms,
         };
-        channel.sender.send(&Frame::Ask(ask)).await.ok()?;
+        channel.sender.send(&Frame::Open(ask)).await.ok()?;
         while self.is_watched() {
             let Frame::Load(load) = channel.receiver.receive().await.ok()? else {
                 return None;
@@ -216,16 +218,16 @@
 }
 
 /// Converts a load report to the units of the board.
-pub(crate) fn board_load(load: &sparscale_wire::Load) -> Load {
+pub(crate) fn board_load(load: &sparscale_wire::TargetLoad) -> Load {
     Load {
         incarnation: load.incarnation,
-        seen: load.seen,
+        last_seen_counter: load.highest_counter,
         running: load.running,
         queued: load.queued,
-        own: load.own,
+        own_requests: load.from_entry,
         prefill_tokens: load.prefill_tokens,
         step_ms: f64::from(load.step_micros) / 1_000.0,
-        map_number: load.map,
-        is_closed: load.closed,
+        map_number: load.map_number,
+        is_closed: load.is_closed,
     }
 }
--- a/crates/sparscale_entry/src/dispatch.rs
+++ b/crates/sparscale_entry/src/dispatch.rs
@@ -13,7 +13,7 @@
 use sparscale_route::{Rule, choose};
 use sparscale_telemetry::{DECISION, Metrics};
 use sparscale_wire::{
-    Ask, AttemptId, Channel, Endpoint, Failure, Frame, Refusal, RefusalReason, Role, Settlement, StreamError,
+    AttemptId, Channel, Endpoint, Failure, Frame, Refusal, RefusalReason, Role, Settlement, StreamError, StreamRequest,
 };
 use tokio::time::Instant;
 
@@ -103,7 +103,7 @@
             if !matches!(outcome, SendOutcome::Responding(_)) {
                 self.record_end(&sent);
             }
-            if matches!(&outcome, SendOutcome::Failed(Failure::Ended { .. })) {
+            if matches!(&outcome, SendOutcome::Failed(Failure::TargetEnded { .. })) {
                 self.quarantine.record_end(job, &sent).await;
             }
             let problem = match outcome {
@@ -140,7 +140,7 @@
     fn route(&self, job: &Job, attempted_targets: &[TargetKey]) -> Result<SentAttempt, Problem> {
         let now = self.board.now();
         let attempt = AttemptId {
-            entry: self.incarnation,
+            entry_incarnation: self.incarnation,
             counter: self.next_counter.fetch_add(1, Ordering::Relaxed),
         };
         let mut board = self.board.lock();
@@ -162,7 +162,7 @@
         let key = decision.target;
         let version = board.bundle_version;
         let prefill = job.route.prompt_tokens;
-        board.note_sent(key, attempt.counter, prefill, &job.route.blocks, now);
+        board.record_sent(key, attempt.counter, prefill, &job.route.block_hashes, now);
         let target = board.target(key).ok_or_else(unreachable_target)?;
         let sent = SentAttempt {
             target: key,
@@ -230,7 +230,11 @@
             }
         };
         let attempt = job.attempt(sent);
-        if let Err(error) = channel.sender.send(&Frame::Ask(Ask::Attempt(Box::new(attempt)))).await {
+        if let Err(error) = channel
+            .sender
+            .send(&Frame::Open(StreamRequest::Attempt(Box::new(attempt))))
+            .await
+        {
             self.record_failure(sent, &error);
             return self.settle_before_response(job, sent).await;
         }
@@ -256,7 +260,7 @@
                     return self.settle_before_response(job, sent).await;
                 }
             };
-            let Frame::Answer(answer) = frame else { continue };
+            let Frame::Response(answer) = frame else { continue };
             match assembly.accept(answer) {
                 Step::Head(head) => {
                     self.board.lock().record_response(sent.target);
@@ -311,7 +315,10 @@
         let open_result = self.endpoint.open(sent.address, Role::Agent).await;
         let mut channel = open_result.map_err(|_unreachable| StreamError::Ended)?;
         let attempt = sent.attempt;
-        channel.sender.send(&Frame::Ask(Ask::Resume { attempt, from })).await?;
+        channel
+            .sender
+            .send(&Frame::Open(StreamRequest::Resume { attempt, from }))
+            .await?;
         channel.sender.finish();
         Ok(channel)
     }
@@ -320,15 +327,15 @@
     pub(crate) async fn settle(&self, address: SocketAddr, attempt: AttemptId, incarnation: u64) -> Settlement {
         let query_result = tokio::time::timeout(
             SETTLE_TIMEOUT,
-            self.query_settlement(address, Ask::Settle { attempt, incarnation }),
+            self.query_settlement(address, StreamRequest::Settle { attempt, incarnation }),
         )
         .await;
         query_result.ok().flatten().unwrap_or(Settlement::Unknown)
     }
 
-    async fn query_settlement(&self, address: SocketAddr, ask: Ask) -> Option<Settlement> {
+    async fn query_settlement(&self, address: SocketAddr, ask: StreamRequest) -> Option<Settlement> {
         let mut channel = self.endpoint.open(address, Role::Agent).await.ok()?;
-        channel.sender.send(&Frame::Ask(ask)).await.ok()?;
+        channel.sender.send(&Frame::Open(ask)).await.ok()?;
         match channel.receiver.receive().await.ok()? {
             Frame::Settlement(settlement) => Some(settlement),
             _ => None,
@@ -352,7 +359,10 @@
             return;
         };
         // If this fails, the agent notices by itself that the response is not read.
-        let _sent = channel.sender.send(&Frame::Ask(Ask::Cancel(sent.attempt))).await;
+        let _sent = channel
+            .sender
+            .send(&Frame::Open(StreamRequest::Cancel(sent.attempt)))
+            .await;
         channel.sender.finish();
         channel.sender.stopped().await;
     }
@@ -366,7 +376,7 @@
         })
     }
 
-    pub(crate) fn record_load(&self, sent: &SentAttempt, load: &sparscale_wire::Load) {
+    pub(crate) fn record_load(&self, sent: &SentAttempt, load: &sparscale_wire::TargetLoad) {
         let now = self.board.now();
         self.board.lock().apply_load(sent.target, board_load(load), now);
     }
@@ -374,7 +384,7 @@
     /// Records the end of a dispatch, whatever its outcome.
     pub(crate) fn record_end(&self, sent: &SentAttempt) {
         let now = self.board.now();
-        self.board.lock().note_ended(sent.target, sent.attempt.counter, now);
+        self.board.lock().record_end(sent.target, sent.attempt.counter, now);
     }
 
     /// Avoids the target of a broken response for a while.
--- a/crates/sparscale_entry/src/duty.rs
+++ b/crates/sparscale_entry/src/duty.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_control::{Journal, Listing, Node};
-use sparscale_journal::{Body, Claim, Duty, Holder, Verdict};
+use sparscale_control::{BoxList, Journal, Node};
+use sparscale_journal::{Claim, Duty, Holder, RecordBody, Verdict};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Ask, Endpoint, Frame, Role};
+use sparscale_wire::{Endpoint, Frame, Role, StreamRequest};
 use tokio::time::Instant;
 
 /// Time without a response after which the first candidate claims.
@@ -50,7 +50,7 @@
         &mut self,
         journal: &Arc<Journal>,
         endpoint: &Endpoint,
-        boxes: &Listing,
+        boxes: &BoxList,
     ) -> Option<u64> {
         let holder = journal.with_state(|state| state.holder(&self.duty).cloned());
         if let Some(holder) = holder.as_ref().filter(|holder| self.is_own(holder)) {
@@ -62,7 +62,7 @@
             self.last_seen = Instant::now();
         }
         let live_nodes: Vec<Node> = boxes
-            .live()
+            .live_nodes()
             .into_iter()
             .filter(|node| node.role == Role::Entry)
             .collect();
@@ -115,9 +115,9 @@
             duty: self.duty.clone(),
             node: self.node.clone(),
             incarnation: self.incarnation,
-            over,
+            superseded_fence: over,
         };
-        let append_result = journal.submit(Body::Claim(claim), CLAIM_TIMEOUT).await;
+        let append_result = journal.submit(RecordBody::Claim(claim), CLAIM_TIMEOUT).await;
         log::info!(target: DECISION, decision = "claim", duty:? = self.duty, over, result:? = append_result; "claimed a duty");
         match append_result {
             Ok(receipt) if receipt.verdict == Verdict::Accepted => Some(receipt.offset + 1),
@@ -134,7 +134,7 @@
 
 async fn ping(endpoint: &Endpoint, node: &Node) -> Option<u64> {
     let mut channel = endpoint.open(node.address, node.role).await.ok()?;
-    channel.sender.send(&Frame::Ask(Ask::Ping)).await.ok()?;
+    channel.sender.send(&Frame::Open(StreamRequest::Ping)).await.ok()?;
     match channel.receiver.receive().await.ok()? {
         Frame::Pong(incarnation) => Some(incarnation),
         _ => None,
--- a/crates/sparscale_entry/src/job.rs
+++ b/crates/sparscale_entry/src/job.rs
@@ -63,16 +63,16 @@
         };
         Attempt {
             id: sent.attempt,
-            incarnation,
+            agent_incarnation: incarnation,
             workspace: self.workspace.name.clone(),
             tier: self.tier,
             weight: self.workspace.weight,
-            deadline_ms: remaining.as_millis() as u64,
-            repeatable: self.repeatable,
+            remaining_ms: remaining.as_millis() as u64,
+            retryable: self.repeatable,
             key: self.key,
-            keep_seconds: self.retention.as_secs(),
+            retention_secs: self.retention.as_secs(),
             prompt_tokens: self.route.prompt_tokens,
-            answer_tokens: self.route.answer_tokens,
+            response_tokens: self.route.response_tokens,
             call: self.call.clone(),
         }
     }
--- a/crates/sparscale_entry/src/peer.rs
+++ b/crates/sparscale_entry/src/peer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sparscale_control::{Journal, serve_follower};
-use sparscale_wire::{Ask, Channel, Endpoint, Frame, Peer, StreamError};
+use sparscale_wire::{Channel, Endpoint, Frame, Peer, StreamError, StreamRequest};
 
 /// Accepts connections from other processes until the endpoint closes.
 pub(crate) async fn accept(journal: Arc<Journal>, endpoint: Arc<Endpoint>, incarnation: u64) {
@@ -33,8 +33,11 @@
 
 async fn serve_stream(journal: Arc<Journal>, mut channel: Channel, incarnation: u64) -> Result<(), StreamError> {
     match channel.receiver.receive().await? {
-        Frame::Ask(Ask::Follow { head, version }) => serve_follower(journal, head, version, channel.sender).await,
-        Frame::Ask(Ask::Ping) => {
+        Frame::Open(StreamRequest::FollowLog {
+            from_offset: head,
+            bundle_version: version,
+        }) => serve_follower(journal, head, version, channel.sender).await,
+        Frame::Open(StreamRequest::Ping) => {
             channel.sender.send(&Frame::Pong(incarnation)).await?;
             channel.sender.finish();
             channel.sender.stopped().await;
--- a/crates/sparscale_entry/src/placer.rs
+++ b/crates/sparscale_entry/src/placer.rs
@@ -65,7 +65,7 @@
 
 impl Context {
     fn groups(&self) -> Vec<String> {
-        let certificate = self.journal.in_force();
+        let certificate = self.journal.active_certificate();
         let groups = certificate
             .iter()
             .flat_map(|certificate| &certificate.bundle.fleet().groups);
--- a/crates/sparscale_entry/src/placer_context.rs
+++ b/crates/sparscale_entry/src/placer_context.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sparscale_control::{Journal, Listing};
+use sparscale_control::{BoxList, Journal};
 use sparscale_wire::Endpoint;
 use tokio::sync::watch;
 
@@ -15,5 +15,5 @@
     pub(crate) journal: Arc<Journal>,
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) board: Arc<SharedBoard>,
-    pub(crate) boxes: watch::Receiver<Arc<Listing>>,
+    pub(crate) boxes: watch::Receiver<Arc<BoxList>>,
 }
--- a/crates/sparscale_entry/src/placer_group.rs
+++ b/crates/sparscale_entry/src/placer_group.rs
@@ -7,11 +7,11 @@
 
 use futures::future::join_all;
 use sparscale_bundle::{Group, Placement};
-use sparscale_journal::{Body, Duty, MapChange, shape};
+use sparscale_journal::{Duty, MapChange, RecordBody, shape};
 use sparscale_place::switch::{Act, Coordinator, Order, Progress, Report};
 use sparscale_place::{Costs, Decision, Map, Shape, TokenCounts, decide};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Ask, Frame, Role};
+use sparscale_wire::{Frame, Role, StreamRequest};
 use tokio::time::Instant;
 
 use crate::placer_context::Context;
@@ -107,7 +107,7 @@
     }
 
     fn group_state(&self) -> Option<GroupState> {
-        let certificate = self.context.journal.in_force()?;
+        let certificate = self.context.journal.active_certificate()?;
         let fleet = certificate.bundle.fleet();
         let group = fleet.group(&self.group)?.clone();
         let shape = shape(&group);
@@ -208,7 +208,7 @@
     }
 
     async fn send_order(&self, rank: &str, order: Order) -> Option<Report> {
-        let ask = Ask::Order {
+        let ask = StreamRequest::ForwardOrder {
             group: self.group.clone(),
             order,
         };
@@ -218,11 +218,11 @@
         }
     }
 
-    async fn query(&self, rank: &str, ask: Ask) -> Option<Frame> {
+    async fn query(&self, rank: &str, ask: StreamRequest) -> Option<Frame> {
         let address = self.address(rank)?;
         let query = async {
             let mut channel = self.context.endpoint.open(address, Role::Agent).await.ok()?;
-            channel.sender.send(&Frame::Ask(ask)).await.ok()?;
+            channel.sender.send(&Frame::Open(ask)).await.ok()?;
             channel.receiver.receive().await.ok()
         };
         tokio::time::timeout(ORDER_TIMEOUT, query).await.ok().flatten()
@@ -251,7 +251,11 @@
             base: state.map_number,
             map,
         };
-        let append_result = self.context.journal.submit(Body::Map(change), MAP_APPEND_TIMEOUT).await;
+        let append_result = self
+            .context
+            .journal
+            .submit(RecordBody::Map(change), MAP_APPEND_TIMEOUT)
+            .await;
         log::info!(target: DECISION, decision = "append_map", group = self.group.as_str(), result:? = append_result; "appended a map to the log");
     }
 
@@ -285,12 +289,17 @@
             .map(|step| (*next_rank + step) % ranks.len())
             .collect();
         *next_rank = (*next_rank + RANKS_PER_COUNT_ROUND) % ranks.len();
-        let frames = join_all(queried_ranks.iter().map(|rank| self.query(&ranks[*rank], Ask::Experts))).await;
+        let frames = join_all(
+            queried_ranks
+                .iter()
+                .map(|rank| self.query(&ranks[*rank], StreamRequest::QueryExpertTokens)),
+        )
+        .await;
         let counted = queried_ranks
             .into_iter()
             .zip(frames)
             .filter_map(|(rank, frame)| match frame {
-                Some(Frame::Experts(tokens)) => Some((rank, tokens)),
+                Some(Frame::ExpertTokens(tokens)) => Some((rank, tokens)),
                 _ => None,
             });
         counted.collect()
