--- a/crates/sparscale_entry/src/quarantine.rs
+++ b/crates/sparscale_entry/src/quarantine.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use sparscale_clock::unix_ms;
 use sparscale_control::Journal;
-use sparscale_journal::{Body, Verdict};
-use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
+use sparscale_journal::{RecordBody, Verdict};
+use sparscale_quarantine::{EndedStart, Fingerprint, Strike, StrikeSource, StrikeStatus, Tracker};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::Call;
 use tokio::task::JoinHandle;
@@ -34,7 +34,7 @@
 /// Strikes known to this entry: those that it observed and those in the log.
 pub(crate) struct Quarantine {
     journal: Arc<Journal>,
-    register: Mutex<Register>,
+    register: Mutex<Tracker>,
 }
 
 impl Quarantine {
@@ -53,14 +53,14 @@
         let hold = {
             let mut register = self.lock_register();
             for strike in logged {
-                register.take_in(strike, News::Read, now_ms);
+                register.merge(strike, StrikeSource::Store, now_ms);
             }
-            register.held(&request, now_ms)
+            register.active_hold(&request, now_ms)
         }?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "the call is quarantined because targets ended while they ran it");
+        log::info!(target: DECISION, decision = "held", content = request.log_prefix().as_str(), ends = hold.end_count, left_ms = hold.remaining.as_millis() as u64; "the call is quarantined because targets ended while they ran it");
         let detail = "targets ended while they ran this call; it is held back so that no more do";
         let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "The call is held back", detail);
-        Some(problem.retry_after(hold.left))
+        Some(problem.retry_after(hold.remaining))
     }
 
     /// Records that a target ended while it ran a call, and appends the strike to the log. Returns when the log has it,
@@ -71,20 +71,23 @@
         let strike = Strike {
             request,
             // An attempt experiences at most one end of a target, so its id identifies that end.
-            end: End::of(&sent.target_name, Some(sent.attempt.entry ^ sent.attempt.counter)),
+            ended_start: EndedStart::of(
+                &sent.target_name,
+                Some(sent.attempt.entry_incarnation ^ sent.attempt.counter),
+            ),
             at_ms: now_ms,
-            standing: Standing::Counts,
+            status: StrikeStatus::Counted,
         };
         let ends = {
             let mut register = self.lock_register();
-            register.take_in(strike, News::Seen, now_ms);
-            register.ends(&request)
+            register.merge(strike, StrikeSource::Local, now_ms);
+            register.end_count(&request)
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.target_name.as_str(), ends; "a target ended while it ran a call");
+        log::info!(target: DECISION, decision = "strike", content = request.log_prefix().as_str(), at = sent.target_name.as_str(), ends; "a target ended while it ran a call");
         let appended = self.append_strikes(vec![strike]);
         let deadline = job.deadline.min(Instant::now() + STRIKE_WAIT);
         if tokio::time::timeout_at(deadline, appended).await.is_err() {
-            log::info!(target: DECISION, decision = "strike_late", content = request.short().as_str(); "continuing before the strike is in the log");
+            log::info!(target: DECISION, decision = "strike_late", content = request.log_prefix().as_str(); "continuing before the strike is in the log");
         }
     }
 
@@ -93,12 +96,12 @@
         let request = fingerprint(job);
         let cleared = {
             let mut register = self.lock_register();
-            if !register.note_answer(&request, unix_ms()) {
+            if !register.record_response(&request, unix_ms()) {
                 return;
             }
-            register.untold()
+            register.unsaved()
         };
-        log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the call completed, so it did not cause the ends of targets");
+        log::info!(target: DECISION, decision = "cleared", content = request.log_prefix().as_str(); "the call completed, so it did not cause the ends of targets");
         let of_call = cleared.into_iter().filter(|strike| strike.request == request);
         // The response is complete, so no caller waits for the log.
         let _appended = self.append_strikes(of_call.collect());
@@ -110,18 +113,18 @@
         tokio::spawn(async move {
             for strike in strikes {
                 for _ in 0..MAX_APPEND_ATTEMPTS {
-                    let append_result = journal.submit(Body::Strike(strike), APPEND_TIMEOUT).await;
+                    let append_result = journal.submit(RecordBody::Strike(strike), APPEND_TIMEOUT).await;
                     if matches!(&append_result, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
                         break;
                     }
-                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.short().as_str(); "the log did not accept a strike; retrying");
+                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.log_prefix().as_str(); "the log did not accept a strike; retrying");
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         })
     }
 
-    fn lock_register(&self) -> MutexGuard<'_, Register> {
+    fn lock_register(&self) -> MutexGuard<'_, Tracker> {
         self.register.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sparscale_entry/src/response_stream.rs
+++ b/crates/sparscale_entry/src/response_stream.rs
@@ -84,14 +84,14 @@
     async fn receive(&mut self) -> Result<(), Problem> {
         let receive_result = tokio::time::timeout_at(self.job.deadline, self.channel.receiver.receive()).await;
         match receive_result {
-            Ok(Ok(Frame::Answer(answer))) => self.accept(answer).await,
+            Ok(Ok(Frame::Response(answer))) => self.accept(answer).await,
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => self.resume(&error.to_string()).await,
             Err(_elapsed) => Err(self.abandon_problem("the deadline passed")),
         }
     }
 
-    async fn accept(&mut self, answer: sparscale_wire::Answer) -> Result<(), Problem> {
+    async fn accept(&mut self, answer: sparscale_wire::ResponseFrame) -> Result<(), Problem> {
         match self.assembly.accept(answer) {
             Step::Nothing | Step::Head(_) => Ok(()),
             Step::Chunks(chunks) => {
@@ -107,7 +107,7 @@
                 Ok(())
             }
             Step::Failed(failure) => {
-                if matches!(failure, Failure::Ended { .. }) {
+                if matches!(failure, Failure::TargetEnded { .. }) {
                     self.dispatcher.quarantine.record_end(&self.job, &self.sent).await;
                 }
                 Err(failure_problem(&self.job, &failure))
--- a/crates/sparscale_entry/tests/answer_assembly.rs
+++ b/crates/sparscale_entry/tests/answer_assembly.rs
@@ -4,10 +4,16 @@
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_entry::assembly::{Assembly, Step};
-use sparscale_wire::{Answer, AttemptId, Chunk, Head, Load, Part};
+use sparscale_wire::{AttemptId, Chunk, Head, ResponseEvent, ResponseFrame, TargetLoad};
 
-const OWN: AttemptId = AttemptId { entry: 1, counter: 1 };
-const OTHER: AttemptId = AttemptId { entry: 1, counter: 2 };
+const OWN: AttemptId = AttemptId {
+    entry_incarnation: 1,
+    counter: 1,
+};
+const OTHER: AttemptId = AttemptId {
+    entry_incarnation: 1,
+    counter: 2,
+};
 
 /// Received frames: of this attempt and of another one, in any order, with duplicates and gaps.
 #[derive(Clone, Debug)]
@@ -34,21 +40,24 @@
     Bytes::from(format!("{}:{sequence} ", attempt.counter))
 }
 
-fn part(attempt: AttemptId, chunks: u64, which: u8) -> Part {
-    let load = Load::default();
+fn part(attempt: AttemptId, chunks: u64, which: u8) -> ResponseEvent {
+    let load = TargetLoad::default();
     let index = u64::from(which) % (chunks + 2);
     if index == chunks {
-        return Part::End { chunks, load };
+        return ResponseEvent::End {
+            chunk_count: chunks,
+            load,
+        };
     }
     if index > chunks {
-        return Part::Head(Head {
+        return ResponseEvent::Head(Head {
             status: 200,
             content_type: String::new(),
             incarnation: 1,
             load,
         });
     }
-    Part::Chunk(Chunk {
+    ResponseEvent::Chunk(Chunk {
         sequence: index,
         data: text(attempt, index),
     })
@@ -63,7 +72,7 @@
         // The response of the other attempt also has a different length.
         let chunks = if is_own { arrivals.chunks } else { 9 };
         let part = part(attempt, chunks, index);
-        match assembly.accept(Answer { attempt, part }) {
+        match assembly.accept(ResponseFrame { attempt, part }) {
             Step::Chunks(chunks) | Step::End { chunks, .. } => forwarded.extend(chunks),
             Step::Nothing | Step::Head(_) => {}
             Step::Refused(_) | Step::Failed(_) | Step::Broken(_) => return false,
@@ -90,18 +99,18 @@
     let mut assembly = Assembly::new(OWN);
     for sequence in 0..2 {
         let data = text(OWN, sequence);
-        let part = Part::Chunk(Chunk { sequence, data });
+        let part = ResponseEvent::Chunk(Chunk { sequence, data });
         assert!(matches!(
-            assembly.accept(Answer { attempt: OWN, part }),
+            assembly.accept(ResponseFrame { attempt: OWN, part }),
             Step::Chunks(_)
         ));
     }
-    let part = Part::End {
-        chunks: 1,
-        load: Load::default(),
+    let part = ResponseEvent::End {
+        chunk_count: 1,
+        load: TargetLoad::default(),
     };
     assert!(matches!(
-        assembly.accept(Answer { attempt: OWN, part }),
+        assembly.accept(ResponseFrame { attempt: OWN, part }),
         Step::Broken(_)
     ));
 }
--- a/crates/sparscale_fleet/src/bin/demo.rs
+++ b/crates/sparscale_fleet/src/bin/demo.rs
@@ -43,7 +43,7 @@
     let mut stream = fleet.stream_chat(entry, "teal", prompt, 4).await?;
     println!(
         "\n== a streamed model answer through {entry}\n{}",
-        stream.rest().await?.trim()
+        stream.read_remainder().await?.trim()
     );
     let response = fleet.send_chat(entry, "umber", prompt, 4).await?;
     println!("\n== a whole model answer through {entry}\n{}", response.text());
--- a/crates/sparscale_fleet/src/client.rs
+++ b/crates/sparscale_fleet/src/client.rs
@@ -151,7 +151,7 @@
     }
 
     /// Reads the remainder of the body.
-    pub async fn rest(&mut self) -> Result<String, String> {
+    pub async fn read_remainder(&mut self) -> Result<String, String> {
         let mut text = String::new();
         while let Some(chunk) = self.next().await {
             text.push_str(&String::from_utf8_lossy(&chunk?));
--- a/crates/sparscale_fleet/src/files.rs
+++ b/crates/sparscale_fleet/src/files.rs
@@ -13,12 +13,12 @@
 impl Fleet {
     pub(crate) fn write_operators(&mut self) -> Result<(), Error> {
         for name in OPERATORS {
-            let key = sign::new_key();
+            let key = sign::generate_key();
             let path = self.folder.join(format!("{name}.key"));
             fs::write(path, hex::encode(key.to_bytes())).map_err(error_text)?;
             self.operators.push(Operator {
                 name: name.to_owned(),
-                key: sign::public_text(&key),
+                key: sign::encode_public_key(&key),
             });
         }
         for name in OPERATORS {
@@ -36,11 +36,11 @@
 
     pub(crate) fn write_settings(&self) -> Result<(), Error> {
         for (index, name) in self.agent_names().into_iter().enumerate() {
-            let is_rank = index < self.plan.ranks;
+            let is_rank = index < self.plan.rank_count;
             let target = if is_rank {
                 format!("http://{}", self.rank_address(index))
             } else {
-                self.url(SERVICE_PORT + (index - self.plan.ranks) as u16)
+                self.url(SERVICE_PORT + (index - self.plan.rank_count) as u16)
             };
             let settings = json!({
                 "process": self.process_settings(&name, "agent", index, AGENT_PORT),
--- a/crates/sparscale_fleet/src/fleet.rs
+++ b/crates/sparscale_fleet/src/fleet.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::json;
 use sparscale_bundle::{Document, Operator};
-use sparscale_standin::boxes::{List, Listed, Role, Standing};
+use sparscale_standin::boxes::{BoxList, ListedBox, Role, Standing};
 use sparscale_standin::{Fault, keys};
 
 use crate::client::{Client, HttpResponse};
@@ -105,12 +105,12 @@
         self.spawn("boxes", "sparscale-standin", &boxes)?;
         self.spawn("weights", "sparscale-standin", &weights)?;
         self.start_group()?;
-        for index in 0..self.plan.services {
+        for index in 0..self.plan.service_count {
             self.start_service(index)?;
         }
         for name in ["log", "weights"] {
             eventually(&format!("{name} responds"), || async {
-                self.ask_standin(name, "/admin/counts").await.ok()
+                self.query_standin(name, "/admin/counts").await.ok()
             })
             .await?;
         }
@@ -120,7 +120,7 @@
     fn start_group(&mut self) -> Result<(), Error> {
         let plan = &self.plan;
         let mut arguments = vec!["group".to_owned()];
-        for index in 0..plan.ranks {
+        for index in 0..plan.rank_count {
             arguments.extend(["--listen".to_owned(), self.rank_address(index).to_string()]);
         }
         let options = [
@@ -191,7 +191,7 @@
         eventually(&format!("{name} responds"), || async {
             let response = self.send_chat(name, "teal", "are you there", 1).await.ok()?;
             // `rates` may run more than once, unlike `illustration`, whose effects some tests count.
-            if self.plan.services > 0 {
+            if self.plan.service_count > 0 {
                 let rates = self.call_service(name, "rates", "{}", &[]).await.ok()?;
                 rates.status.is_success().then_some(())?;
             }
@@ -353,14 +353,14 @@
     }
 
     /// Sends any other request to an entry as workspace `teal`.
-    pub async fn ask_entry(&self, entry: &str, method: Method, path: &str) -> Result<HttpResponse, Error> {
+    pub async fn send_to_entry(&self, entry: &str, method: Method, path: &str) -> Result<HttpResponse, Error> {
         let url = format!("{}{path}", self.callers_url(entry));
         let key = bearer("teal");
         self.client.send(method, &url, &[("authorization", &key)], "").await
     }
 
     /// Sends a GET request to the stand-in called `name`, for example `log` or `rank-0`.
-    pub async fn ask_standin(&self, name: &str, path: &str) -> Result<HttpResponse, Error> {
+    pub async fn query_standin(&self, name: &str, path: &str) -> Result<HttpResponse, Error> {
         let url = format!("{}{path}", self.standin_url(name)?);
         self.client.send(Method::GET, &url, &[], "").await
     }
@@ -378,25 +378,29 @@
     }
 
     /// Sets the injected faults of the stand-in called `name`.
-    pub async fn fault(&self, name: &str, fault: Fault) -> Result<(), Error> {
+    pub async fn set_fault(&self, name: &str, fault: Fault) -> Result<(), Error> {
         self.configure_standin(name, "/admin/faults", &fault).await
     }
 
     /// Returns the bodies of all calls that took effect at the plain service's server with this index.
     pub async fn effect_bodies(&self, index: usize) -> Result<Vec<String>, Error> {
-        let response = self.ask_standin(&format!("service-{index}"), "/admin/effects").await?;
+        let response = self
+            .query_standin(&format!("service-{index}"), "/admin/effects")
+            .await?;
         let effects: Vec<sparscale_standin::service::Effect> = response.json()?;
         Ok(effects.into_iter().map(|effect| effect.body).collect())
     }
 
     /// Returns the number of calls that arrived at the plain service's server with this index, rejected ones included.
     pub async fn arrival_count(&self, index: usize) -> Result<usize, Error> {
-        let response = self.ask_standin(&format!("service-{index}"), "/admin/arrivals").await?;
+        let response = self
+            .query_standin(&format!("service-{index}"), "/admin/arrivals")
+            .await?;
         response.json()
     }
 
     /// Replaces the box list.
-    pub async fn put_boxes(&self, list: &List) -> Result<(), Error> {
+    pub async fn put_boxes(&self, list: &BoxList) -> Result<(), Error> {
         eventually("the box list stand-in accepts the list", || async {
             self.configure_standin("boxes", "/admin/boxes", list).await.ok()
         })
@@ -404,19 +408,19 @@
     }
 
     /// Returns a box list that shows all agents and entries as live.
-    pub fn box_list(&self) -> List {
+    pub fn box_list(&self) -> BoxList {
         let agents = self.agent_names().into_iter().enumerate();
         let agents = agents.map(|(index, name)| self.listed_box(name, Role::Target, index, AGENT_PORT));
         let entries = self.plan.entry_names().into_iter().enumerate();
         let entries = entries.map(|(index, name)| self.listed_box(name, Role::Entry, index, ENTRY_PORT));
-        List {
+        BoxList {
             boxes: agents.chain(entries).collect(),
             lag_ms: 0,
         }
     }
 
-    fn listed_box(&self, name: String, role: Role, index: usize, port: u16) -> Listed {
-        Listed {
+    fn listed_box(&self, name: String, role: Role, index: usize, port: u16) -> ListedBox {
+        ListedBox {
             name,
             role,
             hall: Plan::hall(index).to_owned(),
--- a/crates/sparscale_fleet/src/plan.rs
+++ b/crates/sparscale_fleet/src/plan.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Number of entries.
-    pub entries: usize,
+    pub entry_count: usize,
     /// Number of ranks in the only group.
-    pub ranks: usize,
+    pub rank_count: usize,
     /// Number of servers of the only plain service.
-    pub services: usize,
+    pub service_count: usize,
     /// Whether ranks reject orders with an outdated fence themselves.
     pub checks_fence: bool,
     /// Number of logical experts in each layer.
@@ -40,9 +40,9 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            entries: 2,
-            ranks: 2,
-            services: 1,
+            entry_count: 2,
+            rank_count: 2,
+            service_count: 1,
             checks_fence: true,
             expert_count: 8,
             slots_per_rank: 6,
@@ -65,17 +65,17 @@
 impl Plan {
     /// Returns the names of the targets that are ranks.
     pub fn rank_names(&self) -> Vec<String> {
-        (0..self.ranks).map(|index| format!("rank-{index}")).collect()
+        (0..self.rank_count).map(|index| format!("rank-{index}")).collect()
     }
 
     /// Returns the names of the targets that run the plain service.
     pub fn service_names(&self) -> Vec<String> {
-        (0..self.services).map(|index| format!("calc-{index}")).collect()
+        (0..self.service_count).map(|index| format!("calc-{index}")).collect()
     }
 
     /// Returns the names of the entries.
     pub fn entry_names(&self) -> Vec<String> {
-        (0..self.entries).map(|index| format!("entry-{index}")).collect()
+        (0..self.entry_count).map(|index| format!("entry-{index}")).collect()
     }
 
     /// Returns the hall of the box with this index; boxes alternate between two halls.
--- a/crates/sparscale_fleet/tests/process/box_drain.rs
+++ b/crates/sparscale_fleet/tests/process/box_drain.rs
@@ -31,7 +31,7 @@
         before,
         "a draining agent must receive no new requests"
     );
-    let events = String::from_utf8_lossy(&first).into_owned() + &stream.rest().await?;
+    let events = String::from_utf8_lossy(&first).into_owned() + &stream.read_remainder().await?;
     assert!(is_complete(&events));
     assert_eq!(streamed_text(&events), expected_text("to the end", 1_000));
     assert!(fleet.wait_for_exit("rank-0").await?);
@@ -45,14 +45,14 @@
     let first = stream.next().await.ok_or("the stream ended before its first chunk")??;
     fleet.terminate("entry-0")?;
     eventually("the entry reports that it is not ready", || async {
-        match fleet.ask_entry("entry-0", http::Method::GET, "/readyz").await {
+        match fleet.send_to_entry("entry-0", http::Method::GET, "/readyz").await {
             Ok(response) => (response.status == StatusCode::SERVICE_UNAVAILABLE).then_some(()),
             // The entry may have closed its listener already.
             Err(_) => Some(()),
         }
     })
     .await?;
-    let events = String::from_utf8_lossy(&first).into_owned() + &stream.rest().await?;
+    let events = String::from_utf8_lossy(&first).into_owned() + &stream.read_remainder().await?;
     assert!(is_complete(&events));
     assert_eq!(streamed_text(&events), expected_text("to the end", 1_500));
     assert!(fleet.wait_for_exit("entry-0").await?);
@@ -66,7 +66,7 @@
     let mut list = fleet.box_list();
     for listed in &mut list.boxes {
         if listed.name == "rank-0" {
-            listed.standing = Standing::Leaving;
+            listed.standing = Standing::Draining;
         }
     }
     fleet.put_boxes(&list).await?;
--- a/crates/sparscale_fleet/tests/process/crashing_calls.rs
+++ b/crates/sparscale_fleet/tests/process/crashing_calls.rs
@@ -5,7 +5,7 @@
 
 use http::StatusCode;
 use sparscale_fleet::{Error, Fleet, Plan, eventually};
-use sparscale_standin::{DEADLY_BODY, Fault, LINGER, LINGERING_BODY};
+use sparscale_standin::{CRASH_BODY, CRASH_DELAY, DELAYED_CRASH_BODY, Fault};
 
 const SERVICES: usize = 6;
 /// Targets that a call may crash before it is quarantined.
@@ -14,12 +14,12 @@
 #[tokio::test]
 async fn crashes_few_targets() -> Result<(), Error> {
     let plan = Plan {
-        services: SERVICES,
+        service_count: SERVICES,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("crashing-calls", plan).await?;
     for _ in 0..4 {
-        fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
+        fleet.call_service("entry-0", "rates", CRASH_BODY, &[]).await?;
     }
     let names: Vec<String> = (0..SERVICES).map(|index| format!("service-{index}")).collect();
     let crashed = names.iter().filter(|name| fleet.has_exited(name)).count();
@@ -34,25 +34,25 @@
 #[tokio::test]
 async fn quarantined_on_all_entries() -> Result<(), Error> {
     let plan = Plan {
-        services: SERVICES,
+        service_count: SERVICES,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("crashing-anywhere", plan).await?;
     let names: Vec<String> = (0..SERVICES).map(|index| format!("service-{index}")).collect();
     for _ in 0..2 {
-        fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
+        fleet.call_service("entry-0", "rates", CRASH_BODY, &[]).await?;
     }
     let crashed = names.iter().filter(|name| fleet.has_exited(name)).count();
     // Entries learn of each other's strikes through the log, so it takes a while until all are known.
     eventually("entry-1 rejects the quarantined call", || async {
-        let response = fleet.call_service("entry-1", "rates", DEADLY_BODY, &[]).await.ok()?;
+        let response = fleet.call_service("entry-1", "rates", CRASH_BODY, &[]).await.ok()?;
         (response.status == StatusCode::SERVICE_UNAVAILABLE && response.text().contains("held back")).then_some(())
     })
     .await?;
     fleet.kill("entry-0");
     fleet.start_entry("entry-0")?;
     fleet.wait_until_entry_ready("entry-0").await?;
-    let response = fleet.call_service("entry-0", "rates", DEADLY_BODY, &[]).await?;
+    let response = fleet.call_service("entry-0", "rates", CRASH_BODY, &[]).await?;
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", response.text());
     let other = fleet.call_service("entry-0", "rates", "{\"n\":1}", &[]).await?;
     assert_eq!(other.status, StatusCode::OK, "{}", other.text());
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn quarantined_with_slow_log() -> Result<(), Error> {
     let plan = Plan {
-        services: SERVICES,
+        service_count: SERVICES,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("crashing-late", plan).await?;
@@ -76,9 +76,9 @@
         delay_ms: 200,
         ..Fault::default()
     };
-    fleet.fault("log", delay).await?;
+    fleet.set_fault("log", delay).await?;
     for entry in ["entry-0", "entry-1", "entry-0", "entry-1"] {
-        fleet.call_service(entry, "rates", DEADLY_BODY, &[]).await?;
+        fleet.call_service(entry, "rates", CRASH_BODY, &[]).await?;
     }
     let crashed = (0..SERVICES)
         .filter(|index| fleet.has_exited(&format!("service-{index}")))
@@ -94,14 +94,14 @@
 #[tokio::test]
 async fn delayed_exit_is_crash() -> Result<(), Error> {
     let plan = Plan {
-        services: SERVICES,
+        service_count: SERVICES,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("crashing-lingering", plan).await?;
     for _ in 0..4 {
-        fleet.call_service("entry-0", "rates", LINGERING_BODY, &[]).await?;
+        fleet.call_service("entry-0", "rates", DELAYED_CRASH_BODY, &[]).await?;
         // By then a target that the call crashes has exited.
-        tokio::time::sleep(LINGER * 2).await;
+        tokio::time::sleep(CRASH_DELAY * 2).await;
     }
     let crashed = (0..SERVICES)
         .filter(|index| fleet.has_exited(&format!("service-{index}")))
--- a/crates/sparscale_fleet/tests/process/interrupted_responses.rs
+++ b/crates/sparscale_fleet/tests/process/interrupted_responses.rs
@@ -17,7 +17,7 @@
     for rank in ["rank-0", "rank-1"] {
         fleet.kill(rank);
     }
-    let events = String::from_utf8_lossy(&first).into_owned() + &stream.rest().await?;
+    let events = String::from_utf8_lossy(&first).into_owned() + &stream.read_remainder().await?;
     assert!(!is_complete(&events), "an interrupted response must not look complete");
     assert!(
         events.contains("event: error") && events.contains("\"outcome\":\"failed\""),
@@ -37,7 +37,7 @@
         tokio::pin!(request);
         // The nearest rank runs the request; its agent is killed once the request is in flight there.
         let started = eventually("the engine runs the request", || async {
-            let response = fleet.ask_standin("rank-0", "/v1/running").await.ok()?;
+            let response = fleet.query_standin("rank-0", "/v1/running").await.ok()?;
             response.text().contains('-').then_some(())
         });
         tokio::select! {
@@ -69,7 +69,7 @@
     })
     .await?;
     fleet.resume("rank-0")?;
-    let events = String::from_utf8_lossy(&first).into_owned() + &stream.rest().await?;
+    let events = String::from_utf8_lossy(&first).into_owned() + &stream.read_remainder().await?;
     assert!(is_complete(&events), "{}", &events[events.len().saturating_sub(600)..]);
     assert_eq!(streamed_text(&events), expected_text("interrupted", 3_000));
     Ok(())
@@ -82,13 +82,13 @@
     let mut stream = fleet.stream_chat("entry-0", "teal", "unheard", 1_000_000).await?;
     stream.next().await.ok_or("the stream ended before its first chunk")??;
     fleet.kill("entry-0");
-    assert!(stream.rest().await.is_err() || !is_complete(&stream.rest().await.unwrap_or_default()));
+    assert!(stream.read_remainder().await.is_err() || !is_complete(&stream.read_remainder().await.unwrap_or_default()));
     let other = fleet.send_chat("entry-1", "teal", "heard", 3).await?;
     assert!(other.text().contains(&expected_text("heard", 3)));
     eventually("the engine has cancelled the request", || async {
         let mut running = String::new();
         for rank in ["rank-0", "rank-1"] {
-            running += &fleet.ask_standin(rank, "/v1/running").await.ok()?.text();
+            running += &fleet.query_standin(rank, "/v1/running").await.ok()?.text();
         }
         (!running.contains('-')).then_some(())
     })
@@ -103,7 +103,7 @@
     stream.next().await.ok_or("the stream ended before its first chunk")??;
     drop(stream);
     eventually("the engine has cancelled the request", || async {
-        let response = fleet.ask_standin("rank-0", "/v1/running").await.ok()?;
+        let response = fleet.query_standin("rank-0", "/v1/running").await.ok()?;
         (!response.text().contains('-')).then_some(())
     })
     .await?;
@@ -124,7 +124,7 @@
         lose_answers: 1,
         ..Fault::default()
     };
-    fleet.fault("service-0", lose_response).await?;
+    fleet.set_fault("service-0", lose_response).await?;
     let response = fleet.call_service("entry-0", "illustration", "{\"n\":1}", &[]).await?;
     assert_eq!(
         response.member("outcome").as_deref(),
@@ -134,10 +134,10 @@
     );
     let id = response.member("request_id").ok_or("the response has no request id")?;
     let status = fleet
-        .ask_entry("entry-1", http::Method::GET, &format!("/v1/requests/{id}"))
+        .send_to_entry("entry-1", http::Method::GET, &format!("/v1/requests/{id}"))
         .await?;
     assert_eq!(status.member("outcome").as_deref(), Some("ended"), "{}", status.text());
-    fleet.fault("service-0", lose_response).await?;
+    fleet.set_fault("service-0", lose_response).await?;
     let retried = fleet.call_service("entry-0", "rates", "{\"n\":2}", &[]).await?;
     assert_eq!(
         retried.status,
@@ -180,7 +180,7 @@
     fleet.start_all()?;
     eventually("entries discover their targets", || async {
         let ticket = fleet
-            .ask_entry("entry-0", http::Method::POST, "/v1/tickets/calculator")
+            .send_to_entry("entry-0", http::Method::POST, "/v1/tickets/calculator")
             .await
             .ok()?;
         ticket.status.is_success().then_some(())
@@ -226,7 +226,7 @@
             let prompt = format!("caller number {index}");
             let tokens = 20 + index;
             let mut stream = fleet.stream_chat(&entry, workspace, &prompt, tokens).await?;
-            let events = stream.rest().await?;
+            let events = stream.read_remainder().await?;
             let is_own = is_complete(&events) && streamed_text(&events) == expected_text(&prompt, tokens);
             if is_own {
                 Ok(())
@@ -236,10 +236,10 @@
         })
     });
     let callers: Vec<_> = callers.collect();
-    fleet.fault("rank-0", stall).await?;
+    fleet.set_fault("rank-0", stall).await?;
     fleet.freeze("rank-1")?;
     fleet.resume("rank-1")?;
-    fleet.fault("rank-0", Fault::default()).await?;
+    fleet.set_fault("rank-0", Fault::default()).await?;
     for caller in callers {
         caller.await.map_err(|error| error.to_string())??;
     }
@@ -266,7 +266,7 @@
     };
     let (stream, crashed) = tokio::join!(request, crash);
     crashed?;
-    let events = stream?.rest().await?;
+    let events = stream?.read_remainder().await?;
     assert!(is_complete(&events), "{events}");
     assert_eq!(streamed_text(&events), expected_text("patience", 20));
     Ok(())
@@ -286,7 +286,7 @@
     fleet.start_all()?;
     eventually("entries discover their targets", || async {
         let ticket = fleet
-            .ask_entry("entry-0", http::Method::POST, "/v1/tickets/calculator")
+            .send_to_entry("entry-0", http::Method::POST, "/v1/tickets/calculator")
             .await
             .ok()?;
         ticket.status.is_success().then_some(())
@@ -315,7 +315,7 @@
     );
     let id = response.member("request_id").ok_or("the response has no request id")?;
     let status = fleet
-        .ask_entry("entry-1", http::Method::GET, &format!("/v1/requests/{id}"))
+        .send_to_entry("entry-1", http::Method::GET, &format!("/v1/requests/{id}"))
         .await?;
     assert_eq!(
         status.member("outcome").as_deref(),
@@ -333,7 +333,7 @@
 async fn near_targets_down() -> Result<(), Error> {
     let services = 8;
     let plan = Plan {
-        services,
+        service_count: services,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("near-targets-down", plan).await?;
--- a/crates/sparscale_fleet/tests/process/key_resend.rs
+++ b/crates/sparscale_fleet/tests/process/key_resend.rs
@@ -10,7 +10,7 @@
 
 async fn issue_ticket(fleet: &Fleet) -> Result<String, Error> {
     let response = fleet
-        .ask_entry("entry-0", Method::POST, "/v1/tickets/calculator")
+        .send_to_entry("entry-0", Method::POST, "/v1/tickets/calculator")
         .await?;
     response.member("ticket").ok_or_else(|| response.text())
 }
@@ -28,7 +28,7 @@
 
 async fn effects_of(fleet: &Fleet, body: &str) -> Result<usize, Error> {
     let mut count = 0;
-    for index in 0..fleet.plan().services {
+    for index in 0..fleet.plan().service_count {
         count += fleet
             .effect_bodies(index)
             .await?
@@ -41,7 +41,7 @@
 
 fn plan() -> Plan {
     Plan {
-        services: 2,
+        service_count: 2,
         ..Plan::default()
     }
 }
@@ -90,7 +90,7 @@
         outage: Outage::Refuse,
         ..Fault::default()
     };
-    fleet.fault("log", refuse).await?;
+    fleet.set_fault("log", refuse).await?;
     let plain = send_with_key(&fleet, "entry-0", "{\"plain\":1}", "late-key").await?;
     assert_eq!(plain.status, StatusCode::SERVICE_UNAVAILABLE, "{}", plain.text());
     assert!(plain.headers.contains_key("retry-after"));
@@ -103,7 +103,7 @@
     );
     let by_ticket = send_with_key(&fleet, "entry-1", "{\"ticket\":1}", &ticket).await?;
     assert_eq!(by_ticket.status, StatusCode::OK, "{}", by_ticket.text());
-    fleet.fault("log", Fault::default()).await?;
+    fleet.set_fault("log", Fault::default()).await?;
     let later = send_with_key(&fleet, "entry-0", "{\"plain\":1}", "late-key").await?;
     assert_eq!(later.status, StatusCode::OK, "{}", later.text());
     assert_eq!(effects_of(&fleet, "{\"plain\":1}").await?, 1);
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn agent_replaced() -> Result<(), Error> {
     let plan = Plan {
-        services: 1,
+        service_count: 1,
         ..Plan::default()
     };
     let mut fleet = Fleet::start("key-agent-replaced", plan).await?;
@@ -148,7 +148,7 @@
         ..Fault::default()
     };
     for index in 0..2 {
-        fleet.fault(&format!("service-{index}"), lose_response).await?;
+        fleet.set_fault(&format!("service-{index}"), lose_response).await?;
     }
     for entry in ["entry-0", "entry-1", "entry-0"] {
         let response = send_with_key(&fleet, entry, "{\"x\":1}", "some-key").await?;
@@ -171,7 +171,7 @@
         lose_answers: 1,
         ..Fault::default()
     };
-    fleet.fault("log", lose_response).await?;
+    fleet.set_fault("log", lose_response).await?;
     let sent = eventually("the call succeeds", || async {
         let response = send_with_key(&fleet, "entry-0", "{\"y\":1}", "lost-binding")
             .await
--- a/crates/sparscale_fleet/tests/process/log_outage.rs
+++ b/crates/sparscale_fleet/tests/process/log_outage.rs
@@ -45,7 +45,7 @@
     let mut fleet = Fleet::start("boxes-replaced", Plan::default()).await?;
     fleet.roll_bundle(&fleet.document(2)).await?;
     wait_for_version(&fleet, 2).await?;
-    fleet.fault("log", REFUSE).await?;
+    fleet.set_fault("log", REFUSE).await?;
     for name in all_names(&fleet) {
         let activated_before = activated_versions(&fleet, &name).len();
         fleet.kill(&name);
@@ -74,7 +74,7 @@
     let mut fleet = Fleet::prepare("nothing-without-bundle", Plan::default())?;
     fleet.start_platform().await?;
     fleet.roll_bundle(&fleet.document(1)).await?;
-    fleet.fault("log", REFUSE).await?;
+    fleet.set_fault("log", REFUSE).await?;
     fleet.start_all()?;
     let response = eventually("an entry responds", || async {
         fleet.send_chat("entry-0", "teal", "hello", 1).await.ok()
@@ -83,7 +83,7 @@
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(response.member("outcome").as_deref(), Some("not_run"));
     assert!(response.headers.contains_key("retry-after"));
-    fleet.fault("log", Fault::default()).await?;
+    fleet.set_fault("log", Fault::default()).await?;
     fleet.wait_until_ready().await
 }
 
@@ -100,7 +100,7 @@
     ];
     for (operator, arguments) in steps {
         // Before: no record is sent.
-        fleet.fault("log", REFUSE).await?;
+        fleet.set_fault("log", REFUSE).await?;
         let before = fleet.run_operator(operator, &arguments).await?;
         assert_eq!(before.status.code(), Some(3), "{arguments:?}");
         // During: the response to the append is lost after it took effect; the program reads the log and finds its
@@ -109,7 +109,7 @@
             lose_answers: 1,
             ..Fault::default()
         };
-        fleet.fault("log", lose_response).await?;
+        fleet.set_fault("log", lose_response).await?;
         let during = fleet.run_operator(operator, &arguments).await?;
         assert!(
             during.status.success(),
@@ -117,8 +117,8 @@
             String::from_utf8_lossy(&during.stdout)
         );
         // After: an outage that follows a completed step must not undo it.
-        fleet.fault("log", REFUSE).await?;
-        fleet.fault("log", Fault::default()).await?;
+        fleet.set_fault("log", REFUSE).await?;
+        fleet.set_fault("log", Fault::default()).await?;
         let repeated = fleet.run_operator(operator, &arguments).await?;
         assert!(!repeated.status.success(), "a second {arguments:?} must be rejected");
     }
--- a/crates/sparscale_fleet/tests/process/map_change.rs
+++ b/crates/sparscale_fleet/tests/process/map_change.rs
@@ -19,8 +19,8 @@
 
 fn plan() -> Plan {
     Plan {
-        ranks: 3,
-        services: 0,
+        rank_count: 3,
+        service_count: 0,
         expert_count: 12,
         slots_per_rank: 6,
         weight_move: 0.000_1,
@@ -29,7 +29,7 @@
 }
 
 async fn counts(fleet: &Fleet, rank: &str) -> Result<Counts, Error> {
-    fleet.ask_standin(rank, "/admin/counts").await?.json()
+    fleet.query_standin(rank, "/admin/counts").await?.json()
 }
 
 /// Number of the map that all ranks use, `None` during a map switch.
@@ -180,7 +180,7 @@
             outage: Outage::Refuse,
             ..Fault::default()
         };
-        shared.fault("log", outage).await?;
+        shared.set_fault("log", outage).await?;
         eventually("the new rank joins while the log is down", || async {
             common_map(&shared).await
         })
@@ -190,7 +190,7 @@
             (counts(&shared, "rank-0").await.ok()?.steps > steps).then_some(())
         })
         .await?;
-        shared.fault("log", Fault::default()).await?;
+        shared.set_fault("log", Fault::default()).await?;
         drop(load);
         fleet = eventually("the load has stopped", || async {
             (Arc::strong_count(&shared) == 1).then_some(())
--- a/crates/sparscale_fleet/tests/process/peer_certificates.rs
+++ b/crates/sparscale_fleet/tests/process/peer_certificates.rs
@@ -57,7 +57,7 @@
         })
         .await?;
     }
-    let events = String::from_utf8_lossy(&first).into_owned() + &stream.rest().await?;
+    let events = String::from_utf8_lossy(&first).into_owned() + &stream.read_remainder().await?;
     assert!(is_complete(&events));
     assert_eq!(streamed_text(&events), expected_text("uncut", 1_500));
     // New processes have certificates of the new authority only: a process that hadn't reloaded would reject them.
--- a/crates/sparscale_fleet/tests/process/target_backoff.rs
+++ b/crates/sparscale_fleet/tests/process/target_backoff.rs
@@ -17,11 +17,11 @@
 
 async fn start_with_fault(name: &str, fault: Fault) -> Result<Fleet, Error> {
     let plan = Plan {
-        services: 1,
+        service_count: 1,
         ..Plan::default()
     };
     let fleet = Fleet::start(name, plan).await?;
-    fleet.fault("service-0", fault).await?;
+    fleet.set_fault("service-0", fault).await?;
     Ok(fleet)
 }
 
@@ -40,7 +40,7 @@
     }
     let arrivals = fleet.arrival_count(0).await? - before;
     assert!(arrivals <= MAX_ARRIVALS, "{arrivals} calls arrived during the backoff");
-    fleet.fault("service-0", Fault::default()).await?;
+    fleet.set_fault("service-0", Fault::default()).await?;
     eventually("the target receives calls again", || async {
         let response = fleet.call_service("entry-0", "rates", "{\"n\":1}", &[]).await.ok()?;
         (response.status == StatusCode::OK).then_some(())
--- a/crates/sparscale_gateway/src/admission.rs
+++ b/crates/sparscale_gateway/src/admission.rs
@@ -59,8 +59,8 @@
         let arrived_at = Instant::now();
         let (parts, incoming) = request.into_parts();
         let limits = self.limits();
-        let head_too_long = head_bytes(&parts) > limits.header_bytes;
-        let head = Head::new(parts, &self.gateway.target_client.dialect);
+        let head_too_long = head_bytes(&parts) > limits.max_header_bytes;
+        let head = Head::new(parts, &self.gateway.target_client.header_names);
         let refusal = match read_body(incoming, &limits).await {
             Ok(_) if head_too_long => Refusal::new(Reason::HeadTooLong),
             Ok(body) => match self.admit(&head, arrived_at) {
@@ -81,7 +81,7 @@
     fn reject(&self, head: &Head, refusal: Refusal) -> Response<Body> {
         self.gateway.metrics.record_refusal(refusal.reason);
         log_refusal(head, refusal, &self.gateway.board);
-        refusal.response(&self.gateway.target_client.dialect.request_id, head.id.as_ref())
+        refusal.response(&self.gateway.target_client.header_names.request_id, head.id.as_ref())
     }
 
     fn admit(&self, head: &Head, arrived_at: Instant) -> Result<AdmittedRequest, Refusal> {
@@ -125,7 +125,7 @@
             deadline: arrived_at + timeout,
             deadline_timestamp: self.gateway.board.now() + timeout.saturating_sub(arrived_at.elapsed()),
             tier: tier.unwrap_or(route.tier),
-            retryable: route.kind.may_repeat(),
+            retryable: route.kind.is_retryable(),
             route: route_key,
             catalog,
         })
--- a/crates/sparscale_gateway/src/attempt.rs
+++ b/crates/sparscale_gateway/src/attempt.rs
@@ -12,15 +12,15 @@
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt as _, Full};
 use hyper::body::{Body as _, Incoming};
-use sparscale_backpressure::{Asked, Signal};
+use sparscale_backpressure::{BackpressureSignal, ParsedHeader};
 use sparscale_belief::Board;
-use sparscale_catalog::{Incarnation, Seat, Target};
+use sparscale_catalog::{Incarnation, Instance, Target};
 use sparscale_clock::{Clock, Timestamp};
 use sparscale_quarantine::Fingerprint;
 use tokio::time::Instant;
 
-use crate::dialect::Dialect;
 use crate::head::{Head, without_hop_by_hop};
+use crate::header_names::HeaderNames;
 use crate::pool::{Connection, Pool, connect};
 
 /// Bytes of a response that are buffered before any of them goes to the caller. A longer response is forwarded as it
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct TargetClient {
     pub(crate) pool: Arc<Pool>,
-    pub(crate) dialect: Arc<Dialect>,
+    pub(crate) header_names: Arc<HeaderNames>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) board: Arc<Board>,
     /// Maximum idle time of a connection that is reused for a request which may run only once.
@@ -155,7 +155,7 @@
 impl TargetClient {
     /// Sends `outbound` to the target. Returns an event stream once its head has arrived, other responses once complete
     /// or longer than [`MAX_BUFFERED_BYTES`].
-    pub(crate) async fn send(&self, instance: &Seat, outbound: &Outbound) -> SendOutcome {
+    pub(crate) async fn send(&self, instance: &Instance, outbound: &Outbound) -> SendOutcome {
         let connection = match self.connection(instance, outbound).await {
             Ok(connection) => connection,
             Err(error) => {
@@ -169,7 +169,7 @@
             .unwrap_or(SendOutcome::ResponseLost(ResponseError::Timeout))
     }
 
-    async fn connection(&self, instance: &Seat, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
+    async fn connection(&self, instance: &Instance, outbound: &Outbound) -> Result<Connection, crate::pool::Error> {
         let max_idle = if outbound.retryable {
             Duration::MAX
         } else {
@@ -181,7 +181,7 @@
         }
     }
 
-    async fn exchange(&self, instance: &Seat, outbound: &Outbound, connection: Connection) -> SendOutcome {
+    async fn exchange(&self, instance: &Instance, outbound: &Outbound, connection: Connection) -> SendOutcome {
         let target = &instance.target;
         let mut connection = connection;
         let request = self.request(target, outbound);
@@ -217,7 +217,7 @@
         *request.method_mut() = outbound.head.method.clone();
         *request.uri_mut() = http::Uri::from(outbound.head.path.clone());
         let mut headers = outbound.head.headers.clone();
-        let dialect = &self.dialect;
+        let dialect = &self.header_names;
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(dialect.expected_target.clone(), id);
         }
@@ -244,18 +244,21 @@
 
     /// Records the rate limit or backoff requested by the target. A response to another request, or from another target
     /// at the same address, is ignored.
-    fn record_signal(&self, instance: &Seat, parts: &Parts, outbound: &Outbound) -> Signal {
-        let signal = Signal::read(parts.status, &parts.headers, &self.dialect.backpressure);
-        let is_own_response = parts.headers.get(&self.dialect.request_id) == outbound.head.id.as_ref();
+    fn record_signal(&self, instance: &Instance, parts: &Parts, outbound: &Outbound) -> BackpressureSignal {
+        let signal = BackpressureSignal::read(parts.status, &parts.headers, &self.header_names.backpressure);
+        let is_own_response = parts.headers.get(&self.header_names.request_id) == outbound.head.id.as_ref();
         if !is_own_response || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return signal;
         }
         match signal.rate {
-            Asked::Nothing => self.board.throttle.record_notice(instance, None, signal.leaving),
-            Asked::For(rate) => self.board.throttle.record_notice(instance, Some(rate), signal.leaving),
-            Asked::Unreadable => {}
+            ParsedHeader::Absent => self.board.throttle.record_notice(instance, None, signal.is_draining),
+            ParsedHeader::Value(rate) => self
+                .board
+                .throttle
+                .record_notice(instance, Some(rate), signal.is_draining),
+            ParsedHeader::Malformed => {}
         }
-        if let Some(backoff) = signal.rest {
+        if let Some(backoff) = signal.backoff {
             self.board.throttle.record_backoff(instance, backoff);
         }
         signal
@@ -263,10 +266,10 @@
 
     /// Classifies a response by its head.
     fn classify(&self, parts: &Parts, outbound: &Outbound) -> ResponseClass {
-        if parts.headers.get(&self.dialect.request_id) != outbound.head.id.as_ref() {
+        if parts.headers.get(&self.header_names.request_id) != outbound.head.id.as_ref() {
             return ResponseClass::Unusable(ResponseError::RequestIdMismatch);
         }
-        if parts.headers.contains_key(&self.dialect.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        if parts.headers.contains_key(&self.header_names.not_run) || parts.status == StatusCode::MISDIRECTED_REQUEST {
             return ResponseClass::Rejected;
         }
         // Unless the target confirms that the request has not run, forwarding these would give callers a guarantee that
@@ -279,19 +282,19 @@
         if not_run_statuses.contains(&parts.status) {
             return ResponseClass::Unusable(ResponseError::UnconfirmedRejection);
         }
-        let has_digest = parts.headers.contains_key(&self.dialect.digest);
+        let has_digest = parts.headers.contains_key(&self.header_names.digest);
         if parts.headers.contains_key(header::CONTENT_ENCODING) || (parts.status.is_success() && !has_digest) {
             return ResponseClass::Unusable(ResponseError::Malformed);
         }
         ResponseClass::Usable
     }
 
-    fn rejection(&self, parts: &Parts, signal: Signal) -> Rejection {
+    fn rejection(&self, parts: &Parts, signal: BackpressureSignal) -> Rejection {
         let text_of = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
         Rejection {
             status: parts.status,
-            at_fault: text_of(&self.dialect.at_fault).map(str::to_owned),
-            retry_after: signal.rest,
+            at_fault: text_of(&self.header_names.target_at_fault).map(str::to_owned),
+            retry_after: signal.backoff,
         }
     }
 
--- a/crates/sparscale_gateway/src/attempted_targets.rs
+++ b/crates/sparscale_gateway/src/attempted_targets.rs
@@ -1,16 +1,16 @@
 //! The list of targets that a request was sent to.
 
-use sparscale_catalog::{Incarnation, Seat};
+use sparscale_catalog::{Incarnation, Instance};
 
 /// Targets that a request was sent to, in order of the attempts.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptedTargets {
-    targets: Vec<Seat>,
+    targets: Vec<Instance>,
 }
 
 impl AttemptedTargets {
     /// Adds a target.
-    pub(crate) fn push(&mut self, instance: Seat) {
+    pub(crate) fn push(&mut self, instance: Instance) {
         self.targets.push(instance);
     }
 
@@ -20,7 +20,7 @@
     }
 
     /// The target of the latest attempt.
-    pub(crate) fn last(&self) -> Option<&Seat> {
+    pub(crate) fn last(&self) -> Option<&Instance> {
         self.targets.last()
     }
 
--- a/crates/sparscale_gateway/src/entry.rs
+++ b/crates/sparscale_gateway/src/entry.rs
@@ -12,7 +12,7 @@
 use sparscale_catalog::Group;
 use sparscale_mesh::{Mesh, MeshStatus};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Endpoint, FEW_STREAMS, Identity, Role};
+use sparscale_wire::{Endpoint, Identity, MAX_LONG_LIVED_STREAMS, Role};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -29,7 +29,7 @@
 use crate::readiness;
 use crate::response_monitor::ResponseMonitor;
 use crate::server;
-use crate::settings::{AddressSnafu, Error, ListenSnafu, Parts, PeersSnafu, Settings};
+use crate::settings::{AddressSnafu, Dependencies, Error, ListenSnafu, PeersSnafu, Settings};
 use crate::traffic_split::TrafficSplit;
 
 /// Maximum idle time of a connection that is reused for a request which may run only once. Zero: the target may have
@@ -63,14 +63,14 @@
 
 impl Entry {
     /// Starts the tasks of an entry on the current runtime.
-    pub async fn start(settings: Settings, parts: Parts) -> Result<Self, Error> {
+    pub async fn start(settings: Settings, parts: Dependencies) -> Result<Self, Error> {
         let board = Arc::new(Board::new(Arc::clone(&parts.clock)));
-        let callers = listen(settings.callers).await?;
-        let ready = listen(settings.ready).await?;
+        let callers = listen(settings.caller_address).await?;
+        let ready = listen(settings.ready_address).await?;
         let mesh = start_mesh(&settings, &board)?;
         let read_schedule = Arc::new(ReadSchedule::new(
-            settings.read_interval,
-            settings.read_step,
+            settings.max_observation_age,
+            settings.read_delay_per_entry,
             Duration::ZERO,
         ));
         let registry = parts.registry;
@@ -88,8 +88,8 @@
             read_metrics(),
         ));
         let strikes_schedule = Arc::new(ReadSchedule::new(
-            settings.read_interval * CATALOG_READS_PER_STRIKES_READ,
-            settings.read_step * CATALOG_READS_PER_STRIKES_READ,
+            settings.max_observation_age * CATALOG_READS_PER_STRIKES_READ,
+            settings.read_delay_per_entry * CATALOG_READS_PER_STRIKES_READ,
             Duration::ZERO,
         ));
         tokio::spawn(read_strikes(
@@ -111,7 +111,7 @@
                 pool: Arc::new(Pool::new(Arc::clone(&parts.clock))),
                 clock: Arc::clone(&parts.clock),
                 board: Arc::clone(&board),
-                dialect: Arc::new(parts.dialect),
+                header_names: Arc::new(parts.header_names),
                 max_idle_run_once: MAX_IDLE_RUN_ONCE,
             },
             loads: Arc::new(Loads::new(Arc::clone(&entry_count))),
@@ -171,9 +171,9 @@
         let connections = || self.connection_counter.connections.load(Ordering::Relaxed);
         self.phase.send_replace(Phase::Draining);
         log::info!(target: DECISION, decision = "stop", connections = connections(); "stop requested; draining connections");
-        tokio::time::sleep(self.settings.leave_time).await;
+        tokio::time::sleep(self.settings.drain_notice_time).await;
         self.phase.send_replace(Phase::Closing);
-        while connections() > 0 && stop_requested_at.elapsed() < self.settings.grace {
+        while connections() > 0 && stop_requested_at.elapsed() < self.settings.shutdown_timeout {
             tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         log::info!(target: DECISION, decision = "stopped", connections = connections(); "entry stopped");
@@ -185,13 +185,17 @@
 }
 
 fn start_mesh(settings: &Settings, board: &Arc<Board>) -> Result<Arc<Mesh>, Error> {
-    let endpoint =
-        Endpoint::with_streams(settings.peers, Identity::Made(Role::Entry), FEW_STREAMS).context(PeersSnafu)?;
+    let endpoint = Endpoint::bind_with_max_streams(
+        settings.peer_address,
+        Identity::SelfSigned(Role::Entry),
+        MAX_LONG_LIVED_STREAMS,
+    )
+    .context(PeersSnafu)?;
     let settings = sparscale_mesh::Settings {
         address: endpoint.local_address().context(AddressSnafu)?,
         role: Role::Entry,
         seeds: settings.seeds.clone(),
-        interval: settings.interval,
+        interval: settings.keepalive_interval,
         entries_per_load_step: sparscale_mesh::DEFAULT_ENTRIES_PER_LOAD_STEP,
     };
     let mesh = Mesh::new(settings, Arc::clone(board), Arc::new(endpoint));
@@ -272,7 +276,7 @@
             let engine = *engines.entry(service_name).or_insert_with(|| {
                 let service = catalog.value.find_service(service_name)?;
                 let engine = catalog.value.service(service).engine.as_ref()?;
-                Some((engine, catalog.value.pause_of(service_name)?))
+                Some((engine, catalog.value.max_pause_of(service_name)?))
             });
             if let Some((engine, max_pause)) = engine {
                 let group = Group { name: &group, size };
--- a/crates/sparscale_gateway/src/exchange.rs
+++ b/crates/sparscale_gateway/src/exchange.rs
@@ -15,7 +15,7 @@
 use http::header::HeaderValue;
 use rand::seq::IteratorRandom as _;
 use sparscale_belief::Board;
-use sparscale_catalog::{Catalog, Kind, Route, RouteKey, Seat};
+use sparscale_catalog::{Catalog, Instance, RequestKind, Route, RouteKey};
 use sparscale_clock::Timestamp;
 use sparscale_mesh::Mesh;
 use sparscale_policy::budget::{Allowance, Budget, Source};
@@ -24,7 +24,7 @@
 use sparscale_policy::response_tracker::PendingResponse;
 use sparscale_policy::retry_schedule::RetrySchedule;
 use sparscale_policy::{caller_timeout, gate};
-use sparscale_quarantine::{End, Fingerprint};
+use sparscale_quarantine::{EndedStart, Fingerprint};
 use sparscale_telemetry::DECISION;
 use tokio::time::Instant;
 
@@ -143,11 +143,11 @@
     }
 
     /// The wait for the first response of a target.
-    fn first_wait<'a>(&self, instance: &'a Seat) -> PendingResponse<'a> {
+    fn first_wait<'a>(&self, instance: &'a Instance) -> PendingResponse<'a> {
         PendingResponse {
             instance,
             response_part: self.first_response_part(),
-            due_within: self.route().objective,
+            due_within: self.route().latency_objective,
             caller_timeout: self.caller_timeout(),
         }
     }
@@ -155,8 +155,12 @@
     /// Time without a response after which the caller gives up.
     pub(crate) fn caller_timeout(&self) -> Duration {
         match self.route().kind {
-            Kind::Stream { .. } => caller_timeout::stream_timeout(self.route().objective, max_pause_of(self)),
-            Kind::Once | Kind::Repeatable => self.outbound.deadline.saturating_duration_since(self.arrived_at),
+            RequestKind::Stream { .. } => {
+                caller_timeout::stream_timeout(self.route().latency_objective, max_pause_of(self))
+            }
+            RequestKind::AtMostOnce | RequestKind::Idempotent => {
+                self.outbound.deadline.saturating_duration_since(self.arrived_at)
+            }
         }
     }
 }
@@ -178,7 +182,11 @@
         {
             return Err(refusal);
         }
-        let Kind::Stream { longest_pause, .. } = job.route().kind else {
+        let RequestKind::Stream {
+            max_pause: longest_pause,
+            ..
+        } = job.route().kind
+        else {
             return Ok(None);
         };
         let Some(service) = history.service.as_deref() else {
@@ -197,7 +205,7 @@
             group: group.name,
             engine,
             max_pause,
-            objective: job.route().objective,
+            objective: job.route().latency_objective,
             tier: job.outbound.urgency.unwrap_or_default(),
             rank_count: group.size,
             open_fraction: self.open_fraction(&observation.value, group),
@@ -266,7 +274,7 @@
     async fn handle_outcome(
         &self,
         job: &Job,
-        instance: Seat,
+        instance: Instance,
         outcome: AttemptOutcome,
         history: &mut AttemptHistory,
     ) -> Result<Option<CallerResponse>, Refusal> {
@@ -277,7 +285,7 @@
                     self.gates.record_response(&membership.group);
                 }
                 if matches!(response, CallerResponse::Complete(_)) {
-                    self.board.quarantine.record_answer(&job.outbound.fingerprint);
+                    self.board.quarantine.record_response(&job.outbound.fingerprint);
                 }
                 history.attempted_targets.push(instance);
                 return Ok(Some(response));
@@ -325,7 +333,7 @@
     /// Runs one attempt, up to a complete response or the first event. A target that turns out to be a straggler, or
     /// that is unresponsive while others respond, is abandoned if the request may go elsewhere: with a straggler each
     /// pass of the group would wait for that one rank, and with an unresponsive target the caller would wait in vain.
-    async fn attempt(&self, job: &Job, instance: &Seat, history: &AttemptHistory) -> AttemptOutcome {
+    async fn attempt(&self, job: &Job, instance: &Instance, history: &AttemptHistory) -> AttemptOutcome {
         let mut sending = std::pin::pin!(self.send(job, instance));
         if let Some(membership) = &instance.target.membership {
             match tokio::time::timeout(gate::ACCEPTED_AFTER, &mut sending).await {
@@ -348,7 +356,7 @@
         }
     }
 
-    async fn send(&self, job: &Job, instance: &Seat) -> AttemptOutcome {
+    async fn send(&self, job: &Job, instance: &Instance) -> AttemptOutcome {
         let in_flight = self.loads.begin_request(instance);
         let since = Instant::now();
         let outcome = self.target_client.send(instance, &job.outbound).await;
@@ -379,7 +387,7 @@
     async fn record_lost_response(
         &self,
         job: &Job,
-        instance: &Seat,
+        instance: &Instance,
         error: ResponseError,
         history: &mut AttemptHistory,
     ) -> Result<(), Refusal> {
@@ -401,25 +409,25 @@
     /// The refusal of a request that is quarantined because targets terminated while running it.
     pub(crate) fn quarantine_refusal(&self, request: Fingerprint) -> Option<Refusal> {
         let quarantine = self.board.quarantine.active_hold(&request)?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = quarantine.ends, left_ms = quarantine.left.as_millis() as u64; "request is quarantined because targets terminated while running it");
-        Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.left))
+        log::info!(target: DECISION, decision = "held", content = request.log_prefix().as_str(), ends = quarantine.end_count, left_ms = quarantine.remaining.as_millis() as u64; "request is quarantined because targets terminated while running it");
+        Some(Refusal::with_retry_after(Reason::Quarantined, quarantine.remaining))
     }
 
     /// Checks whether the target that did not complete its response has terminated or only the connection was lost. A
     /// termination is recorded against the request, which may have caused it.
-    pub(crate) async fn investigate_lost_response(&self, job: &Job, instance: &Seat, error: ResponseError) {
+    pub(crate) async fn investigate_lost_response(&self, job: &Job, instance: &Instance, error: ResponseError) {
         let terminated =
             error == ResponseError::ConnectionLost && self.target_client.pool.has_terminated(instance).await;
         if terminated {
             self.board
                 .quarantine
-                .record_end(job.outbound.fingerprint, End::from(instance.start));
+                .record_end(job.outbound.fingerprint, EndedStart::from(instance.start));
         }
         log::info!(
             target: DECISION,
             decision = "lost_answer",
             request = job.outbound.head.id_text(),
-            content = job.outbound.fingerprint.short().as_str(),
+            content = job.outbound.fingerprint.log_prefix().as_str(),
             at = instance.target.id.as_str(),
             loss = error.name(),
             ended = terminated;
@@ -429,7 +437,7 @@
 
     /// Whether the route and the retry budget allow another attempt, which is then charged to the budget.
     pub(crate) fn may_retry(&self, job: &Job, history: &AttemptHistory) -> bool {
-        if history.attempted_targets.len() >= job.route().attempts as usize {
+        if history.attempted_targets.len() >= job.route().max_attempts as usize {
             return false;
         }
         let allowed = self.charge_retry_budget(job, history, RetryReason::NotServed);
@@ -438,7 +446,7 @@
         } else {
             &self.metrics.denied_retries
         };
-        counter.add_one();
+        counter.increment();
         allowed
     }
 
@@ -519,7 +527,7 @@
             level,
             decision = "end",
             request = job.outbound.head.id_text(),
-            content = job.outbound.fingerprint.short().as_str(),
+            content = job.outbound.fingerprint.log_prefix().as_str(),
             route = job.route().name.as_str(),
             version = job.catalog.version(),
             outcome,
@@ -540,8 +548,11 @@
 /// Maximum pause between events that the route of the request allows.
 pub(crate) fn max_pause_of(job: &Job) -> Duration {
     match job.route().kind {
-        Kind::Stream { longest_pause, .. } => longest_pause.unwrap_or_default(),
-        Kind::Once | Kind::Repeatable => Duration::ZERO,
+        RequestKind::Stream {
+            max_pause: longest_pause,
+            ..
+        } => longest_pause.unwrap_or_default(),
+        RequestKind::AtMostOnce | RequestKind::Idempotent => Duration::ZERO,
     }
 }
 
--- a/crates/sparscale_gateway/src/exchange/abandon.rs
+++ b/crates/sparscale_gateway/src/exchange/abandon.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sparscale_catalog::Seat;
+use sparscale_catalog::Instance;
 use sparscale_telemetry::DECISION;
 
 use super::{Gateway, Job, RetryReason};
@@ -19,7 +19,7 @@
         attempts_made: usize,
         history: &AttemptHistory,
     ) -> bool {
-        let may_resend = job.outbound.retryable && attempts_made < job.route().attempts as usize;
+        let may_resend = job.outbound.retryable && attempts_made < job.route().max_attempts as usize;
         let may_abandon = may_resend && self.charge_retry_budget(job, history, RetryReason::Straggler);
         log::info!(target: DECISION, decision = "leave_slow", request = job.outbound.head.id_text(), at = target, left = may_abandon; "target is a straggler and slows its group down");
         may_abandon
@@ -30,13 +30,13 @@
     pub(crate) fn may_abandon_unresponsive(
         &self,
         job: &Job,
-        instance: &Seat,
+        instance: &Instance,
         verdict: UnresponsiveTarget,
         attempts_made: usize,
         history: &AttemptHistory,
     ) -> bool {
         self.loads.record_failure(instance.key);
-        let may_resend = job.outbound.retryable && attempts_made < job.route().attempts as usize;
+        let may_resend = job.outbound.retryable && attempts_made < job.route().max_attempts as usize;
         let may_abandon = may_resend && self.charge_retry_budget(job, history, RetryReason::Unresponsive);
         let evidence = verdict.evidence;
         let millis = |time: Duration| time.as_millis() as u64;
--- a/crates/sparscale_gateway/src/exchange/choice.rs
+++ b/crates/sparscale_gateway/src/exchange/choice.rs
@@ -1,7 +1,7 @@
 //! Chooses the group and the target for the next attempt of a request.
 
 use http::StatusCode;
-use sparscale_catalog::{Directory, Seat};
+use sparscale_catalog::{Directory, Instance};
 use sparscale_policy::caller_timeout;
 use sparscale_telemetry::DECISION;
 use sparscale_wire::RankLoad;
@@ -43,7 +43,8 @@
     /// Waits for the request's group to open; returns whether it stays closed for longer than the request can wait.
     pub(super) async fn stays_closed(&self, job: &Job, history: &AttemptHistory) -> bool {
         let Some(group) = &history.group else { return false };
-        let deadline = job.arrived_at + caller_timeout::max_admission_wait(job.route().objective, max_pause_of(job));
+        let deadline =
+            job.arrived_at + caller_timeout::max_admission_wait(job.route().latency_objective, max_pause_of(job));
         self.gates
             .wait_until_open(group, deadline.min(job.outbound.deadline))
             .await
@@ -52,16 +53,16 @@
 
     /// The target for the next attempt: one of the request's group that was not attempted yet, or else any other such
     /// target.
-    pub(super) fn next_target(&self, job: &Job, history: &mut AttemptHistory) -> Option<Seat> {
+    pub(super) fn next_target(&self, job: &Job, history: &mut AttemptHistory) -> Option<Instance> {
         let targets = self.board.targets()?.value;
         if history.service.is_none() {
             history.service = self.choose_service(job, &targets);
         }
         let service = history.service.clone()?;
-        let reported_load = |instance: &Seat| self.reported_load(instance);
+        let reported_load = |instance: &Instance| self.reported_load(instance);
         let throttle = &self.board.throttle;
         let no_limits = throttle.is_unrestricted();
-        let may_take = |instance: &Seat| no_limits || throttle.is_open(instance);
+        let may_take = |instance: &Instance| no_limits || throttle.is_open(instance);
         let choose = |excluded: &AttemptedTargets, group: Option<&str>| {
             let filter = TargetFilter {
                 service: &service,
@@ -88,14 +89,14 @@
 
     /// The load of a rank as reported by the leader of its group, or none if the leader does not receive from the rank.
     /// A rank that has started since the report counts as having no requests.
-    fn reported_load(&self, instance: &Seat) -> Option<RankLoad> {
+    fn reported_load(&self, instance: &Instance) -> Option<RankLoad> {
         let membership = instance.target.membership.as_ref()?;
         let group = self.mesh.group_load(&membership.group)?;
-        group.ranks.get(membership.rank).copied().flatten()?;
+        group.rank_loads.get(membership.rank).copied().flatten()?;
         let start = instance.target.start_mark();
-        let load = group.rank(membership.rank, start);
+        let load = group.rank_load(membership.rank, start);
         Some(load.unwrap_or(RankLoad {
-            start,
+            start_marker: start,
             ..RankLoad::default()
         }))
     }
@@ -103,12 +104,12 @@
     /// The next service of the route by weight, skipping services without targets.
     pub(super) fn choose_service(&self, job: &Job, targets: &Directory) -> Option<String> {
         let shares = &job.route().shares;
-        let has_targets = |service: &str| targets.of_service(service).next().is_some();
+        let has_targets = |service: &str| targets.instances_of(service).next().is_some();
         self.traffic_split.next_service(&job.route().name, shares, has_targets)
     }
 
     /// Records a rejection, and what it says about the target itself or about another target at fault.
-    pub(super) fn record_rejection(&self, job: &Job, instance: &Seat, rejection: &Rejection) {
+    pub(super) fn record_rejection(&self, job: &Job, instance: &Instance, rejection: &Rejection) {
         log::info!(
             target: DECISION,
             decision = "turned_away",
@@ -129,7 +130,7 @@
         let other_name = faulty_name.filter(|name| !is_named(&instance.target, name));
         let at_fault = match other_name {
             Some(name) => self.board.targets().and_then(|targets| {
-                let mut instances = targets.value.seats().iter();
+                let mut instances = targets.value.instances().iter();
                 let faulty = instances.find(|instance| is_named(&instance.target, name));
                 faulty.map(|instance| instance.key)
             }),
--- a/crates/sparscale_gateway/src/exchange/throttling.rs
+++ b/crates/sparscale_gateway/src/exchange/throttling.rs
@@ -3,7 +3,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use sparscale_catalog::{Directory, Group, Seat, Standing};
+use sparscale_catalog::{Directory, Group, Instance, TargetStatus};
 use sparscale_clock::Timestamp;
 use sparscale_policy::throttle::Availability;
 use sparscale_telemetry::DECISION;
@@ -19,8 +19,8 @@
         if throttle.is_unrestricted() {
             return None;
         }
-        let is_ready = |instance: &&Seat| instance.target.standing == Standing::Ready;
-        let ready: Vec<&Seat> = targets.of_service(service).filter(is_ready).collect();
+        let is_ready = |instance: &&Instance| instance.target.status == TargetStatus::Ready;
+        let ready: Vec<&Instance> = targets.instances_of(service).filter(is_ready).collect();
         let mut opens_at = None;
         for instance in &ready {
             match throttle.opening(instance) {
@@ -56,11 +56,11 @@
         if self.board.throttle.is_unrestricted() {
             return 1.0;
         }
-        let in_group = |instance: &&Seat| {
+        let in_group = |instance: &&Instance| {
             let membership = instance.target.membership.as_ref();
             membership.is_some_and(|membership| membership.group == group.name)
         };
-        let ranks = targets.seats().iter().filter(in_group);
+        let ranks = targets.instances().iter().filter(in_group);
         let closed = ranks.filter(|instance| !self.board.throttle.is_open(instance)).count();
         1.0 - closed.min(group.size) as f64 / group.size.max(1) as f64
     }
--- a/crates/sparscale_gateway/src/head.rs
+++ b/crates/sparscale_gateway/src/head.rs
@@ -7,7 +7,7 @@
 use http::uri::PathAndQuery;
 use http::{Method, Uri};
 
-use crate::dialect::Dialect;
+use crate::header_names::HeaderNames;
 
 /// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -64,7 +64,7 @@
 
 impl Head {
     /// Parses the head of a request.
-    pub(crate) fn new(parts: Parts, dialect: &Dialect) -> Self {
+    pub(crate) fn new(parts: Parts, dialect: &HeaderNames) -> Self {
         let headers = parts.headers;
         let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &HeaderName| text(name).and_then(|value| value.trim().parse::<u64>().ok());
@@ -75,7 +75,7 @@
             remaining: number(&dialect.deadline).map(Duration::from_millis),
             bearer_key: text(&header::AUTHORIZATION).and_then(parse_bearer_key),
             last_event_id: number(&HeaderName::from_static("last-event-id")),
-            token_counts: parse_token_counts(text(&dialect.sizes), number(&dialect.answer_guess)),
+            token_counts: parse_token_counts(text(&dialect.token_counts), number(&dialect.output_guess)),
             path: path_of(&parts.uri),
             method: parts.method,
             headers: target_headers(&headers, dialect),
@@ -109,7 +109,7 @@
 }
 
 /// Headers to forward to a target: without hop-by-hop headers, the caller's key, and headers that only the entry sets.
-fn target_headers(headers: &HeaderMap, dialect: &Dialect) -> HeaderMap {
+fn target_headers(headers: &HeaderMap, dialect: &HeaderNames) -> HeaderMap {
     let mut forwarded = without_hop_by_hop(headers);
     for name in [
         &header::AUTHORIZATION,
--- a/crates/sparscale_gateway/src/dialect.rs
+++ b/crates/sparscale_gateway/src/header_names.rs
@@ -1,11 +1,11 @@
 //! Names of the HTTP headers exchanged between callers, entry and targets.
 
 use http::header::{HeaderName, InvalidHeaderName};
-use sparscale_backpressure::Names;
+use sparscale_backpressure::SignalHeaders;
 
 /// The header names of one installation.
 #[derive(Debug, Clone)]
-pub struct Dialect {
+pub struct HeaderNames {
     /// Id of a request; targets echo it in the response.
     pub request_id: HeaderName,
     /// Milliseconds that the sender waits for the response.
@@ -23,18 +23,18 @@
     /// Version of the weights that a request must run on; set by the entry only.
     pub expected_weights: HeaderName,
     /// Number of prompt tokens and maximum number of output tokens, as `PROMPT,OUTPUT`.
-    pub sizes: HeaderName,
+    pub token_counts: HeaderName,
     /// Number of output tokens that the caller expects.
-    pub answer_guess: HeaderName,
+    pub output_guess: HeaderName,
     /// Id of the target at fault, in a rejection that another target caused.
-    pub at_fault: HeaderName,
+    pub target_at_fault: HeaderName,
     /// Headers by which targets request a rate limit, a backoff or no further requests.
-    pub backpressure: Names,
+    pub backpressure: SignalHeaders,
 }
 
-impl Dialect {
+impl HeaderNames {
     /// The default names.
-    pub fn own() -> Result<Self, InvalidHeaderName> {
+    pub fn defaults() -> Result<Self, InvalidHeaderName> {
         Ok(Self {
             request_id: HeaderName::from_bytes(b"x-request-id")?,
             deadline: HeaderName::from_bytes(b"x-deadline-ms")?,
@@ -44,10 +44,10 @@
             not_run: HeaderName::from_bytes(b"sparscale-not-run")?,
             urgency: HeaderName::from_bytes(b"sparscale-urgency")?,
             expected_weights: HeaderName::from_bytes(b"sparscale-weights")?,
-            sizes: HeaderName::from_bytes(b"sparscale-sizes")?,
-            answer_guess: HeaderName::from_bytes(b"sparscale-answer-guess")?,
-            at_fault: HeaderName::from_bytes(b"sparscale-at-fault")?,
-            backpressure: Names::own(),
+            token_counts: HeaderName::from_bytes(b"sparscale-sizes")?,
+            output_guess: HeaderName::from_bytes(b"sparscale-answer-guess")?,
+            target_at_fault: HeaderName::from_bytes(b"sparscale-at-fault")?,
+            backpressure: SignalHeaders::defaults(),
         })
     }
 }
--- a/crates/sparscale_gateway/src/loads.rs
+++ b/crates/sparscale_gateway/src/loads.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sparscale_catalog::{Directory, Incarnation, Seat, Standing};
+use sparscale_catalog::{Directory, Incarnation, Instance, TargetStatus};
 use sparscale_policy::spread::{Candidate, draw, shares};
 use sparscale_wire::RankLoad;
 use tokio::time::Instant;
@@ -110,26 +110,26 @@
         &self,
         targets: &Directory,
         filter: &TargetFilter<'_>,
-        may_take: impl Fn(&Seat) -> bool,
-        reported: impl Fn(&Seat) -> Option<RankLoad>,
-    ) -> Option<Seat> {
-        let is_available = |instance: &&Seat| {
-            let is_ready = instance.target.standing == Standing::Ready;
+        may_take: impl Fn(&Instance) -> bool,
+        reported: impl Fn(&Instance) -> Option<RankLoad>,
+    ) -> Option<Instance> {
+        let is_available = |instance: &&Instance| {
+            let is_ready = instance.target.status == TargetStatus::Ready;
             is_ready && !filter.excluded.contains(instance.key) && may_take(instance)
         };
-        let in_group = |instance: &&Seat| {
+        let in_group = |instance: &&Instance| {
             filter.group.is_none_or(|group| {
                 let membership = instance.target.membership.as_ref();
                 membership.is_some_and(|membership| membership.group == group)
             })
         };
-        let available = targets.of_service(filter.service).filter(is_available);
-        let available: Vec<&Seat> = available
+        let available = targets.instances_of(filter.service).filter(is_available);
+        let available: Vec<&Instance> = available
             .filter(|instance| !self.is_superseded(targets, instance))
             .collect();
-        let eligible: Vec<&Seat> = available.iter().copied().filter(in_group).collect();
+        let eligible: Vec<&Instance> = available.iter().copied().filter(in_group).collect();
         let fraction = eligible.len() as f64 / available.len().max(1) as f64;
-        let mut with_load: Vec<(&Seat, RankLoad)> = eligible
+        let mut with_load: Vec<(&Instance, RankLoad)> = eligible
             .iter()
             .filter_map(|instance| reported(instance).map(|load| (*instance, load)))
             .collect();
@@ -147,8 +147,8 @@
 
     /// Whether a newer roster entry has the address of `instance`, unless that newer target was itself found to be
     /// replaced.
-    fn is_superseded(&self, targets: &Directory, instance: &Seat) -> bool {
-        if !instance.target.superseded {
+    fn is_superseded(&self, targets: &Directory, instance: &Instance) -> bool {
+        if !instance.target.is_superseded {
             return false;
         }
         let Some(newer) = targets.successor(&instance.target) else {
@@ -163,10 +163,10 @@
 
     /// The target with the fewest requests of this entry per slot. Ties go to the entry's own hall, then to a random
     /// one.
-    fn least_loaded<'t>(&self, ready: impl Iterator<Item = &'t Seat>, hall: &str) -> Option<&'t Seat> {
+    fn least_loaded<'t>(&self, ready: impl Iterator<Item = &'t Instance>, hall: &str) -> Option<&'t Instance> {
         let now = Instant::now();
         let targets = self.lock();
-        let cost = |instance: &Seat| {
+        let cost = |instance: &Instance| {
             let target = &instance.target;
             let state = targets.get(&instance.key);
             let own_requests = state.map_or(0, |state| state.in_flight);
@@ -184,17 +184,22 @@
 
     /// Draws one of the targets with a reported load, so that all entries together fill them evenly. `fraction` is the
     /// fraction of this entry's requests that may go to these targets.
-    fn draw_by_load<'t>(&self, with_load: &[(&'t Seat, RankLoad)], fraction: f64, hall: &str) -> Option<&'t Seat> {
+    fn draw_by_load<'t>(
+        &self,
+        with_load: &[(&'t Instance, RankLoad)],
+        fraction: f64,
+        hall: &str,
+    ) -> Option<&'t Instance> {
         let now = Instant::now();
         let expected_arrivals = self.expected_arrivals(now) * fraction;
         let targets = self.lock();
-        let is_avoided = |instance: &Seat| targets.get(&instance.key).is_some_and(|state| state.is_avoided(now));
-        let mut candidates: Vec<&(&Seat, RankLoad)> =
+        let is_avoided = |instance: &Instance| targets.get(&instance.key).is_some_and(|state| state.is_avoided(now));
+        let mut candidates: Vec<&(&Instance, RankLoad)> =
             with_load.iter().filter(|(instance, _)| !is_avoided(instance)).collect();
         if candidates.is_empty() {
             candidates = with_load.iter().collect();
         }
-        let candidate = |instance: &Seat, load: RankLoad| {
+        let candidate = |instance: &Instance, load: RankLoad| {
             let target = &instance.target;
             let state = targets.get(&instance.key);
             let own_requests = state.map_or(0, |state| state.in_flight);
@@ -206,9 +211,9 @@
             } else {
                 OTHER_HALL_PENALTY_REQUESTS
             };
-            let capacity = f64::from(target.slots.max(1)) / load.pace();
+            let capacity = f64::from(target.slots.max(1)) / load.slowdown();
             // The request itself takes longer on a slower rank.
-            let slowdown_cost = (load.pace() - 1.0).max(0.0) / f64::from(target.slots.max(1));
+            let slowdown_cost = (load.slowdown() - 1.0).max(0.0) / f64::from(target.slots.max(1));
             Candidate {
                 load: (requests + hall_penalty) / capacity + slowdown_cost,
                 capacity,
@@ -234,7 +239,7 @@
     }
 
     /// Counts a request as in flight at the target of `instance`.
-    pub(crate) fn begin_request(self: &Arc<Self>, instance: &Seat) -> InFlightGuard {
+    pub(crate) fn begin_request(self: &Arc<Self>, instance: &Instance) -> InFlightGuard {
         let now = Instant::now();
         if instance.target.membership.is_some() {
             let mut sends = self.group_sends.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/sparscale_gateway/src/metrics.rs
+++ b/crates/sparscale_gateway/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sparscale_belief::Board;
-use sparscale_catalog::Kind;
+use sparscale_catalog::RequestKind;
 use sparscale_mesh::Mesh;
 use sparscale_telemetry::{Counter, Histogram, Registry};
 
@@ -51,18 +51,18 @@
     }
 
     /// Records that the response, or the first event of a stream, has arrived, `elapsed` after the head of the request.
-    pub(crate) fn record_response(&self, kind: Kind, elapsed: Duration) {
-        self.response_times[kind_index(kind)].note(elapsed);
+    pub(crate) fn record_response(&self, kind: RequestKind, elapsed: Duration) {
+        self.response_times[kind_index(kind)].record(elapsed);
     }
 
     /// Records the end of a request.
-    pub(crate) fn record_end(&self, kind: Kind, outcome: &str, elapsed: Duration) {
-        self.request_times[kind_index(kind)].note(elapsed);
+    pub(crate) fn record_end(&self, kind: RequestKind, outcome: &str, elapsed: Duration) {
+        self.request_times[kind_index(kind)].record(elapsed);
         let labels = [("kind", KIND_LABELS[kind_index(kind)]), ("outcome", outcome)];
         let help = "Requests that are over, by outcome.";
         self.registry
             .counter("sparscale_requests_total", help, &labels)
-            .add_one();
+            .increment();
     }
 
     /// Records a request that was rejected before it was sent to any target.
@@ -71,18 +71,18 @@
         let labels = [("reason", reason.name())];
         self.registry
             .counter("sparscale_refused_total", help, &labels)
-            .add_one();
+            .increment();
     }
 }
 
 /// Values of the label `kind`, in the order of [`kind_index`].
 const KIND_LABELS: [&str; 3] = ["repeatable", "once", "stream"];
 
-fn kind_index(kind: Kind) -> usize {
+fn kind_index(kind: RequestKind) -> usize {
     match kind {
-        Kind::Repeatable => 0,
-        Kind::Once => 1,
-        Kind::Stream { .. } => 2,
+        RequestKind::Idempotent => 0,
+        RequestKind::AtMostOnce => 1,
+        RequestKind::Stream { .. } => 2,
     }
 }
 
@@ -113,7 +113,7 @@
     );
     let connections = gauge("sparscale_caller_connections", "Connections from callers.");
     let (board, mesh_status, connection_counter) = (Arc::clone(board), mesh.status(), Arc::clone(connection_counter));
-    registry.before_telling(move || {
+    registry.before_render(move || {
         let seconds = |age: Option<Duration>| age.map_or(-1.0, |age| age.as_secs_f64());
         catalog_age.set(seconds(board.catalog_age()));
         roster_age.set(seconds(board.roster_age()));
--- a/crates/sparscale_gateway/src/pool.rs
+++ b/crates/sparscale_gateway/src/pool.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use snafu::{ResultExt as _, Snafu};
 use socket2::SockRef;
-use sparscale_catalog::{Directory, Incarnation, Seat};
+use sparscale_catalog::{Directory, Incarnation, Instance};
 use sparscale_clock::{Clock, Timestamp};
 use sparscale_policy::budget;
 use tokio::net::TcpStream;
@@ -120,7 +120,7 @@
     /// Whether the process of a target that closed a connection has terminated, that is, nothing listens at its
     /// address. A target that does not respond may be partitioned instead. A connection that is opened goes into the
     /// pool.
-    pub(crate) async fn has_terminated(&self, instance: &Seat) -> bool {
+    pub(crate) async fn has_terminated(&self, instance: &Instance) -> bool {
         match connect(instance.target.address).await {
             Ok(connection) => {
                 self.put(instance.key, connection, &HeaderMap::new());
--- a/crates/sparscale_gateway/src/queues.rs
+++ b/crates/sparscale_gateway/src/queues.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sparscale_catalog::{Engine, Group};
+use sparscale_catalog::{EngineProfile, Group};
 use sparscale_mesh::Mesh;
 use sparscale_policy::backlog::Ticket;
 use sparscale_policy::group;
@@ -25,7 +25,7 @@
     pub(crate) request_id: &'a str,
     /// Name of the group.
     pub(crate) group: &'a str,
-    pub(crate) engine: &'a Engine,
+    pub(crate) engine: &'a EngineProfile,
     /// Maximum pause between events that the route allows.
     pub(crate) max_pause: Duration,
     /// Time within which the first event is due.
@@ -154,7 +154,7 @@
     }
 
     /// Admits waiting requests after the load report of a group has changed.
-    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &Engine, max_pause: Duration) {
+    pub(crate) fn refresh(&self, group: Group<'_>, open_fraction: f64, engine: &EngineProfile, max_pause: Duration) {
         let mut queues = self.lock();
         let arrival = Arrival {
             request_id: "",
--- a/crates/sparscale_gateway/src/respond.rs
+++ b/crates/sparscale_gateway/src/respond.rs
@@ -41,7 +41,10 @@
             Err(refusal) => {
                 let status = refusal.reason.status().as_u16();
                 self.record_end(&job, refusal.reason.name(), &history.attempted_targets, status);
-                refusal.response(&self.target_client.dialect.request_id, job.outbound.head.id.as_ref())
+                refusal.response(
+                    &self.target_client.header_names.request_id,
+                    job.outbound.head.id.as_ref(),
+                )
             }
         }
     }
@@ -184,7 +187,7 @@
                 }
                 Ok(None) => {
                     let request = &self.job.outbound.fingerprint;
-                    self.gateway.board.quarantine.record_answer(request);
+                    self.gateway.board.quarantine.record_response(request);
                     self.finish("streamed");
                     return None;
                 }
@@ -261,7 +264,7 @@
             return false;
         };
         log::info!(target: DECISION, decision = "resumed", request = self.job.outbound.head.id_text(), after = self.job.outbound.last_event_id, loss = error.name(); "stream resumed at another target");
-        self.gateway.metrics.resumed_streams.add_one();
+        self.gateway.metrics.resumed_streams.increment();
         self.first_event = stream.first_event;
         self.events = stream.events;
         self.in_flight = stream.in_flight;
--- a/crates/sparscale_gateway/src/response_monitor.rs
+++ b/crates/sparscale_gateway/src/response_monitor.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sparscale_catalog::{Directory, Seat};
+use sparscale_catalog::{Directory, Instance};
 use sparscale_policy::response_timeout::{Evidence, ResponsePart};
 use sparscale_policy::response_tracker::{PendingResponse, Tracker};
 use sparscale_wire::GroupLoad;
@@ -35,7 +35,7 @@
 
 impl ResponseMonitor {
     /// Records that a target has sent the awaited part of a response; the wait started at `since`.
-    pub(crate) fn record_response(&self, instance: &Seat, response_part: ResponsePart, since: Instant) {
+    pub(crate) fn record_response(&self, instance: &Instance, response_part: ResponsePart, since: Instant) {
         let now = Instant::now();
         let elapsed = now.saturating_duration_since(since);
         self.lock()
@@ -87,11 +87,11 @@
 /// Counts a wait for a target until dropped.
 struct WaitGuard<'a> {
     monitor: &'a ResponseMonitor,
-    instance: &'a Seat,
+    instance: &'a Instance,
 }
 
 impl<'a> WaitGuard<'a> {
-    fn new(monitor: &'a ResponseMonitor, instance: &'a Seat) -> Self {
+    fn new(monitor: &'a ResponseMonitor, instance: &'a Instance) -> Self {
         monitor.lock().begin_wait(instance);
         Self { monitor, instance }
     }
--- a/crates/sparscale_gateway/src/server.rs
+++ b/crates/sparscale_gateway/src/server.rs
@@ -73,8 +73,8 @@
     fn deadline(&self, limits: &Limits) -> Option<Instant> {
         let since = *self.since.lock().unwrap_or_else(PoisonError::into_inner);
         match self.wait.load(Ordering::Relaxed) {
-            wait if wait == Wait::Request as u8 => Some(since + limits.idle_time + IDLE_MARGIN),
-            wait if wait == Wait::Head as u8 => Some(since + limits.header_time),
+            wait if wait == Wait::Request as u8 => Some(since + limits.idle_timeout + IDLE_MARGIN),
+            wait if wait == Wait::Head as u8 => Some(since + limits.header_timeout),
             _ => None,
         }
     }
@@ -219,13 +219,13 @@
     });
     let serving = http1::Builder::new()
         .auto_date_header(false)
-        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     let mut serving = pin!(serving);
     let mut is_closing = false;
     loop {
         let deadline = tracker.deadline(&limits);
-        let next_check = deadline.unwrap_or_else(|| Instant::now() + limits.header_time);
+        let next_check = deadline.unwrap_or_else(|| Instant::now() + limits.header_timeout);
         tokio::select! {
             // An error needs no handling: the caller sees how its connection ended.
             _ended = serving.as_mut() => return,
--- a/crates/sparscale_gateway/src/settings.rs
+++ b/crates/sparscale_gateway/src/settings.rs
@@ -14,7 +14,7 @@
 use sparscale_wire::EndpointError;
 
 use crate::admission::Freshness;
-use crate::dialect::Dialect;
+use crate::header_names::HeaderNames;
 
 /// Validated settings of a gateway.
 #[derive(Debug, Clone)]
@@ -24,31 +24,31 @@
     /// Hall of the box that this process runs on.
     pub hall: String,
     /// Address that callers connect to.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of the readiness check for the load balancer in front.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Address that other processes of the system connect to.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Addresses of other entries to connect to at startup.
     pub seeds: Vec<SocketAddr>,
     /// Time between two messages on a link without updates.
-    pub interval: Duration,
+    pub keepalive_interval: Duration,
     /// Maximum age of the catalog for decisions about requests.
     pub freshness: Freshness,
     /// Retry budget, shared by all entries.
     pub allowance: Allowance,
     /// Age of the observed state at which the first of the entries reads the store.
-    pub read_interval: Duration,
+    pub max_observation_age: Duration,
     /// Time that each further entry waits longer than the one before it.
-    pub read_step: Duration,
+    pub read_delay_per_entry: Duration,
     /// Time after SIGTERM during which connections are still accepted, so that the load balancer can notice the stop.
-    pub leave_time: Duration,
+    pub drain_notice_time: Duration,
     /// Time after SIGTERM after which the process exits even if requests are in flight.
-    pub grace: Duration,
+    pub shutdown_timeout: Duration,
 }
 
 /// Dependencies of a gateway.
-pub struct Parts {
+pub struct Dependencies {
     /// Source of the catalog.
     pub catalog: Box<dyn Source<Catalog>>,
     /// Source of the roster.
@@ -60,15 +60,15 @@
     /// Clock for deadlines and for the age of the observed state; counts suspended time.
     pub clock: Arc<dyn Clock>,
     /// Header names.
-    pub dialect: Dialect,
+    pub header_names: HeaderNames,
     /// Registry of the process's metrics.
     pub registry: Arc<Registry>,
 }
 
-impl std::fmt::Debug for Parts {
+impl std::fmt::Debug for Dependencies {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Parts")
-            .field("dialect", &self.dialect)
+            .field("dialect", &self.header_names)
             .finish_non_exhaustive()
     }
 }
--- a/crates/sparscale_gateway/src/stragglers.rs
+++ b/crates/sparscale_gateway/src/stragglers.rs
@@ -26,7 +26,7 @@
         let mut groups: HashMap<&str, Option<GroupStragglers>> = HashMap::new();
         let mut stragglers = BTreeSet::new();
         let mut names = Vec::new();
-        for instance in targets.seats() {
+        for instance in targets.instances() {
             let Some(membership) = &instance.target.membership else {
                 continue;
             };
@@ -36,7 +36,7 @@
                 Some((load, slow_ranks))
             });
             let Some((load, slow_ranks)) = report else { continue };
-            let from_current_start = load.rank(membership.rank, instance.target.start_mark()).is_some();
+            let from_current_start = load.rank_load(membership.rank, instance.target.start_mark()).is_some();
             if from_current_start && slow_ranks.contains(&membership.rank) {
                 stragglers.insert(instance.key);
                 names.push(instance.target.id.as_str());
--- a/crates/sparscale_gateway/tests/path/attempts.rs
+++ b/crates/sparscale_gateway/tests/path/attempts.rs
@@ -98,11 +98,11 @@
     let mut document = samples::document(1);
     document.routes[0].shares = vec![
         sparscale_catalog::Share {
-            service: samples::CALC.to_owned(),
+            service: samples::PLAIN_SERVICE.to_owned(),
             weight: 3,
         },
         sparscale_catalog::Share {
-            service: samples::MODEL.to_owned(),
+            service: samples::MODEL_SERVICE.to_owned(),
             weight: 1,
         },
     ];
--- a/crates/sparscale_gateway/tests/path/bounds.rs
+++ b/crates/sparscale_gateway/tests/path/bounds.rs
@@ -11,10 +11,10 @@
 fn fixture(target: &Target) -> Fixture {
     let mut document = samples::document(1);
     document.limits = Limits {
-        header_bytes: 9_000,
-        body_bytes: 1_000,
-        header_time: Duration::from_millis(500),
-        idle_time: Duration::from_millis(800),
+        max_header_bytes: 9_000,
+        max_body_bytes: 1_000,
+        header_timeout: Duration::from_millis(500),
+        idle_timeout: Duration::from_millis(800),
     };
     Fixture::with(settings(), document, &[target], &[])
 }
--- a/crates/sparscale_gateway/tests/path/entry.rs
+++ b/crates/sparscale_gateway/tests/path/entry.rs
@@ -7,9 +7,9 @@
 
 use async_trait::async_trait;
 use sparscale_belief::{Archive, Error, Source, Versioned};
-use sparscale_catalog::{Catalog, Document, Roster, Standing, Target as RosterTarget};
+use sparscale_catalog::{Catalog, Document, Roster, Target as RosterTarget, TargetStatus};
 use sparscale_clock::Clock;
-use sparscale_gateway::{Allowance, Dialect, Entry, Freshness, Parts, Settings};
+use sparscale_gateway::{Allowance, Dependencies, Entry, Freshness, HeaderNames, Settings};
 use sparscale_quarantine::Strike;
 use sparscale_samples as samples;
 use tokio::runtime::Runtime;
@@ -92,7 +92,7 @@
     pub catalogs: FakeStore<Catalog>,
     pub rosters: FakeStore<Roster>,
     pub strikes: FakeStrikeStore,
-    pub clock: Arc<samples::Sleeper>,
+    pub clock: Arc<samples::SuspendableClock>,
     pub runtime: Runtime,
 }
 
@@ -102,11 +102,11 @@
     Settings {
         name: "entry".to_owned(),
         hall: "derby".to_owned(),
-        callers: any_port,
-        ready: any_port,
-        peers: any_port,
+        caller_address: any_port,
+        ready_address: any_port,
+        peer_address: any_port,
         seeds: Vec::new(),
-        interval: Duration::from_millis(100),
+        keepalive_interval: Duration::from_millis(100),
         freshness: Freshness {
             max_age_with_key: Duration::from_secs(3),
             max_age_for_denial: Duration::from_secs(2),
@@ -118,10 +118,10 @@
             slack: 40.0,
             window: Duration::from_secs(10),
         },
-        read_interval: Duration::from_millis(100),
-        read_step: Duration::from_millis(50),
-        leave_time: Duration::from_millis(300),
-        grace: Duration::from_secs(5),
+        max_observation_age: Duration::from_millis(100),
+        read_delay_per_entry: Duration::from_millis(50),
+        drain_notice_time: Duration::from_millis(300),
+        shutdown_timeout: Duration::from_secs(5),
     }
 }
 
@@ -151,14 +151,14 @@
             .enable_all()
             .build()
             .expect("a runtime");
-        let clock = Arc::new(samples::Sleeper::default());
-        let parts = Parts {
+        let clock = Arc::new(samples::SuspendableClock::default());
+        let parts = Dependencies {
             catalog: Box::new(catalogs.clone()),
             roster: Box::new(rosters.clone()),
             strikes: Box::new(strikes.clone()),
             archive: Box::new(strikes.clone()),
             clock: Arc::clone(&clock) as Arc<dyn Clock>,
-            dialect: Dialect::own().expect("proper names"),
+            header_names: HeaderNames::defaults().expect("proper names"),
             registry: Arc::default(),
         };
         let entry = runtime.block_on(Entry::start(settings, parts)).expect("free ports");
@@ -240,15 +240,15 @@
         });
         roster_targets.collect()
     };
-    let mut targets = list("c", samples::CALC, plain);
-    targets.extend(list("m", samples::MODEL, model));
+    let mut targets = list("c", samples::PLAIN_SERVICE, plain);
+    targets.extend(list("m", samples::MODEL_SERVICE, model));
     Roster::new(targets)
 }
 
 /// The same roster with all its targets draining.
 pub fn draining(roster: &Roster) -> Roster {
     let drain = |target: &RosterTarget| RosterTarget {
-        standing: Standing::Leaving,
+        status: TargetStatus::Draining,
         ..target.clone()
     };
     Roster::new(roster.targets.iter().map(drain).collect())
@@ -272,7 +272,7 @@
                 ("Host".to_owned(), samples::HOST.to_owned()),
                 ("X-Request-Id".to_owned(), id.to_owned()),
                 ("X-Deadline-Ms".to_owned(), "5000".to_owned()),
-                ("Authorization".to_owned(), format!("Bearer {}", samples::KEY)),
+                ("Authorization".to_owned(), format!("Bearer {}", samples::CALLER_KEY)),
             ],
             body: String::new(),
         }
--- a/crates/sparscale_gateway/tests/path/groups.rs
+++ b/crates/sparscale_gateway/tests/path/groups.rs
@@ -29,13 +29,13 @@
             group: GROUP.to_owned(),
             rank,
             size: targets.len(),
-            open: true,
+            is_open: true,
         });
     }
     fixture.rosters.put(Roster::new(ranks), 2);
     wait_for("the group", || {
         let observation = fixture.entry.board.targets();
-        observation.is_some_and(|observation| !observation.value.places(GROUP, 0).is_empty())
+        observation.is_some_and(|observation| !observation.value.addresses_of_rank(GROUP, 0).is_empty())
     });
     fixture
 }
@@ -44,17 +44,17 @@
 pub fn load_report(serial: u64, slowdowns_milli: &[u32]) -> GroupLoad {
     let rank = |slowdown_milli: &u32| RankLoad {
         running: 1,
-        pace_milli: *slowdown_milli,
+        slowdown_milli: *slowdown_milli,
         ..RankLoad::default()
     };
     GroupLoad {
         group: GROUP.to_owned(),
-        order: (1, serial),
-        open: true,
+        sequence: (1, serial),
+        is_running: true,
         skew: 1.1,
-        pass_micros: 40_000,
-        pass: serial,
-        ranks: slowdowns_milli.iter().map(|slowdown| Some(rank(slowdown))).collect(),
+        mean_pass_micros: 40_000,
+        latest_pass: serial,
+        rank_loads: slowdowns_milli.iter().map(|slowdown| Some(rank(slowdown))).collect(),
     }
 }
 
@@ -273,13 +273,13 @@
             group: if index < 2 { "a" } else { "z" }.to_owned(),
             rank: index % 2,
             size: 2,
-            open: true,
+            is_open: true,
         });
     }
     fixture.rosters.put(Roster::new(ranks), 2);
     wait_for("both groups", || {
         let observation = fixture.entry.board.targets();
-        observation.is_some_and(|observation| observation.value.groups_of(samples::MODEL).count() == 2)
+        observation.is_some_and(|observation| observation.value.groups_of(samples::MODEL_SERVICE).count() == 2)
     });
     for group in ["a", "z"] {
         let report = GroupLoad {
--- a/crates/sparscale_gateway/tests/path/requested_backoffs.rs
+++ b/crates/sparscale_gateway/tests/path/requested_backoffs.rs
@@ -137,7 +137,7 @@
     };
     let mut document = samples::document(1);
     for route in &mut document.routes {
-        route.attempts = 2;
+        route.max_attempts = 2;
     }
     let fixture = Fixture::with(crate::entry::settings(), document, &[], &[&limited, &interrupting]);
     send_requests(&fixture, "/stream/x", BACKOFF);
--- a/crates/sparscale_gateway/tests/path/requests.rs
+++ b/crates/sparscale_gateway/tests/path/requests.rs
@@ -123,7 +123,7 @@
     let stream = document.routes[2].kind;
     document
         .routes
-        .push(samples::route("any/deep", stream, samples::MODEL, 2));
+        .push(samples::route("any/deep", stream, samples::MODEL_SERVICE, 2));
     let fixture = Fixture::with(crate::entry::settings(), document, &[&plain], &[&model]);
     assert_eq!(fixture.fetch(&Request::new("GET", "/any/deeper", "r-1")).status, 200);
     assert_eq!(fixture.fetch(&Request::new("GET", "/any/deep/x", "r-2")).status, 200);
--- a/crates/sparscale_gateway/tests/path/restarted_targets.rs
+++ b/crates/sparscale_gateway/tests/path/restarted_targets.rs
@@ -100,7 +100,7 @@
             group: "g".to_owned(),
             rank,
             size: targets.len(),
-            open: true,
+            is_open: true,
         });
     }
     Roster::new(ranks)
@@ -116,8 +116,8 @@
     let fixture = Fixture::new(&[], &target_refs);
     publish(&fixture, ranks(&target_refs, 1_000), 2);
     let mut report = load_report(1, &[1_000, 12_000]);
-    for rank in report.ranks.iter_mut().flatten() {
-        rank.start = sparscale_catalog::start_mark(Some(1_000));
+    for rank in report.rank_loads.iter_mut().flatten() {
+        rank.start_marker = sparscale_catalog::start_mark(Some(1_000));
     }
     fixture.entry.mesh.merge_group_load(report, true);
     let fetch_stream_status = |id: &str| fixture.fetch(&Request::new("POST", "/stream/x", id)).status;
@@ -151,7 +151,7 @@
         ..base_roster.targets[0].clone()
     };
     let registrations = vec![(base_roster.targets[0].clone(), 1), (duplicate, 2), (foreign, 3)];
-    publish(&fixture, Roster::of_latest(registrations), 2);
+    publish(&fixture, Roster::with_superseded_marked(registrations), 2);
     for round in 0..20 {
         assert_eq!(fetch_status(&fixture, &format!("r-{round}")), 200);
     }
@@ -181,13 +181,13 @@
             group: "another".to_owned(),
             rank: 0,
             size: 1,
-            open: true,
+            is_open: true,
         }),
-        ..samples::target("0", samples::MODEL, 1)
+        ..samples::target("0", samples::MODEL_SERVICE, 1)
     });
     publish(&fixture, Roster::new(registrations), 2);
     let observed = fixture.entry.board.targets().expect("a roster").value;
-    let groups = observed.groups_of(samples::MODEL);
+    let groups = observed.groups_of(samples::MODEL_SERVICE);
     let names_and_sizes: Vec<_> = groups.map(|group| (group.name, group.size)).collect();
     assert_eq!(names_and_sizes, [("g", 2)]);
 }
--- a/crates/sparscale_gateway/tests/path/suspended.rs
+++ b/crates/sparscale_gateway/tests/path/suspended.rs
@@ -23,7 +23,7 @@
     let fixture = Fixture::new(&[&target], &[]);
     fixture.catalogs.make_unavailable();
     assert_eq!(fixture.fetch(&Request::new("GET", "/any/x", "before")).status, 200);
-    fixture.clock.wake_after(SUSPENDED_TIME);
+    fixture.clock.suspend_for(SUSPENDED_TIME);
     let response = fixture.fetch(&Request::new("GET", "/any/x", "after"));
     assert_eq!(response.status, 503);
     assert!(response.body.contains("stale_catalog"), "{}", response.body);
@@ -47,7 +47,7 @@
     }
     let arrivals = || targets.iter().map(|target| target.arrivals().len()).sum::<usize>();
     assert_eq!(arrivals(), 20);
-    fixture.clock.wake_after(SUSPENDED_TIME);
+    fixture.clock.suspend_for(SUSPENDED_TIME);
     for number in 0..6 {
         fixture.fetch(&Request::new("GET", "/open/x", &format!("spends-{number}")));
     }
@@ -59,12 +59,12 @@
 /// The caller's deadline passed during the suspension, so the request is not sent again.
 #[test]
 fn deadline_passed_while_suspended() {
-    let sleeping_clock: Arc<Mutex<Option<Arc<samples::Sleeper>>>> = Arc::default();
+    let sleeping_clock: Arc<Mutex<Option<Arc<samples::SuspendableClock>>>> = Arc::default();
     let targets = [0, 1].map(|_| {
         let sleeping_clock = Arc::clone(&sleeping_clock);
         Target::start(move |arrival, connection| {
             if let Some(clock) = sleeping_clock.lock().expect("no panic").as_ref() {
-                clock.wake_after(SUSPENDED_TIME);
+                clock.suspend_for(SUSPENDED_TIME);
             }
             connection.reject(arrival);
         })
@@ -86,7 +86,7 @@
         fixture.fetch(&Request::new("GET", "/any/x", &format!("before-{number}")));
     }
     assert_eq!(target.connection_count(), 1);
-    fixture.clock.wake_after(SUSPENDED_TIME);
+    fixture.clock.suspend_for(SUSPENDED_TIME);
     // The key is accepted again once the store has been read.
     crate::entry::wait_for("a response", || {
         fixture.fetch(&Request::new("GET", "/any/x", "after")).status == 200
--- a/crates/sparscale_gateway/tests/path/unresponsive.rs
+++ b/crates/sparscale_gateway/tests/path/unresponsive.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use sparscale_catalog::{Document, Kind};
+use sparscale_catalog::{Document, RequestKind};
 use sparscale_samples as samples;
 
 use crate::entry::{Fixture, Request, settings};
@@ -87,9 +87,13 @@
 fn document() -> Document {
     let mut document = samples::document(1);
     for route in &mut document.routes {
-        route.objective = OBJECTIVE;
+        route.latency_objective = OBJECTIVE;
         route.timeout = TIMEOUT;
-        if let Kind::Stream { longest_pause, .. } = &mut route.kind {
+        if let RequestKind::Stream {
+            max_pause: longest_pause,
+            ..
+        } = &mut route.kind
+        {
             *longest_pause = Some(MAX_PAUSE);
         }
     }
@@ -123,7 +127,7 @@
     let serial = serial.fetch_add(1, Ordering::SeqCst) as u64 + 1;
     let mut report = load_report(serial, &vec![1_000; ranks.targets.len()]);
     if let Some(frozen_rank) = ranks.frozen_rank() {
-        report.ranks[frozen_rank] = None;
+        report.rank_loads[frozen_rank] = None;
     }
     fixture.entry.mesh.merge_group_load(report, true);
 }
@@ -172,7 +176,7 @@
     let ranks = Ranks::start(4, 0);
     let fixture = fixture(&ranks.targets);
     let mut report = load_report(1, &[1_000; 4]);
-    report.ranks[2] = None;
+    report.rank_loads[2] = None;
     fixture.entry.mesh.merge_group_load(report, true);
     for round in 0..40 {
         assert_eq!(fixture.fetch(&stream_request(&format!("r-{round}"))).status, 200);
--- a/crates/sparscale_journal/src/budget.rs
+++ b/crates/sparscale_journal/src/budget.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::record::Body;
+use crate::record::RecordBody;
 
 /// Kind of record; each has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -48,14 +48,14 @@
     }
 
     /// Returns the kind of `body`.
-    pub fn of(body: &Body) -> Self {
+    pub fn of(body: &RecordBody) -> Self {
         match body {
-            Body::Publish(_) | Body::Approve(_) | Body::Roll(_) => Self::Operator,
-            Body::Claim(_) => Self::Claim,
-            Body::Map(_) => Self::Map,
-            Body::Bind(_) => Self::Bind,
-            Body::Snapshot(_) => Self::Snapshot,
-            Body::Strike(_) => Self::Strike,
+            RecordBody::Publish(_) | RecordBody::Approve(_) | RecordBody::Roll(_) => Self::Operator,
+            RecordBody::Claim(_) => Self::Claim,
+            RecordBody::Map(_) => Self::Map,
+            RecordBody::Bind(_) => Self::Bind,
+            RecordBody::Snapshot(_) => Self::Snapshot,
+            RecordBody::Strike(_) => Self::Strike,
         }
     }
 }
--- a/crates/sparscale_journal/src/fold.rs
+++ b/crates/sparscale_journal/src/fold.rs
@@ -12,8 +12,8 @@
 use sparscale_quarantine::Strike;
 
 use crate::record::{
-    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, MapChange, Publish, Record, RecordId, Roll,
-    Snapshot,
+    Approve, Binding, BindingKey, BundleContent, Claim, DecodeError, MapChange, Publish, Record, RecordBody, RecordId,
+    Roll, Snapshot,
 };
 use crate::state::{
     Holder, MAX_REMEMBERED_BINDINGS, MAX_REMEMBERED_IDS, MAX_REMEMBERED_STRIKES, PlacedMap, Proposal, State,
@@ -227,19 +227,19 @@
         }
     }
 
-    fn judge(&mut self, offset: u64, body: &Body) -> Verdict {
+    fn judge(&mut self, offset: u64, body: &RecordBody) -> Verdict {
         let result = match body {
-            Body::Publish(publish) => self.publish(offset, publish),
-            Body::Approve(approve) => self.approve(approve),
-            Body::Roll(roll) => self.roll(offset, roll),
-            Body::Claim(claim) => self.claim(offset, claim),
-            Body::Map(change) => self.change_map(offset, change),
-            Body::Bind(binding) => self.bind(binding),
-            Body::Strike(strike) => {
+            RecordBody::Publish(publish) => self.publish(offset, publish),
+            RecordBody::Approve(approve) => self.approve(approve),
+            RecordBody::Roll(roll) => self.roll(offset, roll),
+            RecordBody::Claim(claim) => self.claim(offset, claim),
+            RecordBody::Map(change) => self.change_map(offset, change),
+            RecordBody::Bind(binding) => self.bind(binding),
+            RecordBody::Strike(strike) => {
                 self.record_strike(*strike);
                 Ok(())
             }
-            Body::Snapshot(snapshot) => return self.check_snapshot(snapshot),
+            RecordBody::Snapshot(snapshot) => return self.check_snapshot(snapshot),
         };
         result.map_or_else(Verdict::Refused, |()| Verdict::Accepted)
     }
@@ -287,8 +287,8 @@
 
     fn resulting_bundle(&self, publish: &Publish) -> Result<Bundle, Refusal> {
         let bundle = match &publish.content {
-            Content::Whole(bundle) => bundle.clone(),
-            Content::Delta(delta) => {
+            BundleContent::Whole(bundle) => bundle.clone(),
+            BundleContent::Delta(delta) => {
                 let base = self
                     .active_certificate
                     .as_ref()
@@ -355,7 +355,7 @@
 
     fn claim(&mut self, offset: u64, claim: &Claim) -> Result<(), Refusal> {
         let current = self.holders.get(&claim.duty);
-        if let Some(holder) = current.filter(|holder| holder.fence != claim.over) {
+        if let Some(holder) = current.filter(|holder| holder.fence != claim.superseded_fence) {
             let node = &holder.node;
             return DutyTakenSnafu {
                 node,
@@ -403,7 +403,7 @@
             number: offset + 1,
             base: change.base,
             map: Arc::new(change.map.clone()),
-            before: latest.map(|placed| Arc::clone(&placed.map)),
+            previous: latest.map(|placed| Arc::clone(&placed.map)),
         };
         self.maps.insert(change.group.clone(), placed);
         Ok(())
@@ -428,9 +428,10 @@
 
     /// Records a strike; for a known strike only the standing may change, from counting to cleared.
     fn record_strike(&mut self, strike: Strike) {
-        let is_same_strike = |known: &&mut Strike| (known.request, known.end) == (strike.request, strike.end);
+        let is_same_strike =
+            |known: &&mut Strike| (known.request, known.ended_start) == (strike.request, strike.ended_start);
         if let Some(known) = self.strikes.iter_mut().find(is_same_strike) {
-            known.standing = known.standing.max(strike.standing);
+            known.status = known.status.max(strike.status);
             return;
         }
         self.strikes.push_back(strike);
--- a/crates/sparscale_journal/src/http.rs
+++ b/crates/sparscale_journal/src/http.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Deserialize;
 
-use crate::log::{Batch, Entry, Error, Log};
+use crate::log::{Batch, Error, Log, LogEntry};
 
 /// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
@@ -102,7 +102,7 @@
         let request = http::Request::get(address).body(Full::default()).map_err(refused)?;
         let body = self.call(request, self.timeout + wait).await?;
         let page: ReadResponse = serde_json::from_slice(&body).map_err(lost)?;
-        let entries: Result<Vec<Entry>, Error> = page.records.into_iter().map(EncodedEntry::decode).collect();
+        let entries: Result<Vec<LogEntry>, Error> = page.records.into_iter().map(EncodedEntry::decode).collect();
         Ok(Batch {
             earliest: page.earliest,
             next: page.next,
@@ -112,9 +112,9 @@
 }
 
 impl EncodedEntry {
-    fn decode(self) -> Result<Entry, Error> {
+    fn decode(self) -> Result<LogEntry, Error> {
         let data = STANDARD.decode(&self.data).map_err(lost)?;
-        Ok(Entry {
+        Ok(LogEntry {
             offset: self.offset,
             data: data.into(),
         })
--- a/crates/sparscale_journal/src/lib.rs
+++ b/crates/sparscale_journal/src/lib.rs
@@ -15,11 +15,11 @@
 pub use budget::{Budget, RecordKind};
 pub use fold::{Outcome, Refusal, Verdict, shape};
 pub use http::HttpLog;
-pub use log::{Batch, Entry, Error as LogError, Log};
+pub use log::{Batch, Error as LogError, Log, LogEntry};
 pub use reader::{Alarm, Error as ReaderError, Reader, without_image};
 pub use record::{
-    Approve, Binding, BindingKey, Body, Claim, Content, DecodeError, Duty, MapChange, Publish, Record, RecordId, Roll,
-    Snapshot,
+    Approve, Binding, BindingKey, BundleContent, Claim, DecodeError, Duty, MapChange, Publish, Record, RecordBody,
+    RecordId, Roll, Snapshot,
 };
 pub use state::{Certificate, Holder, Image, PlacedMap, Proposal, State};
-pub use writer::{CatchUpError, Receipt, Settled, Writer};
+pub use writer::{CatchUpError, Receipt, SubmitOutcome, Writer};
--- a/crates/sparscale_journal/src/log.rs
+++ b/crates/sparscale_journal/src/log.rs
@@ -8,7 +8,7 @@
 
 /// One stored record: offset and encoded bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct LogEntry {
     /// Offset of the record.
     pub offset: u64,
     /// The record's bytes.
@@ -23,7 +23,7 @@
     /// Offset that the next append will receive.
     pub next: u64,
     /// Records in offset order, starting at the requested offset.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 /// A failed call of the log.
--- a/crates/sparscale_journal/src/reader.rs
+++ b/crates/sparscale_journal/src/reader.rs
@@ -8,8 +8,8 @@
 use sparscale_bundle::{Operator, sign};
 
 use crate::fold::{Outcome, Verdict};
-use crate::log::{Batch, Entry};
-use crate::record::{Body, Record, Snapshot};
+use crate::log::{Batch, LogEntry};
+use crate::record::{Record, RecordBody, Snapshot};
 use crate::state::{Image, State};
 
 /// A fault that operators must investigate.
@@ -93,7 +93,7 @@
         batch: &Batch,
         mut on_outcome: impl FnMut(u64, &Outcome),
         mut on_alarm: impl FnMut(Alarm),
-    ) -> Result<Vec<Entry>, Error> {
+    ) -> Result<Vec<LogEntry>, Error> {
         self.bridge_gap(batch)?;
         let mut new_entries = Vec::new();
         for entry in &batch.entries {
@@ -180,7 +180,7 @@
         .rev()
         .find_map(|entry| match Record::decode(&entry.data) {
             Ok(Record {
-                body: Body::Snapshot(snapshot),
+                body: RecordBody::Snapshot(snapshot),
                 ..
             }) if snapshot.head >= batch.earliest && !snapshot.image.is_empty() => Some(snapshot),
             _ => None,
@@ -188,17 +188,17 @@
 }
 
 /// Returns a copy of `entry` without the image of a snapshot, for a reader that already has the state.
-pub fn without_image(entry: &Entry) -> Entry {
+pub fn without_image(entry: &LogEntry) -> LogEntry {
     match Record::decode(&entry.data) {
         Ok(Record {
             id,
-            body: Body::Snapshot(snapshot),
+            body: RecordBody::Snapshot(snapshot),
         }) => {
-            let body = Body::Snapshot(Snapshot {
+            let body = RecordBody::Snapshot(Snapshot {
                 image: Vec::new(),
                 ..snapshot
             });
-            Entry {
+            LogEntry {
                 offset: entry.offset,
                 data: Bytes::from(Record { id, body }.encode()),
             }
--- a/crates/sparscale_journal/src/record.rs
+++ b/crates/sparscale_journal/src/record.rs
@@ -55,12 +55,12 @@
     /// Unique id.
     pub id: RecordId,
     /// Content of the record.
-    pub body: Body,
+    pub body: RecordBody,
 }
 
 /// Content of a record, by kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum RecordBody {
     /// An operator publishes a new bundle version.
     Publish(Box<Publish>),
     /// Another operator approves the version.
@@ -91,14 +91,14 @@
     /// Hash of the resulting bundle.
     pub hash: Hash,
     /// The bundle, complete or as a delta to the base.
-    pub content: Content,
+    pub content: BundleContent,
     /// Signature over [`Self::statement`].
     pub signature: sign::Signature,
 }
 
 /// Content of a publish record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Content {
+pub enum BundleContent {
     /// The complete bundle.
     Whole(Bundle),
     /// Changes to the base.
@@ -152,7 +152,7 @@
     /// Incarnation of that process.
     pub incarnation: u64,
     /// Fence of the holder that the claim replaces, 0 for none; of two claims with the same value the first wins.
-    pub over: u64,
+    pub superseded_fence: u64,
 }
 
 /// Change of a group's expert map.
@@ -201,7 +201,7 @@
     /// Incarnation of that agent; no other incarnation may run the request.
     pub incarnation: u64,
     /// SHA-256 of the request's body, to detect the use of one key for two different requests.
-    pub body: [u8; 32],
+    pub body_hash: [u8; 32],
 }
 
 /// A copy of the folded state, from which a reader starts when older records have expired.
@@ -243,7 +243,7 @@
 
 impl Record {
     /// Creates a record with a random id.
-    pub fn new(body: Body) -> Self {
+    pub fn new(body: RecordBody) -> Self {
         Self {
             id: RecordId::random(),
             body,
@@ -275,27 +275,27 @@
 impl Publish {
     /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
-        statement(sign::Act::Publish, &self.author, self.version, self.base, self.hash)
+        statement(sign::Action::Publish, &self.author, self.version, self.base, self.hash)
     }
 }
 
 impl Approve {
     /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
-        statement(sign::Act::Approve, &self.author, self.version, self.base, self.hash)
+        statement(sign::Action::Approve, &self.author, self.version, self.base, self.hash)
     }
 }
 
 impl Roll {
     /// Returns the statement that the author signs.
     pub fn statement(&self) -> sign::Statement {
-        statement(sign::Act::Roll, &self.author, self.version, self.base, self.hash)
+        statement(sign::Action::Roll, &self.author, self.version, self.base, self.hash)
     }
 }
 
-fn statement(act: sign::Act, author: &str, version: u64, base: u64, hash: Hash) -> sign::Statement {
+fn statement(act: sign::Action, author: &str, version: u64, base: u64, hash: Hash) -> sign::Statement {
     sign::Statement {
-        act,
+        action: act,
         author: author.to_owned(),
         version,
         base,
--- a/crates/sparscale_journal/src/state.rs
+++ b/crates/sparscale_journal/src/state.rs
@@ -61,7 +61,7 @@
     /// Verifies the signatures of publisher and approver against `operators`.
     pub fn verify(&self, operators: &[Operator]) -> Result<(), sign::Error> {
         let statement = sign::Statement {
-            act: sign::Act::Publish,
+            action: sign::Action::Publish,
             author: self.publisher.clone(),
             version: self.bundle.version(),
             base: self.base,
@@ -69,7 +69,7 @@
         };
         sign::verify(&statement, &self.signature, operators)?;
         let approval = sign::Statement {
-            act: sign::Act::Approve,
+            action: sign::Action::Approve,
             author: self.approval.author.clone(),
             ..statement
         };
@@ -102,7 +102,7 @@
     /// The expert map.
     pub map: Arc<Map>,
     /// Previous map, which ranks use until they have switched.
-    pub before: Option<Arc<Map>>,
+    pub previous: Option<Arc<Map>>,
 }
 
 /// State that results from folding all records of the log.
--- a/crates/sparscale_journal/src/writer.rs
+++ b/crates/sparscale_journal/src/writer.rs
@@ -22,7 +22,7 @@
 
 /// Result of an append.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Settled {
+pub enum SubmitOutcome {
     /// The log has the record, and the fold has judged it.
     Judged(Receipt),
     /// The log does not have the record.
@@ -107,7 +107,7 @@
     ///
     /// After a lost response the log is read; the record is appended again, under the same id, only if the log does
     /// not contain it yet. The fold ignores a copy that appears later.
-    pub async fn submit(&mut self, record: &Record, deadline: Instant) -> Settled {
+    pub async fn submit(&mut self, record: &Record, deadline: Instant) -> SubmitOutcome {
         let data = Bytes::from(record.encode());
         let mut maybe_appended = false;
         let mut delay = INITIAL_RETRY_DELAY;
@@ -124,7 +124,7 @@
                 Err(log::Error::Refused { message }) => message,
             };
             if maybe_appended && let Some(receipt) = self.find_receipt(record.id).await {
-                return Settled::Judged(receipt);
+                return SubmitOutcome::Judged(receipt);
             }
             if Instant::now() + delay >= deadline {
                 return outcome_without_verdict(record.id, maybe_appended, failure);
@@ -153,11 +153,11 @@
     }
 }
 
-fn outcome_without_verdict(id: RecordId, maybe_appended: bool, message: String) -> Settled {
+fn outcome_without_verdict(id: RecordId, maybe_appended: bool, message: String) -> SubmitOutcome {
     if maybe_appended {
-        return Settled::Unknown { id, message };
+        return SubmitOutcome::Unknown { id, message };
     }
-    Settled::NotAppended { message }
+    SubmitOutcome::NotAppended { message }
 }
 
 /// Failure to fold the log up to its end.
--- a/crates/sparscale_journal/tests/journal/common.rs
+++ b/crates/sparscale_journal/tests/journal/common.rs
@@ -1,11 +1,11 @@
 //! Fixtures for the tests: operators, bundles and records.
 
-use sparscale_bundle::sign::{self, Act, Statement};
+use sparscale_bundle::sign::{self, Action, Statement};
 use sparscale_bundle::{
     Bundle, Delta, Document, Fleet, Group, Hall, Hash, KeyHash, Limits, Model, Operator, Placement, Target, Tier,
     Workspace,
 };
-use sparscale_journal::{Approve, Body, Content, Publish, Record, RecordId, Roll};
+use sparscale_journal::{Approve, BundleContent, Publish, Record, RecordBody, RecordId, Roll};
 
 /// An operator with a secret key.
 pub struct Signer {
@@ -27,65 +27,65 @@
 /// The public keys of [`signers`] as operators of a bundle.
 pub fn operators() -> Vec<Operator> {
     let public = |signer: Signer| Operator {
-        key: sign::public_text(&sign::secret_key(&signer.secret).expect("a key")),
+        key: sign::encode_public_key(&sign::parse_secret_key(&signer.secret).expect("a key")),
         name: signer.name,
     };
     signers().into_iter().map(public).collect()
 }
 
 impl Signer {
-    fn sign(&self, act: Act, version: u64, base: u64, hash: Hash) -> sign::Signature {
+    fn sign(&self, act: Action, version: u64, base: u64, hash: Hash) -> sign::Signature {
         let statement = Statement {
-            act,
+            action: act,
             author: self.name.clone(),
             version,
             base,
             hash,
         };
-        sign::sign(&statement, &sign::secret_key(&self.secret).expect("a key"))
+        sign::sign(&statement, &sign::parse_secret_key(&self.secret).expect("a key"))
     }
 
-    pub fn publish(&self, base: Option<&Bundle>, bundle: &Bundle) -> Body {
+    pub fn publish(&self, base: Option<&Bundle>, bundle: &Bundle) -> RecordBody {
         let base_version = base.map_or(0, Bundle::version);
         let content = match base {
-            Some(base) => Content::Delta(Delta::between(base, bundle)),
-            None => Content::Whole(bundle.clone()),
+            Some(base) => BundleContent::Delta(Delta::between(base, bundle)),
+            None => BundleContent::Whole(bundle.clone()),
         };
-        Body::Publish(Box::new(Publish {
+        RecordBody::Publish(Box::new(Publish {
             author: self.name.clone(),
             version: bundle.version(),
             base: base_version,
             hash: bundle.hash(),
             content,
-            signature: self.sign(Act::Publish, bundle.version(), base_version, bundle.hash()),
+            signature: self.sign(Action::Publish, bundle.version(), base_version, bundle.hash()),
         }))
     }
 
-    pub fn approve(&self, base: u64, bundle: &Bundle) -> Body {
+    pub fn approve(&self, base: u64, bundle: &Bundle) -> RecordBody {
         let (version, hash) = (bundle.version(), bundle.hash());
-        Body::Approve(Approve {
+        RecordBody::Approve(Approve {
             author: self.name.clone(),
             version,
             base,
             hash,
-            signature: self.sign(Act::Approve, version, base, hash),
+            signature: self.sign(Action::Approve, version, base, hash),
         })
     }
 
-    pub fn roll(&self, base: u64, bundle: &Bundle) -> Body {
+    pub fn roll(&self, base: u64, bundle: &Bundle) -> RecordBody {
         let (version, hash) = (bundle.version(), bundle.hash());
-        Body::Roll(Roll {
+        RecordBody::Roll(Roll {
             author: self.name.clone(),
             version,
             base,
             hash,
-            signature: self.sign(Act::Roll, version, base, hash),
+            signature: self.sign(Action::Roll, version, base, hash),
         })
     }
 }
 
 /// Encodes a record whose id is derived from `number`.
-pub fn record(number: u64, body: Body) -> Vec<u8> {
+pub fn record(number: u64, body: RecordBody) -> Vec<u8> {
     let mut id = [0; 16];
     id[..8].copy_from_slice(&number.to_be_bytes());
     let id = RecordId::from_bytes(id);
--- a/crates/sparscale_journal/tests/journal/log_fold.rs
+++ b/crates/sparscale_journal/tests/journal/log_fold.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sparscale_bundle::Bundle;
-use sparscale_journal::{Batch, Body, Claim, Duty, Entry, Reader, Refusal, Snapshot, State, Verdict};
+use sparscale_journal::{Batch, Claim, Duty, LogEntry, Reader, RecordBody, Refusal, Snapshot, State, Verdict};
 
 /// Next action of an operator or process, based on the state that it last read.
 #[derive(Clone, Copy, Debug)]
@@ -113,11 +113,11 @@
         }
         Action::Approve { operator } => signer(operator).approve(base_version, &pending_bundle()?),
         Action::Roll { operator } => signer(operator).roll(base_version, &pending_bundle()?),
-        Action::Claim { node } => Body::Claim(Claim {
+        Action::Claim { node } => RecordBody::Claim(Claim {
             duty: Duty::Placer("lark-a".to_owned()),
             node: node.to_string(),
             incarnation: 1,
-            over: state
+            superseded_fence: state
                 .holder(&Duty::Placer("lark-a".to_owned()))
                 .map_or(0, |holder| holder.fence),
         }),
@@ -129,7 +129,7 @@
             return Some(data);
         }
         Action::Forge { operator } => forged(signer(operator), &bundle(base_version + 1, 1), base.as_ref()),
-        Action::Snapshot => Body::Snapshot(Snapshot {
+        Action::Snapshot => RecordBody::Snapshot(Snapshot {
             head: state.head(),
             chain_digest: state.chain_digest(),
             image: state.image().encode(),
@@ -139,9 +139,9 @@
 }
 
 /// A publish record whose author is not the operator who signed it.
-fn forged(signer: &Signer, next: &Bundle, base: Option<&Bundle>) -> Body {
+fn forged(signer: &Signer, next: &Bundle, base: Option<&Bundle>) -> RecordBody {
     let mut body = signer.publish(base, next);
-    if let Body::Publish(publish) = &mut body {
+    if let RecordBody::Publish(publish) = &mut body {
         let other = if signer.name == "alice" { "bob" } else { "alice" };
         publish.author = String::from(other);
     }
@@ -161,7 +161,7 @@
         .iter()
         .enumerate()
         .skip(from.max(earliest))
-        .map(|(offset, data)| Entry {
+        .map(|(offset, data)| LogEntry {
             offset: offset as u64,
             data: Bytes::from(data.clone()),
         });
@@ -268,7 +268,7 @@
         chain_digest: [9; 32],
         image: Vec::new(),
     };
-    let outcome = state.apply(1, &record(1, Body::Snapshot(snapshot)));
+    let outcome = state.apply(1, &record(1, RecordBody::Snapshot(snapshot)));
     assert_eq!(outcome.verdict, Verdict::SnapshotDiffers);
 }
 
@@ -276,11 +276,11 @@
 fn duplicate_has_no_effect() {
     let mut state = State::new(operators());
     let claim = |over| {
-        Body::Claim(Claim {
+        RecordBody::Claim(Claim {
             duty: Duty::Placer("lark-a".to_owned()),
             node: "entry-0".to_owned(),
             incarnation: 1,
-            over,
+            superseded_fence: over,
         })
     };
     let first = record(1, claim(0));
--- a/crates/sparscale_journal/tests/journal/lost_responses.rs
+++ b/crates/sparscale_journal/tests/journal/lost_responses.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_journal::{Batch, Entry, Log, LogError, Reader, Receipt, Record, Settled, Verdict, Writer};
+use sparscale_journal::{Batch, Log, LogEntry, LogError, Reader, Receipt, Record, SubmitOutcome, Verdict, Writer};
 use tokio::time::Instant;
 
 /// Behavior of the log in one call.
@@ -75,7 +75,7 @@
         }
         let records = self.records.lock().expect("no panic");
         let numbered = records.iter().enumerate().skip(from as usize).take(limit);
-        let entries = numbered.map(|(offset, data)| Entry {
+        let entries = numbered.map(|(offset, data)| LogEntry {
             offset: offset as u64,
             data: data.clone(),
         });
@@ -112,11 +112,11 @@
             .collect();
         let effect_count = verdicts.iter().filter(|verdict| **verdict == Verdict::Accepted).count();
         let is_truthful = match outcome {
-            Settled::Judged(Receipt { offset, verdict }) => {
+            SubmitOutcome::Judged(Receipt { offset, verdict }) => {
                 offset == 0 && verdict == Verdict::Accepted && effect_count == 1
             }
-            Settled::NotAppended { .. } => records.is_empty(),
-            Settled::Unknown { .. } => effect_count <= 1,
+            SubmitOutcome::NotAppended { .. } => records.is_empty(),
+            SubmitOutcome::Unknown { .. } => effect_count <= 1,
         };
         is_truthful && effect_count <= 1
     })
--- a/crates/sparscale_journal/tests/journal/restored_log.rs
+++ b/crates/sparscale_journal/tests/journal/restored_log.rs
@@ -4,7 +4,7 @@
 //! the digest of the whole chain.
 
 use bytes::Bytes;
-use sparscale_journal::{Alarm, Batch, Body, Entry, Reader, Snapshot, State};
+use sparscale_journal::{Alarm, Batch, LogEntry, Reader, RecordBody, Snapshot, State};
 
 use crate::common::{bundle, operators, record, signers};
 
@@ -35,7 +35,7 @@
 }
 
 fn batch(log: &[Vec<u8>], from: usize) -> Batch {
-    let entries = log.iter().enumerate().skip(from).map(|(offset, data)| Entry {
+    let entries = log.iter().enumerate().skip(from).map(|(offset, data)| LogEntry {
         offset: offset as u64,
         data: Bytes::from(data.clone()),
     });
@@ -58,7 +58,7 @@
         chain_digest: state.chain_digest(),
         image: image.encode(),
     };
-    log.push(record(99, Body::Snapshot(snapshot)));
+    log.push(record(99, RecordBody::Snapshot(snapshot)));
     log
 }
 
--- a/crates/sparscale_mesh/src/link.rs
+++ b/crates/sparscale_mesh/src/link.rs
@@ -15,7 +15,8 @@
 use sparscale_quarantine::Strike;
 use sparscale_telemetry::DECISION;
 use sparscale_wire::{
-    Channel, Exchange, Frame, GroupLoad, Known, KnownRoster, Notice, Notices, Receiver, Role, Sender,
+    Channel, Frame, GroupLoad, Notice, Notices, ObservationSummary, ObservedRosterVersion, ObservedVersion, Receiver,
+    Role, Sender,
 };
 use tokio::time::Instant;
 
@@ -190,22 +191,22 @@
             self.send_catalog(sender, catalog.as_ref()).await?;
             self.send_roster(sender, roster.as_ref()).await?;
         }
-        let exchange = Exchange {
+        let exchange = ObservationSummary {
             sender: self.mesh.settings.address,
-            stamp_ms: self.clock.stamp(now),
+            clock_ms: self.clock.stamp(now),
             echo: self.clock.echo(now),
             catalog: catalog.as_ref().map(|catalog| to_known(catalog, now)),
-            wants_catalog: std::mem::take(&mut self.own_request.catalog),
-            roster: roster.as_ref().map(|roster| KnownRoster {
-                known: to_known(roster, now),
+            requests_catalog: std::mem::take(&mut self.own_request.catalog),
+            roster: roster.as_ref().map(|roster| ObservedRosterVersion {
+                version: to_known(roster, now),
                 digest: roster.value.digest(),
             }),
-            wants_roster: std::mem::take(&mut self.own_request.roster),
+            requests_roster: std::mem::take(&mut self.own_request.roster),
             // Rounded up, because an age must not look smaller than it is.
             strikes_age_ms: strikes_age.map(|age| millis(age) + 1),
             entries: self.entries_to_send(),
         };
-        send(sender, &Frame::Exchange(exchange)).await
+        send(sender, &Frame::ObservationSummary(exchange)).await
     }
 
     /// Sends all strikes that changed since the last time, whatever their source: an entry that has no link to the peer
@@ -304,20 +305,20 @@
         let new_loads: Vec<_> = {
             let groups = self.mesh.groups.borrow();
             let from_leader = groups.values().filter(|report| report.from_leader);
-            let unsent =
-                from_leader.filter(|report| self.sent_load_orders.get(&report.load.group) < Some(&report.load.order));
+            let unsent = from_leader
+                .filter(|report| self.sent_load_orders.get(&report.load.group) < Some(&report.load.sequence));
             unsent.map(|report| Arc::clone(&report.load)).collect()
         };
         for load in new_loads {
-            self.sent_load_orders.insert(load.group.clone(), load.order);
-            send(sender, &Frame::Group(load.as_ref().clone())).await?;
+            self.sent_load_orders.insert(load.group.clone(), load.sequence);
+            send(sender, &Frame::GroupLoad(load.as_ref().clone())).await?;
         }
         Some(())
     }
 
     fn handle_frame(&mut self, frame: Frame) {
         match frame {
-            Frame::Exchange(exchange) => self.handle_exchange(&exchange),
+            Frame::ObservationSummary(exchange) => self.handle_exchange(&exchange),
             Frame::Catalog(document) => self.handle_catalog(*document),
             Frame::Roster(roster) => {
                 self.mesh.received.rosters.fetch_add(1, Ordering::Relaxed);
@@ -325,7 +326,7 @@
             }
             Frame::Strikes(strikes) => self.handle_strikes(&strikes),
             Frame::Notices(notices) => self.handle_notices(&notices),
-            Frame::Group(load) => self.handle_load(load),
+            Frame::GroupLoad(load) => self.handle_load(load),
             _ => log::warn!("ignored a frame of a kind that is not valid on a link between processes"),
         }
     }
@@ -366,9 +367,9 @@
         }
     }
 
-    fn handle_exchange(&mut self, exchange: &Exchange) {
+    fn handle_exchange(&mut self, exchange: &ObservationSummary) {
         let now = self.mesh.board.now();
-        self.clock.record_received(exchange.stamp_ms, now);
+        self.clock.record_received(exchange.clock_ms, now);
         if self.role == Role::Entry {
             self.mesh.record_seen(exchange.sender);
             if self.peer.is_none() {
@@ -379,14 +380,14 @@
             self.mesh.add_entries(&exchange.entries);
         }
         self.peer = Some(exchange.sender);
-        self.peer_request.catalog |= exchange.wants_catalog;
+        self.peer_request.catalog |= exchange.requests_catalog;
         if let Some(catalog) = exchange.catalog {
             self.peer_catalog_position = self.peer_catalog_position.max(catalog.position);
             self.own_request.catalog |= self.mesh.try_request_catalog(catalog.position);
         }
-        self.peer_request.roster |= exchange.wants_roster;
+        self.peer_request.roster |= exchange.requests_roster;
         if let Some(roster) = exchange.roster {
-            self.peer_roster_position = self.peer_roster_position.max(roster.known.position);
+            self.peer_roster_position = self.peer_roster_position.max(roster.version.position);
         }
         let Some(echo) = exchange.echo else { return };
         let source = exchange.sender.to_string();
@@ -401,14 +402,14 @@
             self.mesh.board.quarantine.confirm(as_of);
         }
         if let Some(known) = exchange.roster
-            && let Some(as_of) = self.clock.as_of(echo, known.known.age_ms)
+            && let Some(as_of) = self.clock.as_of(echo, known.version.age_ms)
         {
             self.merge_roster(known, as_of, &source);
         }
     }
 
     /// Merges the pending catalog if the peer's observation is of that version; else only confirms the known catalog.
-    fn merge_catalog(&mut self, known: Known, as_of: Timestamp, source: &str) {
+    fn merge_catalog(&mut self, known: ObservedVersion, as_of: Timestamp, source: &str) {
         let pending = self.pending_catalog.as_ref();
         match pending.filter(|catalog| Position::from(catalog.version()) == known.position) {
             Some(catalog) => self.mesh.board.merge_catalog(Arc::clone(catalog), as_of, source),
@@ -418,8 +419,8 @@
 
     /// Merges the peer's observation of the roster if this process has a roster with the same digest, which is usual
     /// also at a later position; else requests the roster.
-    fn merge_roster(&mut self, observed: KnownRoster, as_of: Timestamp, source: &str) {
-        let KnownRoster { known, digest } = observed;
+    fn merge_roster(&mut self, observed: ObservedRosterVersion, as_of: Timestamp, source: &str) {
+        let ObservedRosterVersion { version: known, digest } = observed;
         let own = self.mesh.board.store_roster().map(|roster| roster.value);
         let mut rosters = [self.pending_roster.clone(), own].into_iter().flatten();
         match rosters.find(|roster| roster.digest() == digest) {
@@ -430,8 +431,8 @@
 }
 
 /// The position and age of an observation, as an exchange carries them.
-fn to_known<T: PartialEq>(observed: &Observation<T>, now: Timestamp) -> Known {
-    Known {
+fn to_known<T: PartialEq>(observed: &Observation<T>, now: Timestamp) -> ObservedVersion {
+    ObservedVersion {
         position: observed.position,
         // Rounded up, because an age must not look smaller than it is.
         age_ms: millis(observed.age(now)) + 1,
--- a/crates/sparscale_mesh/src/link_clock.rs
+++ b/crates/sparscale_mesh/src/link_clock.rs
@@ -39,15 +39,15 @@
     /// The peer's latest stamp, for a message that is sent at `now`.
     pub fn echo(&self, now: Timestamp) -> Option<Echo> {
         self.latest_received.map(|(stamp_ms, received_at)| Echo {
-            stamp_ms,
-            held_ms: millis(now.since(received_at)),
+            clock_ms: stamp_ms,
+            echo_delay_ms: millis(now.since(received_at)),
         })
     }
 
     /// The earliest time at which a message with this echo can have been sent: the stamp left this process before the
     /// peer received it, and the peer sent the message after it had held the stamp for the time in the echo.
     pub fn earliest_sent_at(&self, echo: Echo) -> Timestamp {
-        self.started_at + Duration::from_millis(echo.stamp_ms) + Duration::from_millis(echo.held_ms)
+        self.started_at + Duration::from_millis(echo.clock_ms) + Duration::from_millis(echo.echo_delay_ms)
     }
 
     /// The time at which an observation was current that was `age_ms` old when the message with this echo was sent.
--- a/crates/sparscale_mesh/src/mesh.rs
+++ b/crates/sparscale_mesh/src/mesh.rs
@@ -14,7 +14,7 @@
 use sparscale_history::Position;
 use sparscale_policy::rate_limit::{self, Members};
 use sparscale_telemetry::DECISION;
-use sparscale_wire::{Ask, Channel, Endpoint, Frame, GroupLoad, Peer, Role};
+use sparscale_wire::{Channel, Endpoint, Frame, GroupLoad, Peer, Role, StreamRequest};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -224,7 +224,7 @@
         self.groups.send_if_modified(|groups| {
             let is_newer = groups
                 .get(&load.group)
-                .is_none_or(|report| report.load.order < load.order);
+                .is_none_or(|report| report.load.sequence < load.sequence);
             if is_newer {
                 let name = load.group.clone();
                 let load = Arc::new(load);
@@ -267,7 +267,10 @@
             let mesh = Arc::clone(&self);
             let role = peer.role;
             tokio::spawn(async move {
-                if matches!(channel.receiver.receive().await, Ok(Frame::Ask(Ask::Exchange))) {
+                if matches!(
+                    channel.receiver.receive().await,
+                    Ok(Frame::Open(StreamRequest::ExchangeObservations))
+                ) {
                     mesh.run_link(channel, role).await;
                 }
             });
@@ -371,7 +374,11 @@
 
     async fn open(&self, address: SocketAddr) -> Option<Channel> {
         let mut channel = self.endpoint.open(address, Role::Entry).await.ok()?;
-        channel.sender.send(&Frame::Ask(Ask::Exchange)).await.ok()?;
+        channel
+            .sender
+            .send(&Frame::Open(StreamRequest::ExchangeObservations))
+            .await
+            .ok()?;
         Some(channel)
     }
 
--- a/crates/sparscale_mesh/tests/belief_exchange.rs
+++ b/crates/sparscale_mesh/tests/belief_exchange.rs
@@ -30,7 +30,7 @@
 
 fn process_with_clock(clock: Arc<dyn Clock>, role: Role, seeds: &[SocketAddr], few_entries: usize) -> Process {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let endpoint = Endpoint::bind(any, Identity::Made(role)).expect("a free port");
+    let endpoint = Endpoint::bind(any, Identity::SelfSigned(role)).expect("a free port");
     let address = endpoint.local_address().expect("an address");
     let board = Arc::new(Board::new(clock));
     let settings = Settings {
@@ -72,12 +72,12 @@
 fn load_of(group: &str, message: u64) -> GroupLoad {
     GroupLoad {
         group: group.to_owned(),
-        order: (1, message),
-        open: true,
+        sequence: (1, message),
+        is_running: true,
         skew: 1.0,
-        pass_micros: 0,
-        pass: 0,
-        ranks: Vec::new(),
+        mean_pass_micros: 0,
+        latest_pass: 0,
+        rank_loads: Vec::new(),
     }
 }
 
@@ -110,7 +110,7 @@
     );
     let directory = third.board.targets().expect("a list of targets").value;
     let targets: Vec<_> = directory
-        .seats()
+        .instances()
         .iter()
         .map(|instance| instance.target.clone())
         .collect();
@@ -150,7 +150,7 @@
     const OTHERS: usize = 6;
     let (first, others) = start_entries(OTHERS).await;
     for position in 1..=5 {
-        let target = samples::target("m-1", samples::MODEL, 9_000 + position as u16);
+        let target = samples::target("m-1", samples::MODEL_SERVICE, 9_000 + position as u16);
         let roster = Arc::new(Roster::new(vec![target]));
         first.board.merge_roster(roster, position, first.board.now(), "test");
         for other in &others {
@@ -204,7 +204,7 @@
     let mut changes = third.mesh.subscribe_group_loads();
     for message in 1..=MESSAGES {
         second.mesh.merge_group_load(load_of("h", message), true);
-        while third.mesh.group_load("h").is_none_or(|load| load.order.1 < message) {
+        while third.mesh.group_load("h").is_none_or(|load| load.sequence.1 < message) {
             assert!(changes.next().await);
         }
         // Messages that the first entry sends in response arrive.
@@ -234,7 +234,7 @@
         first.mesh.merge_group_load(load_of("g", message), true);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    while second.mesh.group_load("g").is_none_or(|load| load.order.1 < 30) {
+    while second.mesh.group_load("g").is_none_or(|load| load.sequence.1 < 30) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let intervals = started_at.elapsed().as_millis() / LOAD_INTERVAL_STEP.as_millis();
@@ -275,7 +275,7 @@
     let mut changes = entry.mesh.subscribe_group_loads();
     for message in 1..=5 {
         agent.mesh.merge_group_load(load(message), true);
-        while entry.mesh.group_load("g").is_none_or(|load| load.order.1 < message) {
+        while entry.mesh.group_load("g").is_none_or(|load| load.sequence.1 < message) {
             assert!(changes.next().await);
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -293,7 +293,7 @@
     let mut catalogs = agent.board.subscribe_catalogs();
     let received = catalogs.wait_for(Option::is_some).await.expect("a board").clone();
     let received = received.expect("a catalog").value;
-    assert!(received.find_service(samples::MODEL).is_some());
+    assert!(received.find_service(samples::MODEL_SERVICE).is_some());
     assert!(!received.has_workspaces(), "API keys must not leave the entries");
 }
 
@@ -301,13 +301,13 @@
 #[tokio::test]
 async fn age_includes_suspended_time() {
     const SUSPENDED: Duration = Duration::from_secs(30);
-    let clock = Arc::new(samples::Sleeper::default());
+    let clock = Arc::new(samples::SuspendableClock::default());
     let first = process_with_clock(Arc::clone(&clock) as Arc<dyn Clock>, Role::Entry, &[], 16);
     let queried_at = first.board.now();
     first
         .board
         .merge_catalog(catalog(samples::document(4)), queried_at, "test");
-    clock.wake_after(SUSPENDED);
+    clock.suspend_for(SUSPENDED);
     let second = process(Role::Entry, &[first.address]);
     let mut catalogs = second.board.subscribe_catalogs();
     drop(catalogs.wait_for(Option::is_some).await.expect("a board"));
@@ -346,10 +346,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_told() {
     let (first, others) = start_entries(2).await;
-    let target = samples::target("t-1", samples::MODEL, 1);
+    let target = samples::target("t-1", samples::MODEL_SERVICE, 1);
     let roster = Roster::new(vec![target]);
     let directory = Directory::new(&roster, &mut Incarnations::default());
-    let instance = directory.seats().first().expect("a target");
+    let instance = directory.instances().first().expect("a target");
     for rate in [Some(2.0), None] {
         let announced = rate.map(|rate| Rate::try_from(rate).expect("a rate"));
         others[0].board.throttle.record_notice(instance, announced, false);
--- a/crates/sparscale_mesh/tests/slack_sharers.rs
+++ b/crates/sparscale_mesh/tests/slack_sharers.rs
@@ -25,7 +25,7 @@
             .expect("a runtime");
         let guard = runtime.enter();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let endpoint = Endpoint::bind(any, Identity::Made(Role::Entry)).expect("a free port");
+        let endpoint = Endpoint::bind(any, Identity::SelfSigned(Role::Entry)).expect("a free port");
         let address = endpoint.local_address().expect("an address");
         let settings = Settings {
             address,
--- a/crates/sparscale_policy/src/headroom.rs
+++ b/crates/sparscale_policy/src/headroom.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use sparscale_catalog::Engine;
+use sparscale_catalog::EngineProfile;
 use sparscale_wire::{GroupLoad, RankLoad};
 
 /// Fraction of the allowed pause that passes may take: the remainder is for prompts processed in between and for the
@@ -62,24 +62,24 @@
 /// The engine's performance model gives the growth of the pass time with the requests of a rank. The latest passes show
 /// what they take in addition, such as for prompts and uneven experts. Where even a single request is late, only the
 /// number of slots limits the capacity.
-pub fn capacity(load: &GroupLoad, engine: &Engine, max_pause: Duration) -> f64 {
-    let ranks = load.ranks.len() as f64;
+pub fn capacity(load: &GroupLoad, engine: &EngineProfile, max_pause: Duration) -> f64 {
+    let ranks = load.rank_loads.len() as f64;
     let slots = f64::from(engine.slots);
     let reported: Vec<f64> = load
-        .ranks
+        .rank_loads
         .iter()
         .flatten()
         .map(|rank| f64::from(rank.running))
         .collect();
-    if reported.is_empty() || load.pass_micros == 0 {
+    if reported.is_empty() || load.mean_pass_micros == 0 {
         return ranks * slots;
     }
     let mean = reported.iter().sum::<f64>() / reported.len() as f64;
-    let context = f64::from(engine.usual_prompt + engine.usual_answer / 2);
+    let context = f64::from(engine.mean_prompt_tokens + engine.mean_response_tokens / 2);
     // A shift of demand causes a large skew only briefly; a lasting skew shows in the pass times.
     let skew = load.skew.clamp(1.0, USUAL_SKEW);
     let model_ms = |requests: f64| engine.pass_ms(requests, requests * context, skew);
-    let actual_ms = load.pass_micros as f64 / 1_000.0;
+    let actual_ms = load.mean_pass_micros as f64 / 1_000.0;
     // The time that passes take beyond the model does not shrink with fewer requests, so it counts as constant.
     let extra_ms = (actual_ms - model_ms(mean)).max(0.0);
     let allowed_ms = max_pause.as_secs_f64() * 1_000.0 * MAX_PASS_FRACTION;
@@ -105,21 +105,21 @@
 /// While passes with the current requests are longer than the allowed pause, no further request is admitted that could
 /// be on time later: demand shifts at once, and the next expert map is active half a second later. Requests that are
 /// already late lose nothing by being admitted in the meantime.
-pub fn capacity_at_current_skew(load: &GroupLoad, engine: &Engine, max_pause: Duration) -> Headroom {
+pub fn capacity_at_current_skew(load: &GroupLoad, engine: &EngineProfile, max_pause: Duration) -> Headroom {
     let late = capacity(load, engine, max_pause);
-    if load.skew < 1.0 || load.pass_micros == 0 {
+    if load.skew < 1.0 || load.mean_pass_micros == 0 {
         return Headroom::uniform(late);
     }
-    let ranks = load.ranks.len() as f64;
+    let ranks = load.rank_loads.len() as f64;
     // A straggler without requests has no work of its own in a pass.
     let busy = load
-        .ranks
+        .rank_loads
         .iter()
         .flatten()
         .filter(|rank| rank.running + rank.queued > 0);
-    let slowdown = busy.map(RankLoad::pace).fold(1.0, f64::max);
+    let slowdown = busy.map(RankLoad::slowdown).fold(1.0, f64::max);
     let pause_ms = max_pause.as_secs_f64() * 1_000.0;
-    let pass_ms = |requests: f64| engine.lasting_pass_ms(requests, load.skew, slowdown);
+    let pass_ms = |requests: f64| engine.sustained_pass_ms(requests, load.skew, slowdown);
     if pass_ms(reported_requests(load) / ranks) > pause_ms {
         return Headroom { timely: 0.0, late };
     }
@@ -134,7 +134,7 @@
 /// counts as the mean of the others.
 pub fn reported_requests(load: &GroupLoad) -> f64 {
     let reported: Vec<f64> = load
-        .ranks
+        .rank_loads
         .iter()
         .flatten()
         .map(|rank| f64::from(rank.running + rank.queued))
@@ -142,5 +142,5 @@
     if reported.is_empty() {
         return 0.0;
     }
-    reported.iter().sum::<f64>() / reported.len() as f64 * load.ranks.len() as f64
+    reported.iter().sum::<f64>() / reported.len() as f64 * load.rank_loads.len() as f64
 }
--- a/crates/sparscale_policy/src/queue.rs
+++ b/crates/sparscale_policy/src/queue.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use sparscale_catalog::Engine;
+use sparscale_catalog::EngineProfile;
 use sparscale_wire::GroupLoad;
 
 use crate::backlog::{Backlog, Ticket};
@@ -132,8 +132,8 @@
     /// processes, it follows from `in_flight`, the requests of this entry that are in flight.
     pub fn refresh(&mut self, load: Option<&GroupLoad>, group: &Group<'_>, in_flight: usize, now: Instant) {
         let entries = group.entry_count.max(1) as f64;
-        if let Some(load) = load.filter(|load| load.order != self.load_order) {
-            self.load_order = load.order;
+        if let Some(load) = load.filter(|load| load.sequence != self.load_order) {
+            self.load_order = load.sequence;
             self.load_received_at = now;
             self.unreported.retain(|admitted_at| *admitted_at + REPORT_DELAY > now);
             let capacity = headroom::capacity_at_current_skew(load, group.engine, group.max_pause);
@@ -295,7 +295,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Group<'a> {
     /// Performance model of its engines.
-    pub engine: &'a Engine,
+    pub engine: &'a EngineProfile,
     /// Longest allowed pause between the events of its streams.
     pub max_pause: Duration,
     /// Number of its ranks.
--- a/crates/sparscale_policy/src/rate_limit.rs
+++ b/crates/sparscale_policy/src/rate_limit.rs
@@ -22,7 +22,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_clock::Timestamp;
 
 /// Window in which a target counts its requests.
@@ -125,7 +125,7 @@
     }
 
     /// Returns what this entry may send to a target that limits its rate, for its start `start`.
-    pub fn share(&self, rate: Rate, start: Start) -> Share {
+    pub fn share(&self, rate: Rate, start: StartId) -> Share {
         if self.live.is_empty() {
             return Share::None;
         }
@@ -161,7 +161,7 @@
 }
 
 /// Weight by which entries are ordered for a start of a target; the same in all processes and builds.
-fn weight(entry: SocketAddr, start: Start) -> u64 {
+fn weight(entry: SocketAddr, start: StartId) -> u64 {
     let address = match entry.ip() {
         IpAddr::V4(address) => u128::from(u32::from(address)),
         IpAddr::V6(address) => u128::from(address),
--- a/crates/sparscale_policy/src/response_tracker.rs
+++ b/crates/sparscale_policy/src/response_tracker.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use sparscale_catalog::{Directory, Incarnation, Seat};
+use sparscale_catalog::{Directory, Incarnation, Instance};
 use sparscale_wire::GroupLoad;
 
 use crate::response_timeout::{Evidence, Health, ResponsePart, ResponseTimeMean};
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PendingResponse<'a> {
     /// The target that owes it.
-    pub instance: &'a Seat,
+    pub instance: &'a Instance,
     /// The part of the response that is pending.
     pub response_part: ResponsePart,
     /// Time within which that part is on time.
@@ -111,20 +111,26 @@
 
 impl Tracker {
     /// Records that a target sent a pending response after `response_time`.
-    pub fn record_response(&mut self, instance: &Seat, awaited: ResponsePart, response_time: Duration, now: Instant) {
+    pub fn record_response(
+        &mut self,
+        instance: &Instance,
+        awaited: ResponsePart,
+        response_time: Duration,
+        now: Instant,
+    ) {
         let peers = self.peers(name_of(instance));
         peers.mean_time_mut(awaited).record(response_time);
         peers.record_responder(instance.key, now);
     }
 
     /// Counts a request that waits for a target, until [`Self::end_wait`].
-    pub fn begin_wait(&mut self, instance: &Seat) {
+    pub fn begin_wait(&mut self, instance: &Instance) {
         let peers = self.peers(name_of(instance));
         *peers.pending.entry(instance.key).or_default() += 1;
     }
 
     /// Removes a request that no longer waits for a target from the count.
-    pub fn end_wait(&mut self, instance: &Seat) {
+    pub fn end_wait(&mut self, instance: &Instance) {
         let Some(peers) = self.peers.get_mut(name_of(instance)) else {
             return;
         };
@@ -140,16 +146,16 @@
     /// Merges a group leader's report.
     pub fn record_group_load(&mut self, load: &GroupLoad, now: Instant) {
         let peers = self.peers(&load.group);
-        if peers.latest_report.is_some_and(|(order, _)| order == load.order) {
+        if peers.latest_report.is_some_and(|(order, _)| order == load.sequence) {
             return;
         }
-        if peers.pass.is_none_or(|(pass, _)| pass != load.pass) {
-            peers.pass = Some((load.pass, now));
+        if peers.pass.is_none_or(|(pass, _)| pass != load.latest_pass) {
+            peers.pass = Some((load.latest_pass, now));
         }
-        peers.latest_report = Some((load.order, now));
-        let unresponsive = load.ranks.iter().enumerate().filter(|(_, rank)| rank.is_none());
+        peers.latest_report = Some((load.sequence, now));
+        let unresponsive = load.rank_loads.iter().enumerate().filter(|(_, rank)| rank.is_none());
         let unresponsive: BTreeSet<usize> = unresponsive.map(|(rank, _)| rank).collect();
-        let is_trusted = unresponsive.len() * MAX_UNRESPONSIVE_DIVISOR <= load.ranks.len();
+        let is_trusted = unresponsive.len() * MAX_UNRESPONSIVE_DIVISOR <= load.rank_loads.len();
         peers.unresponsive = is_trusted.then_some(unresponsive);
     }
 
@@ -175,7 +181,7 @@
 
     /// Drops the groups and services without a target in `targets`.
     pub fn retain(&mut self, targets: &Directory) {
-        let names: BTreeSet<&str> = targets.seats().iter().map(name_of).collect();
+        let names: BTreeSet<&str> = targets.instances().iter().map(name_of).collect();
         self.peers.retain(|name, _| names.contains(name.as_str()));
     }
 
@@ -199,7 +205,7 @@
 }
 
 /// Name of the target's group, or of its service if it has no group.
-fn name_of(instance: &Seat) -> &str {
+fn name_of(instance: &Instance) -> &str {
     let group = instance.target.membership.as_ref().map(|place| place.group.as_str());
     group.unwrap_or(&instance.target.service)
 }
--- a/crates/sparscale_policy/src/straggler.rs
+++ b/crates/sparscale_policy/src/straggler.rs
@@ -14,12 +14,12 @@
 
 /// Returns the stragglers among the ranks of `load`.
 pub fn find(load: &GroupLoad) -> Vec<usize> {
-    let mut slowdowns: Vec<f64> = load.ranks.iter().flatten().map(RankLoad::pace).collect();
+    let mut slowdowns: Vec<f64> = load.rank_loads.iter().flatten().map(RankLoad::slowdown).collect();
     slowdowns.sort_by(f64::total_cmp);
     let Some(median) = slowdowns.get(slowdowns.len() / 2).copied() else {
         return Vec::new();
     };
-    let reported = load.ranks.iter().enumerate();
-    let stragglers = reported.filter(|(_, rank)| rank.is_some_and(|rank| rank.pace() > median * STRAGGLER_FACTOR));
+    let reported = load.rank_loads.iter().enumerate();
+    let stragglers = reported.filter(|(_, rank)| rank.is_some_and(|rank| rank.slowdown() > median * STRAGGLER_FACTOR));
     stragglers.map(|(rank, _)| rank).collect()
 }
--- a/crates/sparscale_policy/src/throttle.rs
+++ b/crates/sparscale_policy/src/throttle.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_clock::Timestamp;
 
 use crate::rate_limit::{Members, Pacer, Rate, Share};
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
     /// The start of the target that they apply to.
-    pub start: Start,
+    pub start: StartId,
     /// Requests a second that the target accepts from all entries; none if it has no limit.
     pub rate: Option<Rate>,
     /// Whether the target leaves.
@@ -69,7 +69,7 @@
 /// Tracks the limits of all targets.
 #[derive(Debug, Default)]
 pub struct Tracker {
-    targets: HashMap<Start, State>,
+    targets: HashMap<StartId, State>,
     /// The entries that divide the rates; none while they are unknown.
     members: Option<Members>,
     /// Position of the latest change.
@@ -121,7 +121,7 @@
 
     /// Returns whether a limit that a target has just confirmed is due to be announced again, and counts it as a change
     /// if so.
-    pub fn reannounce_if_due(&mut self, start: Start) -> bool {
+    pub fn reannounce_if_due(&mut self, start: StartId) -> bool {
         let Some(state) = self.targets.get_mut(&start) else {
             return false;
         };
@@ -135,7 +135,7 @@
 
     /// Records that a target requested a `backoff` from this entry, in addition to its other limits. Returns the end of
     /// the backoff if it is later than the known one.
-    pub fn record_backoff(&mut self, start: Start, backoff: Duration, now: Timestamp) -> Option<Timestamp> {
+    pub fn record_backoff(&mut self, start: StartId, backoff: Duration, now: Timestamp) -> Option<Timestamp> {
         let until = now + backoff.min(MAX_BACKOFF);
         let state = self.targets.entry(start).or_insert_with(|| State::new(now, now));
         if state.backoff_until.is_some_and(|known| known >= until) {
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether this entry may send to a target now, and counts a request as sent if so.
-    pub fn try_acquire(&mut self, start: Start, now: Timestamp) -> bool {
+    pub fn try_acquire(&mut self, start: StartId, now: Timestamp) -> bool {
         if self.availability(start, now) != Availability::Now {
             return false;
         }
@@ -157,7 +157,7 @@
     }
 
     /// Returns when a target accepts the next request.
-    pub fn availability(&self, start: Start, now: Timestamp) -> Availability {
+    pub fn availability(&self, start: StartId, now: Timestamp) -> Availability {
         let Some(state) = self.targets.get(&start) else {
             return Availability::Now;
         };
@@ -175,7 +175,7 @@
     }
 
     /// Requests a second that a target accepts from all entries, if it has a limit.
-    pub fn rate(&self, start: Start) -> Option<Rate> {
+    pub fn rate(&self, start: StartId) -> Option<Rate> {
         self.targets.get(&start)?.rate
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Drops the starts that `exists` rejects.
-    pub fn retain(&mut self, exists: impl Fn(Start) -> bool) {
+    pub fn retain(&mut self, exists: impl Fn(StartId) -> bool) {
         self.targets.retain(|start, _| exists(*start));
     }
 }
--- a/crates/sparscale_policy/tests/closed_ranks.rs
+++ b/crates/sparscale_policy/tests/closed_ranks.rs
@@ -19,12 +19,12 @@
     };
     let load = GroupLoad {
         group: "g".to_owned(),
-        order: (1, 1),
-        open: true,
+        sequence: (1, 1),
+        is_running: true,
         skew: 1.1,
-        pass_micros: 20_000,
-        pass: 0,
-        ranks: vec![Some(rank); RANKS],
+        mean_pass_micros: 20_000,
+        latest_pass: 0,
+        rank_loads: vec![Some(rank); RANKS],
     };
     let engine = samples::engine();
     let group = Group {
--- a/crates/sparscale_policy/tests/group_room.rs
+++ b/crates/sparscale_policy/tests/group_room.rs
@@ -18,12 +18,12 @@
     };
     GroupLoad {
         group: "g".to_owned(),
-        order: (1, 1),
-        open: true,
+        sequence: (1, 1),
+        is_running: true,
         skew: 1.1,
-        pass_micros: pass.as_micros() as u64,
-        pass: 0,
-        ranks: vec![Some(rank); RANKS],
+        mean_pass_micros: pass.as_micros() as u64,
+        latest_pass: 0,
+        rank_loads: vec![Some(rank); RANKS],
     }
 }
 
@@ -58,8 +58,8 @@
 #[test]
 fn waiting_requests_counted() {
     let mut load = group(3, Duration::from_millis(45));
-    load.ranks[0] = None;
-    if let Some(rank) = &mut load.ranks[1] {
+    load.rank_loads[0] = None;
+    if let Some(rank) = &mut load.rank_loads[1] {
         rank.queued = 11;
     }
     assert!(
@@ -105,9 +105,9 @@
 fn idle_straggler() {
     let capacity = |running| {
         let mut load = group(3, Duration::from_millis(45));
-        load.ranks[5] = Some(RankLoad {
+        load.rank_loads[5] = Some(RankLoad {
             running,
-            pace_milli: 12_000,
+            slowdown_milli: 12_000,
             ..RankLoad::default()
         });
         capacity_at_current_skew(&load, &samples::engine(), PAUSE).timely
@@ -122,13 +122,13 @@
     assert_eq!(straggler::find(&load), [0_usize; 0]);
     let with_slowdown = |pace_milli| {
         Some(RankLoad {
-            pace_milli,
+            slowdown_milli: pace_milli,
             ..RankLoad::default()
         })
     };
-    load.ranks[4] = with_slowdown(5_000);
-    load.ranks[7] = with_slowdown(1_300);
+    load.rank_loads[4] = with_slowdown(5_000);
+    load.rank_loads[7] = with_slowdown(1_300);
     assert_eq!(straggler::find(&load), [4]);
-    load.ranks.fill(with_slowdown(5_000));
+    load.rank_loads.fill(with_slowdown(5_000));
     assert_eq!(straggler::find(&load), [0_usize; 0], "all ranks are equally slow");
 }
--- a/crates/sparscale_policy/tests/heard_targets.rs
+++ b/crates/sparscale_policy/tests/heard_targets.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sparscale_catalog::{Directory, Incarnations, Membership, Roster, Seat, Target};
+use sparscale_catalog::{Directory, Incarnations, Instance, Membership, Roster, Target};
 use sparscale_policy::response_timeout::{Health, ResponsePart};
 use sparscale_policy::response_tracker::{PendingResponse, Tracker};
 use sparscale_samples as samples;
@@ -17,9 +17,9 @@
             group: group.to_owned(),
             rank,
             size: RANKS,
-            open: true,
+            is_open: true,
         }),
-        ..samples::target(&format!("{group}-{rank}"), samples::MODEL, 9_000 + rank as u16)
+        ..samples::target(&format!("{group}-{rank}"), samples::MODEL_SERVICE, 9_000 + rank as u16)
     }
 }
 
@@ -30,7 +30,7 @@
     Directory::new(&Roster::new(ranks.collect()), &mut Incarnations::default())
 }
 
-fn wait(instance: &Seat) -> PendingResponse<'_> {
+fn wait(instance: &Instance) -> PendingResponse<'_> {
     PendingResponse {
         instance,
         response_part: ResponsePart::FirstEvent,
@@ -44,12 +44,12 @@
     let load = |index: usize| (!unresponsive.contains(&index)).then(RankLoad::default);
     GroupLoad {
         group: group.to_owned(),
-        order: (1, 1),
-        open: true,
+        sequence: (1, 1),
+        is_running: true,
         skew: 1.1,
-        pass_micros: 50_000,
-        pass: 1,
-        ranks: (0..RANKS).map(load).collect(),
+        mean_pass_micros: 50_000,
+        latest_pass: 1,
+        rank_loads: (0..RANKS).map(load).collect(),
     }
 }
 
@@ -59,7 +59,7 @@
     let now = Instant::now();
     let mut tracker = Tracker::default();
     let before = directory(&["a", "b", "c"]);
-    for instance in before.seats() {
+    for instance in before.instances() {
         tracker.record_response(instance, ResponsePart::FirstEvent, OBJECTIVE, now);
     }
     tracker.record_group_load(&report("d", &[]), now);
@@ -67,8 +67,8 @@
     let after = directory(&["b"]);
     tracker.retain(&after);
     assert_eq!(tracker.len(), 1);
-    assert!(tracker.evidence(&wait(&after.seats()[0]), now).is_some());
-    assert!(tracker.evidence(&wait(&before.seats()[0]), now).is_none());
+    assert!(tracker.evidence(&wait(&after.instances()[0]), now).is_some());
+    assert!(tracker.evidence(&wait(&before.instances()[0]), now).is_none());
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let health = |unresponsive: &[usize], rank: usize, elapsed: Duration| {
         let mut tracker = Tracker::default();
         tracker.record_group_load(&report("a", unresponsive), now);
-        let evidence = tracker.evidence(&wait(&targets.seats()[rank]), now + elapsed);
+        let evidence = tracker.evidence(&wait(&targets.instances()[rank]), now + elapsed);
         evidence.expect("the group is known").health
     };
     assert_eq!(health(&[1], 1, Duration::ZERO), Health::Unresponsive);
@@ -100,12 +100,12 @@
 fn only_other_targets_count() {
     let now = Instant::now();
     let targets = directory(&["a"]);
-    let [first, second, ..] = targets.seats() else {
+    let [first, second, ..] = targets.instances() else {
         panic!("four ranks");
     };
     let mut tracker = Tracker::default();
     tracker.record_response(first, ResponsePart::FirstEvent, OBJECTIVE, now);
-    let others_heard = |tracker: &Tracker, instance: &Seat| {
+    let others_heard = |tracker: &Tracker, instance: &Instance| {
         tracker
             .evidence(&wait(instance), now)
             .and_then(|evidence| evidence.since_others_active)
@@ -117,7 +117,7 @@
 }
 
 fn plain_targets() -> Directory {
-    let targets = (0..3).map(|index| samples::target(&format!("plain-{index}"), samples::MODEL, 9_100 + index));
+    let targets = (0..3).map(|index| samples::target(&format!("plain-{index}"), samples::MODEL_SERVICE, 9_100 + index));
     Directory::new(&Roster::new(targets.collect()), &mut Incarnations::default())
 }
 
@@ -127,7 +127,7 @@
 fn idle_without_pending_responses() {
     let now = Instant::now();
     let targets = plain_targets();
-    let [first, second, ..] = targets.seats() else {
+    let [first, second, ..] = targets.instances() else {
         panic!("three targets");
     };
     let mut tracker = Tracker::default();
@@ -154,7 +154,7 @@
 fn idle_group_needs_report() {
     let now = Instant::now();
     let targets = directory(&["a"]);
-    let first = &targets.seats()[0];
+    let first = &targets.instances()[0];
     let mut tracker = Tracker::default();
     tracker.begin_wait(first);
     let others_idle = |tracker: &Tracker| {
@@ -166,7 +166,7 @@
     tracker.record_group_load(&report("a", &[1]), now);
     assert_eq!(others_idle(&tracker), Some(false), "the rank responds");
     let mut next_report = report("a", &[0]);
-    next_report.order = (1, 2);
+    next_report.sequence = (1, 2);
     tracker.record_group_load(&next_report, now);
     assert_eq!(others_idle(&tracker), Some(true));
 }
--- a/crates/sparscale_policy/tests/limited_target.rs
+++ b/crates/sparscale_policy/tests/limited_target.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_clock::{Clock as _, SystemClock, Timestamp};
 use sparscale_policy::rate_limit::{BURST, FACTOR, Members, Pacer, Peer, Rate, Share, WINDOW};
 
@@ -92,7 +92,7 @@
     start: Timestamp,
     now: u64,
     rate: Rate,
-    target_start: Start,
+    target_start: StartId,
     entries: Vec<Entry>,
     cut_links: HashSet<(usize, usize)>,
     sends: Vec<u64>,
@@ -114,7 +114,7 @@
             start,
             now: 0,
             rate: Rate::try_from(rate).expect("a rate"),
-            target_start: Start::of(START, None),
+            target_start: StartId::of(START, None),
             entries: (0..entries).map(entry).collect(),
             cut_links: HashSet::new(),
             sends: Vec::new(),
@@ -356,7 +356,7 @@
         let members = Members::new(peers[index].address, &others);
         let share_count = (0..129)
             .filter(|target| {
-                let start = Start::of(&format!("target-{target}"), None);
+                let start = StartId::of(&format!("target-{target}"), None);
                 matches!(members.share(rate, start), Share::Interval(_))
             })
             .count();
--- a/crates/sparscale_policy/tests/overload/model.rs
+++ b/crates/sparscale_policy/tests/overload/model.rs
@@ -6,7 +6,7 @@
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use sparscale_catalog::Engine;
+use sparscale_catalog::EngineProfile;
 use sparscale_policy::caller_timeout;
 use sparscale_policy::queue::{Decision, Group, Queue, Request};
 use sparscale_wire::{GroupLoad, RankLoad};
@@ -92,7 +92,7 @@
 
 /// The simulation; a run plays `load` and returns the outcomes of each second.
 pub(crate) struct Model {
-    engine: Engine,
+    engine: EngineProfile,
     load: Load,
     admission: Admission,
     random: ChaCha8Rng,
@@ -115,7 +115,7 @@
 }
 
 impl Model {
-    pub(crate) fn new(engine: Engine, load: Load, admission: Admission, seed: u64) -> Self {
+    pub(crate) fn new(engine: EngineProfile, load: Load, admission: Admission, seed: u64) -> Self {
         let start = Instant::now();
         Self {
             engine,
@@ -169,8 +169,8 @@
 
     fn new_call(&mut self) -> usize {
         let long = self.random.random::<f64>() < (self.load.long_prompts)(self.now);
-        let usual = self.engine.usual_prompt;
-        let answer = f64::from(self.engine.usual_answer) * (0.5 + self.random.random::<f64>());
+        let usual = self.engine.mean_prompt_tokens;
+        let answer = f64::from(self.engine.mean_response_tokens) * (0.5 + self.random.random::<f64>());
         self.seconds[(self.now / 1_000) as usize].arrived += 1;
         self.calls.push(Call {
             first_arrival: self.now,
@@ -311,12 +311,12 @@
         };
         let load = GroupLoad {
             group: "g".to_owned(),
-            order: (1, self.now + 1),
-            open: true,
+            sequence: (1, self.now + 1),
+            is_running: true,
             skew: (self.load.skew)(self.now),
-            pass_micros: self.pass_ms * 1_000,
-            pass: 0,
-            ranks: (0..RANKS).map(|index| Some(rank(index))).collect(),
+            mean_pass_micros: self.pass_ms * 1_000,
+            latest_pass: 0,
+            rank_loads: (0..RANKS).map(|index| Some(rank(index))).collect(),
         };
         self.report_in_transit = Some((self.now + REPORT_DELAY_MS, load));
     }
@@ -346,7 +346,7 @@
             let context: f64 = running.iter().map(|index| f64::from(self.calls[*index].prompt)).sum();
             longest = longest.max(self.engine.pass_ms(running.len() as f64, context, 1.0) + prefill);
         }
-        let share = self.engine.experts.map_or(0.0, |experts| experts.work_share);
+        let share = self.engine.experts.map_or(0.0, |experts| experts.expert_work_fraction);
         let skew = (self.load.skew)(self.now);
         self.pass_ms = (longest * (share * skew + 1.0 - share)).round() as u64;
         self.pass_end = self.now + self.pass_ms;
--- a/crates/sparscale_policy/tests/return_order.rs
+++ b/crates/sparscale_policy/tests/return_order.rs
@@ -35,12 +35,12 @@
     };
     let load = GroupLoad {
         group: "g".to_owned(),
-        order: (1, 1),
-        open: true,
+        sequence: (1, 1),
+        is_running: true,
         skew,
-        pass_micros: 45_000,
-        pass: 0,
-        ranks: vec![Some(rank); RANKS],
+        mean_pass_micros: 45_000,
+        latest_pass: 0,
+        rank_loads: vec![Some(rank); RANKS],
     };
     let engine = samples::engine();
     let group = Group {
--- a/crates/sparscale_policy/tests/throttle_register.rs
+++ b/crates/sparscale_policy/tests/throttle_register.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_clock::{Clock as _, SystemClock, Timestamp};
 use sparscale_policy::rate_limit::{Members, Rate};
 use sparscale_policy::throttle::{Availability, Notice, Tracker};
@@ -19,14 +19,14 @@
 
 fn notice(born_ms: u64, rate: Option<f64>, as_of: Timestamp) -> Notice {
     Notice {
-        start: Start::of("target-1", Some(born_ms)),
+        start: StartId::of("target-1", Some(born_ms)),
         rate: rate.map(|rate| Rate::try_from(rate).expect("a rate")),
         leaving: false,
         as_of,
     }
 }
 
-fn is_open(tracker: &Tracker, start: Start, now: Timestamp) -> bool {
+fn is_open(tracker: &Tracker, start: StartId, now: Timestamp) -> bool {
     tracker.availability(start, now) == Availability::Now
 }
 
@@ -53,7 +53,7 @@
 fn restart_clears_limit() {
     let (mut tracker, now) = tracker();
     tracker.merge(notice(1, Some(1.0), now), now);
-    assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
+    assert!(is_open(&tracker, StartId::of("target-1", Some(2)), now));
 }
 
 /// Guards against starvation: each new rate must not restart the wait, or a target whose rate changes with each
@@ -121,7 +121,7 @@
         Availability::Never
     );
     assert!(!tracker.try_acquire(leaving.start, now + 4 * SECOND));
-    assert!(is_open(&tracker, Start::of("target-1", Some(2)), now));
+    assert!(is_open(&tracker, StartId::of("target-1", Some(2)), now));
 }
 
 /// Guards against a flood of announcements by a target that states another rate in each response. A sharp drop and the
--- a/crates/sparscale_quarantine/src/fingerprint.rs
+++ b/crates/sparscale_quarantine/src/fingerprint.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the first digits of the fingerprint, for logs.
-    pub fn short(&self) -> String {
+    pub fn log_prefix(&self) -> String {
         let mut text = self.to_string();
         text.truncate(LOG_DIGITS);
         text
--- a/crates/sparscale_quarantine/src/lib.rs
+++ b/crates/sparscale_quarantine/src/lib.rs
@@ -11,5 +11,5 @@
 mod tracker;
 
 pub use fingerprint::{Fingerprint, ParseError};
-pub use strike::{End, Standing, Strike};
-pub use tracker::{Hold, News, Register};
+pub use strike::{EndedStart, Strike, StrikeStatus};
+pub use tracker::{Hold, StrikeSource, Tracker};
--- a/crates/sparscale_quarantine/src/strike.rs
+++ b/crates/sparscale_quarantine/src/strike.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 
 use crate::fingerprint::{Fingerprint, ParseError};
 
@@ -12,22 +12,22 @@
 ///
 /// All processes that observe the same termination derive the same value, so it counts once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct End(u64);
+pub struct EndedStart(u64);
 
-impl End {
+impl EndedStart {
     /// Identifies the start of `target` at `born_ms`; `None` if targets do not report when they started.
     pub fn of(target: &str, born_ms: Option<u64>) -> Self {
-        Self::from(Start::of(target, born_ms))
+        Self::from(StartId::of(target, born_ms))
     }
 }
 
-impl From<Start> for End {
-    fn from(start: Start) -> Self {
+impl From<StartId> for EndedStart {
+    fn from(start: StartId) -> Self {
         Self(start.digest())
     }
 }
 
-impl FromStr for End {
+impl FromStr for EndedStart {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
@@ -35,13 +35,13 @@
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for EndedStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl fmt::Debug for End {
+impl fmt::Debug for EndedStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
@@ -49,10 +49,10 @@
 
 /// Whether a strike counts against its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum StrikeStatus {
     /// It counts.
     #[serde(rename = "Counts")]
-    Counts,
+    Counted,
     /// It no longer counts, because the request has received enough complete responses since. This is final.
     Cleared,
 }
@@ -64,10 +64,10 @@
     pub request: Fingerprint,
     /// The start of the target that terminated.
     #[serde(rename = "end")]
-    pub end: End,
+    pub ended_start: EndedStart,
     /// Time of the termination, in milliseconds since 1970 by the clock of the process that observed it.
     pub at_ms: u64,
     /// Whether the strike counts against the request.
     #[serde(rename = "standing")]
-    pub standing: Standing,
+    pub status: StrikeStatus,
 }
--- a/crates/sparscale_quarantine/src/tracker.rs
+++ b/crates/sparscale_quarantine/src/tracker.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::fingerprint::Fingerprint;
-use crate::strike::{End, Standing, Strike};
+use crate::strike::{EndedStart, Strike, StrikeStatus};
 
 /// Terminations under one request after which it is held back. A single one proves nothing, because a target may run a whole
 /// batch of requests when it terminates. When the batch is retried elsewhere, hardly any request but the cause meets a second
@@ -31,47 +31,47 @@
 
 /// Where a strike came from, which decides whether this process has to write it to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum StrikeSource {
     /// Observed by this process, which has to write it to the store.
-    Seen,
+    Local,
     /// Received from a peer; the process that observed it writes it to the store.
-    Told,
+    Peer,
     /// Read from the store, or written to it.
-    Read,
+    Store,
 }
 
 /// An active hold: the request is not sent to targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
     /// Number of targets that terminated under the request.
-    pub ends: usize,
+    pub end_count: usize,
     /// Remaining time of the hold.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What is known of one termination under one request.
 #[derive(Debug, Clone, Copy)]
 struct EndRecord {
     at_ms: u64,
-    standing: Standing,
+    standing: StrikeStatus,
     /// Version of the tracker with which this entry last changed.
     version: u64,
     /// When this entry last changed, in milliseconds since 1970.
     changed_at_ms: u64,
-    source: News,
+    source: StrikeSource,
 }
 
 /// The terminations and responses of one request.
 #[derive(Debug, Default)]
 struct RequestHistory {
-    ends: BTreeMap<End, EndRecord>,
+    ends: BTreeMap<EndedStart, EndRecord>,
     /// Complete responses since this process learned of the latest termination.
     responses_since_end: u32,
 }
 
 impl RequestHistory {
     fn counted_ends(&self) -> usize {
-        let is_counted = |record: &&EndRecord| record.standing == Standing::Counts;
+        let is_counted = |record: &&EndRecord| record.standing == StrikeStatus::Counted;
         self.ends.values().filter(is_counted).count()
     }
 
@@ -102,24 +102,24 @@
 
 /// All requests that were running on targets which terminated.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct Tracker {
     requests: HashMap<Fingerprint, RequestHistory>,
     version: u64,
 }
 
-impl Register {
+impl Tracker {
     /// Merges a strike at `now_ms`; returns whether it changed anything.
-    pub fn take_in(&mut self, strike: Strike, source: News, now_ms: u64) -> bool {
+    pub fn merge(&mut self, strike: Strike, source: StrikeSource, now_ms: u64) -> bool {
         self.evict_if_full(strike.request);
         let history = self.requests.entry(strike.request).or_default();
-        if let Some(record) = history.ends.get_mut(&strike.end) {
-            if source == News::Read && strike.standing == record.standing {
-                record.source = News::Read;
+        if let Some(record) = history.ends.get_mut(&strike.ended_start) {
+            if source == StrikeSource::Store && strike.status == record.standing {
+                record.source = StrikeSource::Store;
             }
-            if strike.standing <= record.standing {
+            if strike.status <= record.standing {
                 return false;
             }
-            record.standing = strike.standing;
+            record.standing = strike.status;
             record.source = source;
             self.version += 1;
             record.version = self.version;
@@ -133,36 +133,36 @@
         let record = EndRecord {
             // A process whose clock is ahead must not extend the hold.
             at_ms: strike.at_ms.min(now_ms),
-            standing: strike.standing,
+            standing: strike.status,
             version: self.version,
             changed_at_ms: now_ms,
             source,
         };
-        history.ends.insert(strike.end, record);
+        history.ends.insert(strike.ended_start, record);
         history.responses_since_end = 0;
         true
     }
 
     /// Returns the hold of `request` that is active at `now_ms`.
-    pub fn held(&self, request: &Fingerprint, now_ms: u64) -> Option<Hold> {
+    pub fn active_hold(&self, request: &Fingerprint, now_ms: u64) -> Option<Hold> {
         let history = self.requests.get(request)?;
         let remaining_ms = history
             .hold_deadline_ms()
             .checked_sub(now_ms)
             .filter(|remaining_ms| *remaining_ms > 0)?;
         Some(Hold {
-            ends: history.counted_ends(),
-            left: Duration::from_millis(remaining_ms),
+            end_count: history.counted_ends(),
+            remaining: Duration::from_millis(remaining_ms),
         })
     }
 
     /// Number of targets that terminated under `request` and count against it.
-    pub fn ends(&self, request: &Fingerprint) -> usize {
+    pub fn end_count(&self, request: &Fingerprint) -> usize {
         self.requests.get(request).map_or(0, RequestHistory::counted_ends)
     }
 
     /// Records a complete response to `request`; returns whether that cleared its strikes.
-    pub fn note_answer(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
+    pub fn record_response(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
         let Some(history) = self.requests.get_mut(request) else {
             return false;
         };
@@ -172,8 +172,8 @@
         }
         self.version += 1;
         for record in history.ends.values_mut() {
-            record.standing = Standing::Cleared;
-            record.source = News::Seen;
+            record.standing = StrikeStatus::Cleared;
+            record.source = StrikeSource::Local;
             record.version = self.version;
             record.changed_at_ms = now_ms;
         }
@@ -181,14 +181,16 @@
     }
 
     /// Returns the strikes that changed after version `since`, and the current version.
-    pub fn news(&self, since: u64) -> (Vec<Strike>, u64) {
+    pub fn changes_since(&self, since: u64) -> (Vec<Strike>, u64) {
         let changed = self.strikes().filter(|(_, record)| record.version > since);
         (changed.map(|(strike, _)| strike).collect(), self.version)
     }
 
     /// Returns the strikes that this process has to write to the store.
-    pub fn untold(&self) -> Vec<Strike> {
-        let unsaved = self.strikes().filter(|(_, record)| record.source == News::Seen);
+    pub fn unsaved(&self) -> Vec<Strike> {
+        let unsaved = self
+            .strikes()
+            .filter(|(_, record)| record.source == StrikeSource::Local);
         unsaved.map(|(strike, _)| strike).collect()
     }
 
@@ -196,15 +198,15 @@
     ///
     /// A strike that a peer sent more than `margin` before the query, but that the store lacks, was never written: its process
     /// may have terminated. This process then writes it.
-    pub fn read(&mut self, strikes: &[Strike], queried_at_ms: u64, margin: Duration, now_ms: u64) -> bool {
+    pub fn merge_snapshot(&mut self, strikes: &[Strike], queried_at_ms: u64, margin: Duration, now_ms: u64) -> bool {
         let mut changed = false;
         for strike in strikes {
-            changed |= self.take_in(*strike, News::Read, now_ms);
+            changed |= self.merge(*strike, StrikeSource::Store, now_ms);
         }
         let records = self.requests.values_mut().flat_map(|history| history.ends.values_mut());
-        for record in records.filter(|record| record.source == News::Told) {
+        for record in records.filter(|record| record.source == StrikeSource::Peer) {
             if record.changed_at_ms + millis(margin) < queried_at_ms {
-                record.source = News::Seen;
+                record.source = StrikeSource::Local;
                 changed = true;
             }
         }
@@ -212,15 +214,15 @@
     }
 
     /// Handles a store that was restored from an older snapshot: strikes missing from its next content are written again.
-    pub fn doubt_store(&mut self) {
+    pub fn mark_stored_unconfirmed(&mut self) {
         let records = self.requests.values_mut().flat_map(|history| history.ends.values_mut());
-        for record in records.filter(|record| record.source == News::Read) {
-            record.source = News::Told;
+        for record in records.filter(|record| record.source == StrikeSource::Store) {
+            record.source = StrikeSource::Peer;
         }
     }
 
     /// Removes strikes of requests whose retention time is over, and returns them.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<Strike> {
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<Strike> {
         let is_expired = |history: &RequestHistory| history.retention_deadline_ms() <= now_ms;
         let dropped = self
             .strikes()
@@ -235,9 +237,9 @@
             history.ends.iter().map(|(end, record)| {
                 let strike = Strike {
                     request: *request,
-                    end: *end,
+                    ended_start: *end,
                     at_ms: record.at_ms,
-                    standing: record.standing,
+                    status: record.standing,
                 };
                 (strike, record)
             })
