--- a/crates/sparscale_quarantine/tests/held_requests.rs
+++ b/crates/sparscale_quarantine/tests/held_requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
+use sparscale_quarantine::{EndedStart, Fingerprint, Strike, StrikeSource, StrikeStatus, Tracker};
 
 const NOW_MS: u64 = 1_800_000_000_000;
 const MINUTE_MS: u64 = 60_000;
@@ -16,22 +16,22 @@
 fn strike(name: &str, target: u32, at_ms: u64) -> Strike {
     Strike {
         request: request(name),
-        end: End::of(&format!("t-{target}"), None),
+        ended_start: EndedStart::of(&format!("t-{target}"), None),
         at_ms,
-        standing: Standing::Counts,
+        status: StrikeStatus::Counted,
     }
 }
 
-fn tracker_of(strikes: &[Strike]) -> Register {
-    let mut tracker = Register::default();
+fn tracker_of(strikes: &[Strike]) -> Tracker {
+    let mut tracker = Tracker::default();
     for strike in strikes {
-        tracker.take_in(*strike, News::Seen, NOW_MS);
+        tracker.merge(*strike, StrikeSource::Local, NOW_MS);
     }
     tracker
 }
 
-fn remaining_hold(tracker: &Register, name: &str, now_ms: u64) -> Option<Duration> {
-    tracker.held(&request(name), now_ms).map(|hold| hold.left)
+fn remaining_hold(tracker: &Tracker, name: &str, now_ms: u64) -> Option<Duration> {
+    tracker.active_hold(&request(name), now_ms).map(|hold| hold.remaining)
 }
 
 /// Each part of a request changes the fingerprint, and bytes that move from one part to the next change it too.
@@ -59,16 +59,24 @@
 fn holds_by_termination_count() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("a", 1, NOW_MS + 5)]);
     assert_eq!(remaining_hold(&tracker, "a", NOW_MS), None);
-    tracker.take_in(strike("a", 2, NOW_MS), News::Told, NOW_MS);
+    tracker.merge(strike("a", 2, NOW_MS), StrikeSource::Peer, NOW_MS);
     assert_eq!(remaining_hold(&tracker, "a", NOW_MS), Some(Duration::from_mins(1)));
     assert_eq!(
         remaining_hold(&tracker, "a", NOW_MS + MINUTE_MS),
         None,
         "the request may have been there by chance and can run again"
     );
-    tracker.take_in(strike("a", 3, NOW_MS + MINUTE_MS), News::Seen, NOW_MS + MINUTE_MS);
+    tracker.merge(
+        strike("a", 3, NOW_MS + MINUTE_MS),
+        StrikeSource::Local,
+        NOW_MS + MINUTE_MS,
+    );
     assert!(remaining_hold(&tracker, "a", NOW_MS + DAY_MS).is_some());
-    tracker.take_in(strike("a", 4, NOW_MS + 2 * DAY_MS), News::Seen, NOW_MS + 2 * DAY_MS);
+    tracker.merge(
+        strike("a", 4, NOW_MS + 2 * DAY_MS),
+        StrikeSource::Local,
+        NOW_MS + 2 * DAY_MS,
+    );
     assert!(
         remaining_hold(&tracker, "a", NOW_MS + 30 * DAY_MS).is_some(),
         "each further run costs a target"
@@ -82,15 +90,17 @@
 fn responses_clear() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS)]);
     for _ in 0..7 {
-        assert!(!tracker.note_answer(&request("a"), NOW_MS));
+        assert!(!tracker.record_response(&request("a"), NOW_MS));
     }
-    tracker.take_in(strike("a", 2, NOW_MS), News::Seen, NOW_MS);
-    assert!(!tracker.note_answer(&request("a"), NOW_MS));
+    tracker.merge(strike("a", 2, NOW_MS), StrikeSource::Local, NOW_MS);
+    assert!(!tracker.record_response(&request("a"), NOW_MS));
     assert!(remaining_hold(&tracker, "a", NOW_MS).is_some());
-    let cleared = (0..7).filter(|_| tracker.note_answer(&request("a"), NOW_MS)).count();
+    let cleared = (0..7)
+        .filter(|_| tracker.record_response(&request("a"), NOW_MS))
+        .count();
     assert_eq!((cleared, remaining_hold(&tracker, "a", NOW_MS)), (1, None));
     // A strike from a peer that does not know of the responses changes nothing.
-    assert!(!tracker.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS));
+    assert!(!tracker.merge(strike("a", 1, NOW_MS), StrikeSource::Peer, NOW_MS));
     assert_eq!(remaining_hold(&tracker, "a", NOW_MS), None);
 }
 
@@ -106,14 +116,14 @@
 fn bounded_requests() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("a", 2, NOW_MS), strike("a", 3, NOW_MS)]);
     for number in 0..10_000 {
-        tracker.take_in(
+        tracker.merge(
             strike(&format!("other-{number}"), 9, NOW_MS + 1),
-            News::Seen,
+            StrikeSource::Local,
             NOW_MS + 1,
         );
     }
     assert!(remaining_hold(&tracker, "a", NOW_MS + 1).is_some());
-    let (known, _) = tracker.news(0);
+    let (known, _) = tracker.changes_since(0);
     assert!(known.len() <= 4_096 + 2, "{} strikes are known", known.len());
 }
 
@@ -121,27 +131,27 @@
 #[test]
 fn expired_strikes_returned() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("b", 1, NOW_MS), strike("b", 2, NOW_MS)]);
-    assert!(tracker.expire(NOW_MS + 59 * MINUTE_MS).is_empty());
-    let dropped = tracker.expire(NOW_MS + 61 * MINUTE_MS);
+    assert!(tracker.remove_expired(NOW_MS + 59 * MINUTE_MS).is_empty());
+    let dropped = tracker.remove_expired(NOW_MS + 61 * MINUTE_MS);
     assert_eq!(dropped, [strike("a", 1, NOW_MS)]);
-    assert_eq!(tracker.ends(&request("b")), 2);
+    assert_eq!(tracker.end_count(&request("b")), 2);
 }
 
 /// A strike from a peer that the store lacks after the margin was never written; the process that reads the store writes it.
 #[test]
 fn unwritten_peer_strike() {
-    let mut tracker = Register::default();
+    let mut tracker = Tracker::default();
     let margin = Duration::from_secs(2);
-    tracker.take_in(strike("a", 1, NOW_MS), News::Told, NOW_MS);
-    tracker.read(&[], NOW_MS + 1_000, margin, NOW_MS + 1_000);
+    tracker.merge(strike("a", 1, NOW_MS), StrikeSource::Peer, NOW_MS);
+    tracker.merge_snapshot(&[], NOW_MS + 1_000, margin, NOW_MS + 1_000);
     assert!(
-        tracker.untold().is_empty(),
+        tracker.unsaved().is_empty(),
         "the process that observed it may still write it"
     );
-    tracker.read(&[], NOW_MS + 2_500, margin, NOW_MS + 2_500);
-    assert_eq!(tracker.untold(), [strike("a", 1, NOW_MS)]);
-    tracker.read(&[strike("a", 1, NOW_MS)], NOW_MS + 3_000, margin, NOW_MS + 3_000);
-    assert!(tracker.untold().is_empty());
+    tracker.merge_snapshot(&[], NOW_MS + 2_500, margin, NOW_MS + 2_500);
+    assert_eq!(tracker.unsaved(), [strike("a", 1, NOW_MS)]);
+    tracker.merge_snapshot(&[strike("a", 1, NOW_MS)], NOW_MS + 3_000, margin, NOW_MS + 3_000);
+    assert!(tracker.unsaved().is_empty());
 }
 
 /// Counted and cleared strikes in random order; those with the flag set are merged twice.
@@ -155,7 +165,7 @@
             let name = *g.choose(&["a", "b"]).unwrap_or(&"a");
             let mut strike = strike(name, u32::arbitrary(g) % 4, NOW_MS);
             if u8::arbitrary(g).is_multiple_of(4) {
-                strike.standing = Standing::Cleared;
+                strike.status = StrikeStatus::Cleared;
             }
             (strike, bool::arbitrary(g))
         };
@@ -182,9 +192,9 @@
         let forwards = tracker_of(&strikes.clone().collect::<Vec<_>>());
         let twice = history.0.iter().filter(|(_, twice)| *twice).map(|(strike, _)| *strike);
         let backwards = tracker_of(&strikes.rev().chain(twice).collect::<Vec<_>>());
-        let sorted = |tracker: &Register| {
-            let (mut known, _) = tracker.news(0);
-            known.sort_by_key(|strike| (strike.request, strike.end));
+        let sorted = |tracker: &Tracker| {
+            let (mut known, _) = tracker.changes_since(0);
+            known.sort_by_key(|strike| (strike.request, strike.ended_start));
             known
         };
         sorted(&forwards) == sorted(&backwards)
--- a/crates/sparscale_quarantine/tests/spread_of_strikes.rs
+++ b/crates/sparscale_quarantine/tests/spread_of_strikes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
+use sparscale_quarantine::{EndedStart, Fingerprint, Strike, StrikeSource, StrikeStatus, Tracker};
 
 const PROCESSES: usize = 5;
 /// Simulated time of a step.
@@ -54,7 +54,7 @@
 }
 
 struct Simulation {
-    processes: Vec<Register>,
+    processes: Vec<Tracker>,
     /// Steps for which each process has been in contact with the store.
     contact_steps: Vec<usize>,
     store: Vec<Strike>,
@@ -73,7 +73,7 @@
 impl Simulation {
     fn new() -> Self {
         Self {
-            processes: (0..PROCESSES).map(|_| Register::default()).collect(),
+            processes: (0..PROCESSES).map(|_| Tracker::default()).collect(),
             contact_steps: vec![0; PROCESSES],
             store: Vec::new(),
             store_unavailable: false,
@@ -97,7 +97,7 @@
     fn send_request(&mut self, process: usize) {
         for _ in 0..2 {
             let now_ms = self.now_ms();
-            if self.processes[process].held(&Self::request(), now_ms).is_some() {
+            if self.processes[process].active_hold(&Self::request(), now_ms).is_some() {
                 return;
             }
             let have_strikes_spread = self
@@ -109,11 +109,11 @@
             self.end_count += 1;
             let strike = Strike {
                 request: Self::request(),
-                end: End::of(&format!("t-{}", self.end_count), None),
+                ended_start: EndedStart::of(&format!("t-{}", self.end_count), None),
                 at_ms: now_ms,
-                standing: Standing::Counts,
+                status: StrikeStatus::Counted,
             };
-            self.processes[process].take_in(strike, News::Seen, now_ms);
+            self.processes[process].merge(strike, StrikeSource::Local, now_ms);
             if self.end_count == 3 {
                 self.third_end_step = Some(self.step);
             }
@@ -121,7 +121,7 @@
     }
 
     fn restart(&mut self, process: usize) {
-        self.processes[process] = Register::default();
+        self.processes[process] = Tracker::default();
         self.contact_steps[process] = 0;
     }
 
@@ -141,19 +141,19 @@
             // A process reads the store as soon as it is in contact again, and then every `READ_STEPS` steps.
             if *contact_steps == 1 || (self.step + process).is_multiple_of(READ_STEPS) {
                 let stored = self.store.clone();
-                self.processes[process].read(&stored, now_ms, Duration::from_secs(2), now_ms);
+                self.processes[process].merge_snapshot(&stored, now_ms, Duration::from_secs(2), now_ms);
             }
-            for strike in self.processes[process].untold() {
+            for strike in self.processes[process].unsaved() {
                 self.store.push(strike);
-                self.processes[process].take_in(strike, News::Read, now_ms);
+                self.processes[process].merge(strike, StrikeSource::Store, now_ms);
             }
         }
         for from in 0..PROCESSES {
-            let (strikes, _) = self.processes[from].news(0);
+            let (strikes, _) = self.processes[from].changes_since(0);
             for to in 0..PROCESSES {
                 if self.is_below_partition(from) == self.is_below_partition(to) {
                     for strike in &strikes {
-                        self.processes[to].take_in(*strike, News::Told, now_ms);
+                        self.processes[to].merge(*strike, StrikeSource::Peer, now_ms);
                     }
                 }
             }
--- a/crates/sparscale_route/src/candidates.rs
+++ b/crates/sparscale_route/src/candidates.rs
@@ -17,7 +17,7 @@
 ///
 /// Targets at the same distance are ordered by a hash of entry and target name (rendezvous hashing): the entries
 /// together cover all targets, and each entry keeps the same subset.
-pub fn subset(board: &Board, entry: &str, all: &[TargetKey], limit: usize) -> Subset {
+pub fn select_subset(board: &Board, entry: &str, all: &[TargetKey], limit: usize) -> Subset {
     let mut ranked: Vec<_> = all
         .iter()
         .filter_map(|key| {
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -23,9 +23,9 @@
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Expected response length, in tokens.
-    pub answer_tokens: u32,
+    pub response_tokens: u32,
     /// Hashes of the prompt's leading blocks, for the prefix cache.
-    pub blocks: Vec<u64>,
+    pub block_hashes: Vec<u64>,
 }
 
 /// Rule by which a target is chosen; all but [`Rule::GroupCost`] are baselines for comparison.
@@ -38,7 +38,7 @@
     /// A candidate drawn at random.
     Random,
     /// The less loaded of two candidates drawn at random.
-    LeastOfTwo,
+    TwoChoices,
 }
 
 /// Why a target was chosen.
@@ -148,7 +148,7 @@
         Rule::GroupCost => Ok(least_cost(board, &usable, request, now, random)),
         Rule::RoundRobin(turn) => Ok(baseline(usable[turn % usable.len()])),
         Rule::Random => Ok(baseline(usable[random.random_range(0..usable.len())])),
-        Rule::LeastOfTwo => Ok(baseline(least_of_two(board, &usable, random))),
+        Rule::TwoChoices => Ok(baseline(least_of_two(board, &usable, random))),
     }
 }
 
@@ -204,7 +204,7 @@
 }
 
 fn hit_tokens(target: &Target, request: &Request, now: Duration) -> f64 {
-    let blocks = target.hints.expected_hit_blocks(&request.blocks, now);
+    let blocks = target.hints.expected_hit_blocks(&request.block_hashes, now);
     (blocks * BLOCK_BYTES / BYTES_PER_TOKEN) as f64
 }
 
@@ -226,7 +226,7 @@
 
     fn score(&self, key: TargetKey, request: &Request) -> Option<ScoredTarget> {
         let target = self.board.target(key)?;
-        let answer_tokens = f64::from(request.answer_tokens.max(1));
+        let answer_tokens = f64::from(request.response_tokens.max(1));
         let (requests, ms_per_step, group_delay_ms_per_token) = match target.rank {
             Some((group, rank)) => self.rank_costs(group, rank)?,
             None => (target.expected_requests(), SERVICE_STEP_MS, 0.0),
--- a/crates/sparscale_route/src/lib.rs
+++ b/crates/sparscale_route/src/lib.rs
@@ -6,5 +6,5 @@
 mod candidates;
 mod choice;
 
-pub use candidates::{Subset, subset};
+pub use candidates::{Subset, select_subset};
 pub use choice::{Decision, Error, Reason, Request, Rule, ScoredTarget, choose};
--- a/crates/sparscale_route/tests/target_choice.rs
+++ b/crates/sparscale_route/tests/target_choice.rs
@@ -20,7 +20,7 @@
 fn bundle() -> Bundle {
     let operator = |name: &str| Operator {
         name: name.to_owned(),
-        key: sign::public_text(&sign::new_key()),
+        key: sign::encode_public_key(&sign::generate_key()),
     };
     let names: Vec<String> = (0..RANKS).map(|rank| format!("rank-{rank}")).collect();
     let target = |name: &String| Target {
@@ -92,7 +92,7 @@
         .filter(|(_, standing)| **standing != Standing::Absent)
         .map(|(rank, standing)| (format!("rank-{rank}"), (address, *standing)))
         .collect();
-    board.apply_listed(&listed);
+    board.apply_box_list(&listed);
     let keys = (0..RANKS).map(|rank| board.find(&format!("rank-{rank}")).expect("on the board"));
     let keys = keys.collect();
     (board, keys)
@@ -101,8 +101,8 @@
 fn request() -> Request {
     Request {
         prompt_tokens: 100,
-        answer_tokens: 50,
-        blocks: Vec::new(),
+        response_tokens: 50,
+        block_hashes: Vec::new(),
     }
 }
 
@@ -150,7 +150,7 @@
                 usable.push(*key);
             }
         }
-        let rules = [Rule::GroupCost, Rule::LeastOfTwo, Rule::RoundRobin(7), Rule::Random];
+        let rules = [Rule::GroupCost, Rule::TwoChoices, Rule::RoundRobin(7), Rule::Random];
         rules.into_iter().all(|rule| {
             let mut random = ChaCha8Rng::seed_from_u64(1);
             match choose(&board, &keys, &request(), rule, NOW, &mut random) {
@@ -174,7 +174,7 @@
         for (key, (_, running, ..)) in keys.iter().zip(&states.0) {
             for _ in 0..*running {
                 counter += 1;
-                board.note_sent(*key, counter, 0, &[], NOW);
+                board.record_sent(*key, counter, 0, &[], NOW);
             }
         }
         let least = states.0.iter().map(|(_, running, ..)| *running).min();
@@ -196,12 +196,12 @@
 fn cached_prefix_wins() {
     let (mut board, keys) = board(&[Standing::Live; RANKS]);
     let blocks = prefix_blocks(&[b'p'; 4_096]);
-    board.note_sent(keys[4], 1, 0, &blocks, NOW);
-    board.note_ended(keys[4], 1, NOW);
+    board.record_sent(keys[4], 1, 0, &blocks, NOW);
+    board.record_end(keys[4], 1, NOW);
     let request = Request {
         prompt_tokens: 1_024,
-        answer_tokens: 1,
-        blocks,
+        response_tokens: 1,
+        block_hashes: blocks,
     };
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let decision = choose(&board, &keys, &request, Rule::GroupCost, NOW, &mut random).expect("all are live");
@@ -228,6 +228,6 @@
         "a report of an earlier run"
     );
     let moved = "127.0.0.1:2".parse().expect("an address");
-    board.apply_listed(&HashMap::from([("rank-0".to_owned(), (moved, Standing::Live))]));
+    board.apply_box_list(&HashMap::from([("rank-0".to_owned(), (moved, Standing::Live))]));
     assert_eq!(board.target(keys[0]).map(|target| target.load), Some(Load::default()));
 }
--- a/crates/sparscale_samples/src/lib.rs
+++ b/crates/sparscale_samples/src/lib.rs
@@ -7,48 +7,49 @@
 
 use sparscale_bundle::KeyHash;
 use sparscale_catalog::{
-    Document, Engine, Experts, Kind, Limits, Roster, Route, Service, Share, Standing, Target, Workspace,
+    Document, EngineProfile, ExpertLayout, Limits, RequestKind, Roster, Route, Service, Share, Target, TargetStatus,
+    Workspace,
 };
 
-pub use suspendable_clock::Sleeper;
+pub use suspendable_clock::SuspendableClock;
 
 /// Bearer key of the sample workspace.
-pub const KEY: &str = "sample-key";
+pub const CALLER_KEY: &str = "sample-key";
 /// Host name that every sample route matches.
 pub const HOST: &str = "sample.example";
 /// Name of the plain service.
-pub const CALC: &str = "calc";
+pub const PLAIN_SERVICE: &str = "calc";
 /// Name of the model service.
-pub const MODEL: &str = "model";
+pub const MODEL_SERVICE: &str = "model";
 
 /// Returns a catalog with a route for repeatable requests (`/any/`), one for requests that run at most once (`/once/`),
 /// one for resumable streams (`/stream/`), one for streams that can't be resumed (`/cut/`) and one that needs no key
 /// (`/open/`).
 pub fn document(version: u64) -> Document {
-    let stream = |resumable| Kind::Stream {
+    let stream = |resumable| RequestKind::Stream {
         resumable,
-        longest_pause: Some(Duration::from_millis(120)),
+        max_pause: Some(Duration::from_millis(120)),
     };
     Document {
         version,
         routes: vec![
-            route("any", Kind::Repeatable, CALC, 2),
-            route("once", Kind::Once, CALC, 1),
-            route("stream", stream(true), MODEL, 2),
-            route("cut", stream(false), MODEL, 2),
+            route("any", RequestKind::Idempotent, PLAIN_SERVICE, 2),
+            route("once", RequestKind::AtMostOnce, PLAIN_SERVICE, 1),
+            route("stream", stream(true), MODEL_SERVICE, 2),
+            route("cut", stream(false), MODEL_SERVICE, 2),
             Route {
-                public: true,
-                ..route("open", Kind::Repeatable, CALC, 2)
+                is_public: true,
+                ..route("open", RequestKind::Idempotent, PLAIN_SERVICE, 2)
             },
         ],
         services: vec![
             Service {
-                name: CALC.to_owned(),
+                name: PLAIN_SERVICE.to_owned(),
                 max_connections: 100,
                 engine: None,
             },
             Service {
-                name: MODEL.to_owned(),
+                name: MODEL_SERVICE.to_owned(),
                 max_connections: 300,
                 engine: Some(engine()),
             },
@@ -56,55 +57,55 @@
         workspaces: vec![Workspace {
             name: "teal".to_owned(),
             tier: Some(1),
-            key_hashes: vec![KeyHash::of(KEY)],
+            key_hashes: vec![KeyHash::of(CALLER_KEY)],
         }],
         limits: Limits::default(),
     }
 }
 
 /// Returns a route called `name` with the prefix `/name/`.
-pub fn route(name: &str, kind: Kind, service: &str, attempts: u32) -> Route {
+pub fn route(name: &str, kind: RequestKind, service: &str, attempts: u32) -> Route {
     Route {
         name: name.to_owned(),
         host: HOST.to_owned(),
         prefix: format!("/{name}/"),
         kind,
         timeout: Duration::from_secs(2),
-        objective: Duration::from_millis(300),
+        latency_objective: Duration::from_millis(300),
         tier: 1,
         shares: vec![Share {
             service: service.to_owned(),
             weight: 1,
         }],
-        attempts,
-        public: false,
+        max_attempts: attempts,
+        is_public: false,
     }
 }
 
 /// Returns the engine settings of a service with a small number of experts.
-pub fn engine() -> Engine {
-    Engine {
+pub fn engine() -> EngineProfile {
+    EngineProfile {
         slots: 12,
         memory_tokens: 280_000,
         steps_per_pass: 4,
         step_ms: 4.55,
         step_ms_per_request: 0.9,
-        step_ms_per_thousand: 0.018,
-        prefill_per_ms: 61.4,
+        step_ms_per_thousand_tokens: 0.018,
+        prefill_tokens_per_ms: 61.4,
         prefill_ms_per_million_pairs: 0.5,
-        prefill_chunk: 512,
+        prefill_chunk_tokens: 512,
         report_lag_ms: 200.0,
-        usual_prompt: 800,
-        usual_answer: 97,
-        experts: Some(Experts {
-            sets: 2,
-            count: 24,
-            places: 9,
-            spare: 3,
-            megabytes: 2_200.0,
+        mean_prompt_tokens: 800,
+        mean_response_tokens: 97,
+        experts: Some(ExpertLayout {
+            set_count: 2,
+            experts_per_set: 24,
+            max_experts_per_rank: 9,
+            spare_experts_per_rank: 3,
+            expert_megabytes: 2_200.0,
             load_mbps: 180_000.0,
-            work_share: 0.85,
-            form_ms: 600.0,
+            expert_work_fraction: 0.85,
+            group_recovery_ms: 600.0,
         }),
     }
 }
@@ -118,13 +119,16 @@
         address: SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port),
         hall: "derby".to_owned(),
         slots: 6,
-        standing: Standing::Ready,
+        status: TargetStatus::Ready,
         membership: None,
-        superseded: false,
+        is_superseded: false,
     }
 }
 
 /// Returns a roster with one target of the plain service and one of the model service.
 pub fn roster() -> Roster {
-    Roster::new(vec![target("c-1", CALC, 9_001), target("m-1", MODEL, 9_002)])
+    Roster::new(vec![
+        target("c-1", PLAIN_SERVICE, 9_001),
+        target("m-1", MODEL_SERVICE, 9_002),
+    ])
 }
--- a/crates/sparscale_samples/src/suspendable_clock.rs
+++ b/crates/sparscale_samples/src/suspendable_clock.rs
@@ -7,19 +7,19 @@
 
 /// Adds simulated suspended time to the system clock.
 #[derive(Debug, Default)]
-pub struct Sleeper {
+pub struct SuspendableClock {
     system_clock: SystemClock,
     suspended_time: Mutex<Duration>,
 }
 
-impl Sleeper {
+impl SuspendableClock {
     /// Advances the clock as if the machine had been suspended for `duration` and resumed just now.
-    pub fn wake_after(&self, duration: Duration) {
+    pub fn suspend_for(&self, duration: Duration) {
         *self.suspended_time.lock().unwrap_or_else(PoisonError::into_inner) += duration;
     }
 }
 
-impl Clock for Sleeper {
+impl Clock for SuspendableClock {
     fn now(&self) -> Timestamp {
         self.system_clock.now() + *self.suspended_time.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/sparscale_settings/src/lib.rs
+++ b/crates/sparscale_settings/src/lib.rs
@@ -7,7 +7,7 @@
 mod watched;
 
 pub use problem::{Problem, Problems};
-pub use watched::{Change, Watched};
+pub use watched::{FileChange, WatchedFile};
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -61,14 +61,14 @@
 
 /// Parses and checks `text`, which was read from `path`.
 pub fn parse<T: Check>(path: &Path, text: &str) -> Result<T::Checked, Error> {
-    let raw: T = document(path, text)?;
+    let raw: T = parse_unchecked(path, text)?;
     raw.check().map_err(|problems| Error::Values {
         problems: Problems::locate(path, text, problems),
     })
 }
 
 /// Parses JSON with comments, without checking the values.
-pub fn document<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, Error> {
+pub fn parse_unchecked<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, Error> {
     serde_json5::from_str(text).map_err(|error| parse_error(path, &error))
 }
 
--- a/crates/sparscale_settings/src/problem.rs
+++ b/crates/sparscale_settings/src/problem.rs
@@ -11,7 +11,7 @@
     /// Problem of the value.
     pub problem: String,
     /// Valid values to write instead.
-    pub mend: String,
+    pub remedy: String,
 }
 
 impl Problem {
@@ -20,14 +20,14 @@
         Self {
             field: field.into(),
             problem: problem.into(),
-            mend: mend.into(),
+            remedy: mend.into(),
         }
     }
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}; {}", self.field, self.problem, self.mend)
+        write!(f, "{}: {}; {}", self.field, self.problem, self.remedy)
     }
 }
 
--- a/crates/sparscale_settings/src/watched.rs
+++ b/crates/sparscale_settings/src/watched.rs
@@ -11,7 +11,7 @@
 
 /// Settings file, with the text that was first read from it.
 #[derive(Debug)]
-pub struct Watched<T> {
+pub struct WatchedFile<T> {
     path: PathBuf,
     text: String,
     raw: PhantomData<fn() -> T>,
@@ -19,16 +19,16 @@
 
 /// Result of the comparison.
 #[derive(Debug)]
-pub enum Change {
+pub enum FileChange {
     /// The text is unchanged.
-    Same,
+    Unchanged,
     /// The text has changed and contains valid settings.
-    Other,
+    Changed,
     /// The file can't be read, or contains invalid settings.
-    Unusable(Error),
+    Invalid(Error),
 }
 
-impl<T: Check> Watched<T> {
+impl<T: Check> WatchedFile<T> {
     /// Reads and checks the file at `path`.
     pub fn read(path: &Path) -> Result<(T::Checked, Self), Error> {
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
@@ -39,27 +39,29 @@
     }
 
     /// Reads the file again, and returns and logs how it differs from the text that was first read.
-    pub fn look_again(&self) -> Change {
+    pub fn check_for_change(&self) -> FileChange {
         let change = self.compare();
         let file = self.path.display().to_string();
         let file = file.as_str();
         match &change {
-            Change::Same => log::info!(target: DECISION, decision = "reload", file; "the settings file is unchanged"),
-            Change::Other => {
+            FileChange::Unchanged => {
+                log::info!(target: DECISION, decision = "reload", file; "the settings file is unchanged");
+            }
+            FileChange::Changed => {
                 log::warn!(target: DECISION, decision = "reload", file; "the settings file has changed; restart the process to apply it");
             }
-            Change::Unusable(error) => {
+            FileChange::Invalid(error) => {
                 log::error!(target: DECISION, decision = "reload", file, error = error.to_string().as_str(); "the settings file is invalid and the next start would fail; fix it before a restart");
             }
         }
         change
     }
 
-    fn compare(&self) -> Change {
+    fn compare(&self) -> FileChange {
         match Self::read(&self.path) {
-            Ok((_, current)) if current.text == self.text => Change::Same,
-            Ok(_) => Change::Other,
-            Err(error) => Change::Unusable(error),
+            Ok((_, current)) if current.text == self.text => FileChange::Unchanged,
+            Ok(_) => FileChange::Changed,
+            Err(error) => FileChange::Invalid(error),
         }
     }
 }
--- a/crates/sparscale_settings/tests/settings_errors.rs
+++ b/crates/sparscale_settings/tests/settings_errors.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use sparscale_settings::{Change, Check, Problem, Watched, parse};
+use sparscale_settings::{Check, FileChange, Problem, WatchedFile, parse};
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -79,16 +79,16 @@
     let path = std::env::temp_dir().join(format!("sparscale-watched-{}.json", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).expect("a file");
     write("{\"name\": \"a\", \"limit\": 1}");
-    let (name, file) = Watched::<Raw>::read(&path).expect("good settings");
+    let (name, file) = WatchedFile::<Raw>::read(&path).expect("good settings");
     assert_eq!(name, "a");
-    assert!(matches!(file.look_again(), Change::Same));
+    assert!(matches!(file.check_for_change(), FileChange::Unchanged));
     write("{\"name\": \"b\", \"limit\": 1}");
-    assert!(matches!(file.look_again(), Change::Other));
+    assert!(matches!(file.check_for_change(), FileChange::Changed));
     write("{\"name\": \"b\", \"limit\": 0}");
-    let Change::Unusable(error) = file.look_again() else {
+    let FileChange::Invalid(error) = file.check_for_change() else {
         panic!("a limit of 0 was taken")
     };
     assert!(error.to_string().contains("use 1 or more"), "{error}");
     std::fs::remove_file(&path).expect("the file");
-    assert!(matches!(file.look_again(), Change::Unusable(_)));
+    assert!(matches!(file.check_for_change(), FileChange::Invalid(_)));
 }
--- a/crates/sparscale_soak/src/caller.rs
+++ b/crates/sparscale_soak/src/caller.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
-use sparscale_gateway::Dialect;
+use sparscale_gateway::HeaderNames;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
@@ -42,7 +42,7 @@
     pub(crate) entry: usize,
     address: SocketAddr,
     connection_use: ConnectionUse,
-    dialect: Dialect,
+    header_names: HeaderNames,
     event_log: Arc<SharedEventLog>,
     random: ChaCha8Rng,
     idle_connection: Option<SendRequest<Full<Bytes>>>,
@@ -62,7 +62,7 @@
             entry,
             address: environment.net.caller_address(entry),
             connection_use,
-            dialect: environment.platform.dialect(),
+            header_names: environment.platform.header_names(),
             event_log: Arc::clone(&environment.event_log),
             random,
             idle_connection: None,
@@ -119,7 +119,7 @@
         let Ok(response) = connection.send_request(request).await else {
             return Outcome::Closed;
         };
-        let response = read_response(response, &self.dialect).await;
+        let response = read_response(response, &self.header_names).await;
         if self.connection_use == ConnectionUse::KeepAlive && response.whole {
             self.idle_connection = Some(connection);
         }
@@ -146,8 +146,8 @@
         Request::post(format!("{prefix}x"))
             .header(HOST_HEADER, HOST)
             .header(AUTHORIZATION, format!("Bearer {key}"))
-            .header(&self.dialect.request_id, id)
-            .header(&self.dialect.deadline, CALLER_TIMEOUT.as_millis().to_string())
+            .header(&self.header_names.request_id, id)
+            .header(&self.header_names.deadline, CALLER_TIMEOUT.as_millis().to_string())
             .body(Full::new(Bytes::from(
                 self.body.map_or_else(|| request_body(id), str::to_owned),
             )))
@@ -159,7 +159,7 @@
     format!("body of {id}")
 }
 
-async fn read_response(response: Response<Incoming>, dialect: &Dialect) -> Answer {
+async fn read_response(response: Response<Incoming>, header_names: &HeaderNames) -> Answer {
     let (head, mut content) = response.into_parts();
     let mut bytes = BytesMut::new();
     let mut whole = true;
@@ -172,7 +172,7 @@
             bytes.extend_from_slice(&data);
         }
     }
-    let digest = head.headers.get(&dialect.digest);
+    let digest = head.headers.get(&header_names.digest);
     Answer {
         status: head.status.as_u16(),
         digest: digest.and_then(|value| value.to_str().ok()).map(str::to_owned),
--- a/crates/sparscale_soak/src/check.rs
+++ b/crates/sparscale_soak/src/check.rs
@@ -150,7 +150,7 @@
     let is_initial = (0..INITIAL_KEY_COUNT).any(|key| caller_request.key == format!("key-{key}"));
     let is_granted = acknowledged_changes.iter().any(|acknowledged| {
         acknowledged.change == Change::Granted(caller_request.key.clone())
-            && caller_request.sent_at > acknowledged.effective_since + bounds.applied
+            && caller_request.sent_at > acknowledged.effective_since + bounds.apply_timeout
     });
     let revoked = Change::Revoked(caller_request.key.clone());
     let is_revoked = acknowledged_changes
@@ -219,14 +219,14 @@
     let run = runs.iter().find(|run| {
         event_log.acknowledged_changes.iter().any(|acknowledged| {
             acknowledged.change == Change::Draining(run.incarnation.clone())
-                && run.started_at > acknowledged.effective_since + bounds.left + MAX_TRANSIT_TIME
+                && run.started_at > acknowledged.effective_since + bounds.drain_timeout + MAX_TRANSIT_TIME
         })
     })?;
     is_in_contact(
         &event_log.fault_periods,
         caller_request.entry,
         run.started_at,
-        CONTACT_WINDOW + bounds.left,
+        CONTACT_WINDOW + bounds.drain_timeout,
     )
     .then(|| format!("ran on {} which had left", run.incarnation))
 }
@@ -241,8 +241,9 @@
             Change::Draining(_) | Change::Granted(_) => None,
         });
     let violations = revoked.flat_map(|(key, at)| {
-        let ran_late =
-            move |run: &&Run| run.workspace == *key && run.started_at > at + bounds.revoked + MAX_TRANSIT_TIME;
+        let ran_late = move |run: &&Run| {
+            run.workspace == *key && run.started_at > at + bounds.revocation_timeout + MAX_TRANSIT_TIME
+        };
         event_log.runs.iter().filter(ran_late).map(move |run| Violation {
             promise: "revocation",
             details: format!(
--- a/crates/sparscale_soak/src/engines.rs
+++ b/crates/sparscale_soak/src/engines.rs
@@ -54,7 +54,7 @@
         let body = body.collect().await.map(http_body_util::Collected::to_bytes);
         let response = body.ok().and_then(|body| {
             let call = Request::from_parts(head, body);
-            self.platform.answer_of_engine(&call, rank, &mut self.group())
+            self.platform.handle_engine_call(&call, rank, &mut self.group())
         });
         let Some(response) = response else {
             tokio::time::sleep(UNANSWERED_CALL_TIME).await;
--- a/crates/sparscale_soak/src/environment.rs
+++ b/crates/sparscale_soak/src/environment.rs
@@ -11,8 +11,8 @@
 
 use crate::engines::Engines;
 use crate::event_log::{Incident, SharedEventLog};
-use crate::layout::{GROUP, GROUP_SERVICE, HOST, INITIAL_KEY_COUNT, Net, PEER_PORT, ROUTES, SERVICE, Size};
-use crate::platform::{AgentPlace, Bounds, EntryPlace, Listed, Offer, Platform, Rank};
+use crate::layout::{GROUP_NAME, GROUP_SERVICE, HOST, INITIAL_KEY_COUNT, Net, PEER_PORT, ROUTES, SERVICE, Size};
+use crate::platform::{AgentConfig, Bounds, Configuration, EntryConfig, Membership, Platform, Registration};
 use crate::proxy::Proxy;
 use crate::store::Store;
 use crate::target::Target;
@@ -59,7 +59,7 @@
     pub(crate) engines: Arc<Engines>,
     /// The entries, then the agents.
     processes: Vec<ManagedProcess>,
-    configuration: Mutex<Offer>,
+    configuration: Mutex<Configuration>,
 }
 
 impl Environment {
@@ -85,9 +85,15 @@
         }
         let mut targets = Vec::new();
         for index in 0..size.targets {
-            let dialect = platform.dialect();
+            let header_names = platform.header_names();
             let id = incarnation(index, 0);
-            let target = Target::start(index, net.target_address(index), id, dialect, Arc::clone(&event_log));
+            let target = Target::start(
+                index,
+                net.target_address(index),
+                id,
+                header_names,
+                Arc::clone(&event_log),
+            );
             targets.push(TargetHandle {
                 target: target.await.map_err(to_text)?,
                 proxy: Proxy::start(net.target_proxy_address(index), net.target_address(index))
@@ -96,13 +102,13 @@
                 incarnation_number: Mutex::new(0),
             });
         }
-        let configuration = Offer {
+        let configuration = Configuration {
             version: 1,
             host: HOST,
             service: SERVICE,
             routes: &ROUTES,
             keys: (0..INITIAL_KEY_COUNT).map(|key| format!("key-{key}")).collect(),
-            model: (size.ranks > 0).then_some(GROUP_SERVICE),
+            group_service: (size.ranks > 0).then_some(GROUP_SERVICE),
         };
         let managed = |name: String, program| ManagedProcess {
             process: Mutex::default(),
@@ -112,7 +118,7 @@
             name,
             program,
         };
-        let entries = (0..size.entries).map(|entry| managed(format!("entry-{entry}"), platform.program()));
+        let entries = (0..size.entries).map(|entry| managed(format!("entry-{entry}"), platform.entry_program()));
         let agents = (0..size.ranks).map(|rank| managed(format!("agent-{rank}"), platform.agent_program()));
         let processes = entries.chain(agents).collect();
         let engines = Engines::start(Arc::clone(&platform), net, size)
@@ -141,7 +147,7 @@
 
     async fn fill_store(&self) {
         let configuration = self.configuration.lock().await;
-        self.store.add(self.platform.offer(&configuration));
+        self.store.add(self.platform.encode_configuration(&configuration));
         for index in 0..self.targets.len() {
             self.register(index, false);
         }
@@ -162,33 +168,33 @@
     fn agent_settings(&self, rank: usize) -> String {
         let process = self.size.agent_index(rank);
         let seeds = 0..self.size.entries.min(MAX_SEEDS);
-        let agent = AgentPlace {
+        let agent = AgentConfig {
             name: self.processes[process].name.clone(),
             address: self.net.process_ip(process),
-            metrics: self.net.metrics_address(process),
+            metrics_address: self.net.metrics_address(process),
             peer_port: PEER_PORT,
             seeds: seeds.map(|entry| self.net.peer_address(entry)).collect(),
-            engine: self.net.engine_address(process),
+            engine_address: self.net.engine_address(process),
             service: GROUP_SERVICE,
-            store: self.net.store_proxy_address(process),
+            store_address: self.net.store_proxy_address(process),
         };
         self.platform.agent_settings(&agent)
     }
 
     fn entry_settings(&self, entry: usize) -> String {
         let seeds = (0..self.size.entries).filter(|other| *other != entry).take(MAX_SEEDS);
-        let config = EntryPlace {
+        let config = EntryConfig {
             name: self.processes[entry].name.clone(),
             address: self.net.process_ip(entry),
-            callers: self.net.caller_address(entry),
-            ready: self.net.ready_address(entry),
-            metrics: self.net.metrics_address(entry),
+            caller_address: self.net.caller_address(entry),
+            ready_address: self.net.ready_address(entry),
+            metrics_address: self.net.metrics_address(entry),
             peer_port: PEER_PORT,
             seeds: seeds.map(|other| self.net.peer_address(other)).collect(),
-            store: self.net.store_proxy_address(entry),
+            store_address: self.net.store_proxy_address(entry),
             bounds: self.bounds,
         };
-        self.platform.settings(&config)
+        self.platform.entry_settings(&config)
     }
 
     pub(crate) async fn start_process(&self, process: usize) -> Result<(), String> {
@@ -221,7 +227,7 @@
         self.processes[index].is_stopping.store(true, Ordering::SeqCst);
         self.signal(index, Signal::SIGTERM).await;
         let asked_at = Instant::now();
-        while asked_at.elapsed() < self.bounds.grace + SHUTDOWN_MARGIN {
+        while asked_at.elapsed() < self.bounds.shutdown_timeout + SHUTDOWN_MARGIN {
             if self.has_terminated(index).await {
                 self.kill(index).await;
                 return;
@@ -286,90 +292,90 @@
 
     /// Registers target `index` in the store.
     pub(crate) fn register(&self, index: usize, draining: bool) {
-        let registration = Listed {
+        let registration = Registration {
             id: self.targets[index].target.incarnation(),
             service: SERVICE,
             address: self.net.target_proxy_address(index),
-            leaving: draining,
+            is_draining: draining,
             born_ms: self.targets[index].target.started_at_ms(),
-            rank: None,
+            membership: None,
         };
-        self.store.add(self.platform.listed(&registration));
+        self.store.add(self.platform.encode_registration(&registration));
     }
 
     /// Registers an engine of the group in the store.
     pub(crate) fn register_rank(&self, rank: usize) {
         let report = self.engines.group().report(rank, Instant::now());
-        let registration = Listed {
+        let registration = Registration {
             id: format!("rank-{rank}"),
             service: GROUP_SERVICE,
             address: self.net.engine_address(self.size.agent_index(rank)),
-            leaving: false,
+            is_draining: false,
             born_ms: report.born_ms,
-            rank: Some(Rank {
-                group: GROUP,
+            membership: Some(Membership {
+                group: GROUP_NAME,
                 epoch: report.epoch,
-                number: rank,
-                size: report.size,
+                rank_index: rank,
+                rank_count: report.rank_count,
             }),
         };
-        self.store.add(self.platform.listed(&registration));
+        self.store.add(self.platform.encode_registration(&registration));
     }
 
     /// Renews the registrations of all targets.
     pub(crate) fn renew_registrations(&self) {
-        let placeholder = Listed {
+        let placeholder = Registration {
             id: String::new(),
             service: SERVICE,
             address: self.net.target_proxy_address(0),
-            leaving: false,
+            is_draining: false,
             born_ms: 0,
-            rank: None,
+            membership: None,
         };
-        self.store.renew(self.platform.listed(&placeholder).topic);
+        self.store.renew(self.platform.encode_registration(&placeholder).topic);
     }
 
     /// Removes the registration of an incarnation.
     pub(crate) fn unregister(&self, index: usize, id: String) {
-        let registration = Listed {
+        let registration = Registration {
             id,
             service: SERVICE,
             address: self.net.target_proxy_address(index),
-            leaving: true,
+            is_draining: true,
             born_ms: 0,
-            rank: None,
+            membership: None,
         };
-        let mut record = self.platform.listed(&registration);
+        let mut record = self.platform.encode_registration(&registration);
         record.value = None;
         self.store.add(record);
     }
 
     /// Writes records of another writer, some of which copy the registration of target `index`.
     pub(crate) fn add_foreign_records(&self, index: usize) {
-        let registration = Listed {
+        let registration = Registration {
             id: self.targets[index].target.incarnation(),
             service: SERVICE,
             address: self.net.target_proxy_address(index),
-            leaving: false,
+            is_draining: false,
             born_ms: self.targets[index].target.started_at_ms(),
-            rank: None,
+            membership: None,
         };
-        for record in self.platform.foreign(&registration) {
+        for record in self.platform.foreign_records(&registration) {
             self.store.add(record);
         }
     }
 
     /// Deletes the records of another writer.
     pub(crate) fn remove_foreign_records(&self) {
-        let registration = Listed {
+        let registration = Registration {
             id: String::new(),
             service: SERVICE,
             address: self.net.target_proxy_address(0),
-            leaving: false,
+            is_draining: false,
             born_ms: 0,
-            rank: None,
+            membership: None,
         };
-        for mut record in self.platform.foreign(&registration) {
+        for mut record in self.platform.foreign_records(&registration) {
             record.value = None;
             self.store.add(record);
         }
@@ -392,7 +398,7 @@
             return false;
         }
         configuration.version += 1;
-        self.store.add(self.platform.offer(&configuration));
+        self.store.add(self.platform.encode_configuration(&configuration));
         true
     }
 
@@ -400,7 +406,7 @@
     pub(crate) async fn bump_configuration_version(&self) {
         let mut configuration = self.configuration.lock().await;
         configuration.version += 1;
-        self.store.add(self.platform.offer(&configuration));
+        self.store.add(self.platform.encode_configuration(&configuration));
     }
 
     /// Grants a key; returns whether it was inactive.
@@ -411,7 +417,7 @@
         }
         configuration.keys.push(key.to_owned());
         configuration.version += 1;
-        self.store.add(self.platform.offer(&configuration));
+        self.store.add(self.platform.encode_configuration(&configuration));
         true
     }
 
--- a/crates/sparscale_soak/src/group.rs
+++ b/crates/sparscale_soak/src/group.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 /// Sets of experts in a model.
-pub const SETS: usize = 2;
+pub const SET_COUNT: usize = 2;
 /// Experts of each set.
-pub const EXPERTS: usize = 24;
+pub const EXPERTS_PER_SET: usize = 24;
 /// Slots that a rank has for the experts of a set.
-pub const PLACES: usize = 9;
+pub const SLOTS_PER_SET: usize = 9;
 /// Experts of a set at a rank that a new map may add.
-pub const SPARE: usize = 3;
+pub const MAX_NEW_EXPERTS: usize = 3;
 
 /// Time that a rank takes to copy the new experts of a map.
 const MAP_COPY_TIME: Duration = Duration::from_millis(15);
@@ -30,7 +30,7 @@
 const FIRST_START_MS: u64 = 1_750_000_000_000;
 
 /// Experts by set and rank.
-pub type Lists = Vec<Vec<Vec<u16>>>;
+pub type ExpertLists = Vec<Vec<Vec<u16>>>;
 
 /// An order to one rank.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,18 +40,18 @@
     /// Epoch of the group that the order is for.
     pub epoch: u64,
     /// What the rank is to do.
-    pub act: Act,
+    pub action: Action,
 }
 
 /// What an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Copy what a map needs.
     Prepare {
         /// Version of the map.
         version: u64,
         /// The whole map.
-        map: Lists,
+        map: ExpertLists,
     },
     /// Switch to a prepared map at the beginning of a pass.
     Arm {
@@ -71,7 +71,7 @@
         step: u64,
     },
     /// Release a held pass.
-    Go {
+    Release {
         /// The pass.
         step: u64,
     },
@@ -79,22 +79,22 @@
 
 /// How a rank responds to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ack {
+pub enum OrderOutcome {
     /// The order was carried out, now or earlier.
     Done,
     /// The order doesn't apply to the state of the rank.
-    Unfit,
+    NotApplicable,
     /// The rank has seen a higher fence.
     Fenced,
     /// No response; the order may be carried out later.
-    Lost,
+    Unanswered,
 }
 
 /// A map as a rank stores it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Map {
     version: u64,
-    lists: Arc<Lists>,
+    lists: Arc<ExpertLists>,
 }
 
 /// State of one rank.
@@ -122,19 +122,19 @@
     /// Epoch of the group.
     pub epoch: u64,
     /// Whether the group serves.
-    pub open: bool,
+    pub is_serving: bool,
     /// Number of ranks in the group.
-    pub size: usize,
+    pub rank_count: usize,
     /// Last pass that began.
     pub step: u64,
     /// Version in use.
-    pub map: u64,
+    pub map_version: u64,
     /// Version that is copied and ready.
-    pub prepared: Option<u64>,
+    pub prepared_version: Option<u64>,
     /// Version and pass of the armed map switch.
     pub armed: Option<(u64, u64)>,
     /// Pass that this rank holds.
-    pub held: Option<u64>,
+    pub held_step: Option<u64>,
 }
 
 /// An order that got no response and is carried out later.
@@ -187,9 +187,9 @@
         };
     }
 
-    fn apply(&mut self, act: Act, step: u64, now: Instant) -> bool {
+    fn apply(&mut self, act: Action, step: u64, now: Instant) -> bool {
         match act {
-            Act::Prepare { version, map } => {
+            Action::Prepare { version, map } => {
                 let is_applicable = version > self.highest_version && self.armed.is_none() && self.is_compatible(&map);
                 if is_applicable {
                     self.highest_version = version;
@@ -198,7 +198,7 @@
                 }
                 is_applicable
             }
-            Act::Arm {
+            Action::Arm {
                 version,
                 step: switch_step,
             } => {
@@ -209,18 +209,18 @@
                 }
                 is_applicable
             }
-            Act::Disarm { version } => {
+            Action::Disarm { version } => {
                 self.armed = self.armed.filter(|(armed, _)| *armed != version);
                 self.map.version != version
             }
-            Act::Hold { step: held } => {
+            Action::Hold { step: held } => {
                 let is_applicable = self.held_step == Some(held) || (self.held_step.is_none() && held > step);
                 if is_applicable {
                     self.held_step = Some(held);
                 }
                 is_applicable
             }
-            Act::Go { step: held } => {
+            Action::Release { step: held } => {
                 self.held_step = self.held_step.filter(|step| *step != held);
                 true
             }
@@ -229,14 +229,14 @@
 
     /// Whether a map has the same sets and ranks as the current one, and no rank exceeds its slots or its new experts
     /// in any set.
-    fn is_compatible(&self, map: &Lists) -> bool {
+    fn is_compatible(&self, map: &ExpertLists) -> bool {
         let current = self.map.lists.iter();
         let sets_match = current.zip(map).all(|(current, proposed)| {
             let ranks = current.iter().zip(proposed);
             current.len() == proposed.len()
                 && ranks.into_iter().all(|(current, proposed)| {
                     let new_count = proposed.iter().filter(|expert| !current.contains(expert)).count();
-                    new_count <= SPARE && proposed.len() <= PLACES
+                    new_count <= MAX_NEW_EXPERTS && proposed.len() <= SLOTS_PER_SET
                 })
         });
         sets_match && map.len() == self.map.lists.len()
@@ -268,7 +268,7 @@
             opens_at: now,
             ranks: vec![Rank::new(rank_count, FIRST_START_MS); rank_count],
             hot_expert: 0,
-            selection_counts: vec![0; SETS * EXPERTS],
+            selection_counts: vec![0; SET_COUNT * EXPERTS_PER_SET],
             unanswered_count: 0,
             late_orders: Vec::new(),
             map_switch_count: 0,
@@ -289,7 +289,7 @@
         self.map_switch_count += u64::from(switched_count == self.ranks.len());
         self.compare_maps();
         for (index, count) in self.selection_counts.iter_mut().enumerate() {
-            let is_hot = index % EXPERTS == self.hot_expert;
+            let is_hot = index % EXPERTS_PER_SET == self.hot_expert;
             *count += if is_hot { HOT_SELECTIONS } else { OTHER_SELECTIONS };
         }
     }
@@ -311,7 +311,7 @@
     }
 
     /// Handles an order to `rank`.
-    pub fn order(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
+    pub fn handle_order(&mut self, rank: usize, order: Order, now: Instant) -> OrderOutcome {
         if self.ranks[rank].unanswered_until.is_some_and(|deadline| now < deadline) {
             self.unanswered_count += 1;
             // Some orders are never carried out, the others after later ones.
@@ -319,25 +319,25 @@
                 let apply_at = now + MAP_COPY_TIME * 10 * (self.unanswered_count % 7);
                 self.late_orders.push(LateOrder { apply_at, rank, order });
             }
-            return Ack::Lost;
+            return OrderOutcome::Unanswered;
         }
         self.accept_order(rank, order, now)
     }
 
-    fn accept_order(&mut self, rank: usize, order: Order, now: Instant) -> Ack {
+    fn accept_order(&mut self, rank: usize, order: Order, now: Instant) -> OrderOutcome {
         if order.epoch != self.epoch {
-            return Ack::Unfit;
+            return OrderOutcome::NotApplicable;
         }
         let step = self.step;
         let rank = &mut self.ranks[rank];
         if order.fence < rank.fence {
-            return Ack::Fenced;
+            return OrderOutcome::Fenced;
         }
         rank.fence = order.fence;
-        if rank.apply(order.act, step, now) {
-            Ack::Done
+        if rank.apply(order.action, step, now) {
+            OrderOutcome::Done
         } else {
-            Ack::Unfit
+            OrderOutcome::NotApplicable
         }
     }
 
@@ -367,7 +367,7 @@
 
     /// Moves the demand to another expert.
     pub(crate) fn shift_demand(&mut self) {
-        self.hot_expert = (self.hot_expert + HOT_EXPERT_STEP) % EXPERTS;
+        self.hot_expert = (self.hot_expert + HOT_EXPERT_STEP) % EXPERTS_PER_SET;
     }
 
     /// Returns the report of `rank`.
@@ -376,18 +376,18 @@
         Report {
             born_ms: state.started_at_ms,
             epoch: self.epoch,
-            open: now >= self.opens_at,
-            size: self.ranks.len(),
+            is_serving: now >= self.opens_at,
+            rank_count: self.ranks.len(),
             step: self.step,
-            map: state.map.version,
-            prepared: state.ready_version(now),
+            map_version: state.map.version,
+            prepared_version: state.ready_version(now),
             armed: state.armed,
-            held: state.held_step,
+            held_step: state.held_step,
         }
     }
 
     /// Expert selection counts, one set after the other.
-    pub fn counts(&self) -> &[u64] {
+    pub fn selection_counts(&self) -> &[u64] {
         &self.selection_counts
     }
 
@@ -416,10 +416,10 @@
 }
 
 /// Deals the experts to the ranks in turn.
-fn initial_map(rank_count: usize) -> Lists {
+fn initial_map(rank_count: usize) -> ExpertLists {
     let experts_of_rank = |rank: usize| {
-        let experts = (0..EXPERTS as u16).filter(|expert| usize::from(*expert) % rank_count.max(1) == rank);
+        let experts = (0..EXPERTS_PER_SET as u16).filter(|expert| usize::from(*expert) % rank_count.max(1) == rank);
         experts.collect()
     };
-    vec![(0..rank_count).map(experts_of_rank).collect(); SETS]
+    vec![(0..rank_count).map(experts_of_rank).collect(); SET_COUNT]
 }
--- a/crates/sparscale_soak/src/injection.rs
+++ b/crates/sparscale_soak/src/injection.rs
@@ -148,11 +148,11 @@
         Fault::Stall => {}
         Fault::Revoke { key } => revoke(environment, key).await,
         Fault::RevokeDuringOutage { key } => {
-            let outage = block_store(environment, environment.bounds.revoked + duration);
+            let outage = block_store(environment, environment.bounds.revocation_timeout + duration);
             tokio::join!(outage, revoke(environment, key));
         }
         Fault::GrantDuringOutage { key } => {
-            let outage = block_store(environment, environment.bounds.applied + duration);
+            let outage = block_store(environment, environment.bounds.apply_timeout + duration);
             tokio::join!(outage, grant(environment, key));
         }
         group_fault => apply_group_fault(environment, group_fault, duration).await,
--- a/crates/sparscale_soak/src/layout.rs
+++ b/crates/sparscale_soak/src/layout.rs
@@ -49,7 +49,7 @@
 /// Service of the group of engines.
 pub(crate) const GROUP_SERVICE: &str = "model";
 /// Name of the group of engines.
-pub const GROUP: &str = "model-0";
+pub const GROUP_NAME: &str = "model-0";
 pub(crate) const EVENTS_PER_STREAM: u64 = 12;
 /// Body of a request that crashes every target that runs it.
 pub(crate) const CRASH_BODY: &str = "crashes what runs it";
--- a/crates/sparscale_soak/src/lib.rs
+++ b/crates/sparscale_soak/src/lib.rs
@@ -26,7 +26,11 @@
 mod target;
 
 pub use command::run;
-pub use group::{Ack, Act, EXPERTS, Group, Lists, Order, PLACES, Report, SETS, SPARE};
-pub use layout::GROUP;
-pub use platform::{AgentPlace, Bounds, EntryPlace, Listed, Offer, Platform, Rank, Route, RouteKind};
+pub use group::{
+    Action, EXPERTS_PER_SET, ExpertLists, Group, MAX_NEW_EXPERTS, Order, OrderOutcome, Report, SET_COUNT, SLOTS_PER_SET,
+};
+pub use layout::GROUP_NAME;
+pub use platform::{
+    AgentConfig, Bounds, Configuration, EntryConfig, Membership, Platform, Registration, Route, RouteKind,
+};
 pub use records::{Record, Records};
--- a/crates/sparscale_soak/src/platform.rs
+++ b/crates/sparscale_soak/src/platform.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
-use sparscale_gateway::Dialect;
+use sparscale_gateway::HeaderNames;
 
 use crate::group::Group;
 use crate::records::{Record, Records};
@@ -15,13 +15,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Time after the acknowledgement of a revocation from which the key runs nowhere.
-    pub revoked: Duration,
+    pub revocation_timeout: Duration,
     /// Time after which a draining target gets no new requests.
-    pub left: Duration,
+    pub drain_timeout: Duration,
     /// Time within which a new configuration is active.
-    pub applied: Duration,
+    pub apply_timeout: Duration,
     /// Time that an entry has to terminate after SIGTERM.
-    pub grace: Duration,
+    pub shutdown_timeout: Duration,
     /// Retries allowed per request.
     pub budget_ratio: f64,
     /// Retries allowed in each window regardless of the number of requests.
@@ -33,10 +33,10 @@
 /// Limits of most rounds. The times are the required ones; the retry budget is far below the required one, so that the
 /// few requests of a round can exceed it.
 pub const BOUNDS: Bounds = Bounds {
-    revoked: Duration::from_secs(5),
-    left: Duration::from_secs(2),
-    applied: Duration::from_secs(2),
-    grace: Duration::from_secs(8),
+    revocation_timeout: Duration::from_secs(5),
+    drain_timeout: Duration::from_secs(2),
+    apply_timeout: Duration::from_secs(2),
+    shutdown_timeout: Duration::from_secs(8),
     budget_ratio: 0.02,
     budget_slack: 3.0,
     budget_window: Duration::from_secs(10),
@@ -50,46 +50,46 @@
 
 /// Addresses and limits for the settings file of one entry.
 #[derive(Debug, Clone)]
-pub struct EntryPlace {
+pub struct EntryConfig {
     /// Name of the entry.
     pub name: String,
     /// Address of the entry; all entries use the same ports.
     pub address: IpAddr,
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of the readiness check.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Address of the metrics.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// Port for links to other processes of the system.
     pub peer_port: u16,
     /// Peer addresses of other entries.
     pub seeds: Vec<SocketAddr>,
     /// Address of the store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Limits that the entry must keep.
     pub bounds: Bounds,
 }
 
 /// Addresses for the settings file of one agent.
 #[derive(Debug, Clone)]
-pub struct AgentPlace {
+pub struct AgentConfig {
     /// Name of the agent.
     pub name: String,
     /// Address of the agent; all agents use the same ports.
     pub address: IpAddr,
     /// Address of the metrics.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// Port for links to other processes of the system.
     pub peer_port: u16,
     /// Peer addresses of entries.
     pub seeds: Vec<SocketAddr>,
     /// The engine beside the agent.
-    pub engine: SocketAddr,
+    pub engine_address: SocketAddr,
     /// Service of that engine.
     pub service: &'static str,
     /// Address of the store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
 }
 
 /// How requests of a route may be handled.
@@ -118,7 +118,7 @@
 
 /// A configuration of the system.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct Configuration {
     /// Version of the configuration.
     pub version: u64,
     /// Host of all routes.
@@ -130,25 +130,25 @@
     /// Active keys; each belongs to a workspace of the same name.
     pub keys: Vec<String>,
     /// Service whose engines form a group, if there is one; no route leads to it.
-    pub model: Option<&'static str>,
+    pub group_service: Option<&'static str>,
 }
 
 /// Membership of an engine in its group.
 #[derive(Debug, Clone, Copy)]
-pub struct Rank {
+pub struct Membership {
     /// Name of the group.
     pub group: &'static str,
     /// Epoch of the group.
     pub epoch: u64,
     /// Index of the rank.
-    pub number: usize,
+    pub rank_index: usize,
     /// Number of ranks in the group.
-    pub size: usize,
+    pub rank_count: usize,
 }
 
 /// Registration of a target in the store's list.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct Registration {
     /// Incarnation of the target.
     pub id: String,
     /// Service of the target.
@@ -156,52 +156,57 @@
     /// Address for requests.
     pub address: SocketAddr,
     /// Whether the target is draining.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// When the current start of the target began, in milliseconds.
     pub born_ms: u64,
     /// Membership in a group, if the target has one.
-    pub rank: Option<Rank>,
+    pub membership: Option<Membership>,
 }
 
 /// A platform's settings files and wire formats.
 pub trait Platform: Send + Sync {
     /// Name of the entry program, built beside the soak.
-    fn program(&self) -> &'static str;
+    fn entry_program(&self) -> &'static str;
 
     /// Name of the agent program.
     fn agent_program(&self) -> &'static str;
 
     /// Contents of an agent's settings file.
-    fn agent_settings(&self, place: &AgentPlace) -> String;
+    fn agent_settings(&self, agent: &AgentConfig) -> String;
 
     /// The rank whose agent was the last to claim the lead of the group, if any did.
     fn leader(&self, records: &Records) -> Option<usize>;
 
     /// Response of an engine of the group to a call; none if the engine leaves the call unanswered.
-    fn answer_of_engine(&self, call: &Request<Bytes>, rank: usize, group: &mut Group) -> Option<Response<Full<Bytes>>>;
+    fn handle_engine_call(
+        &self,
+        call: &Request<Bytes>,
+        rank: usize,
+        group: &mut Group,
+    ) -> Option<Response<Full<Bytes>>>;
 
     /// Contents of an entry's settings file.
-    fn settings(&self, place: &EntryPlace) -> String;
+    fn entry_settings(&self, entry: &EntryConfig) -> String;
 
     /// Header names of the platform.
-    fn dialect(&self) -> Dialect;
+    fn header_names(&self) -> HeaderNames;
 
     /// Encodes a configuration as a record.
-    fn offer(&self, offer: &Offer) -> Record;
+    fn encode_configuration(&self, configuration: &Configuration) -> Record;
 
     /// Encodes the registration of a target as a record.
-    fn listed(&self, listed: &Listed) -> Record;
+    fn encode_registration(&self, registration: &Registration) -> Record;
 
     /// Records of another writer in the list of targets, each under its own key, that name no usable target or copy
-    /// `listed`.
-    fn foreign(&self, listed: &Listed) -> Vec<Record>;
+    /// `registration`.
+    fn foreign_records(&self, registration: &Registration) -> Vec<Record>;
 
     /// Whether the system itself writes `topic`.
-    fn is_own(&self, topic: &str) -> bool;
+    fn is_system_topic(&self, topic: &str) -> bool;
 
     /// Adds to a response of the store how often the store was restored from an older snapshot.
-    fn stamp(&self, answer: &mut Response<Full<Bytes>>, era: u64);
+    fn add_era(&self, response: &mut Response<Full<Bytes>>, era: u64);
 
     /// Response of the store to a call, given its `records`, to which the call may add.
-    fn answer(&self, call: &Request<Bytes>, records: &mut Records) -> Response<Full<Bytes>>;
+    fn handle_store_call(&self, call: &Request<Bytes>, records: &mut Records) -> Response<Full<Bytes>>;
 }
--- a/crates/sparscale_soak/src/records.rs
+++ b/crates/sparscale_soak/src/records.rs
@@ -34,14 +34,14 @@
     }
 
     /// Records of `topic`, in order.
-    pub fn of(&self, topic: &str) -> &[Record] {
+    pub fn in_topic(&self, topic: &str) -> &[Record] {
         self.topics.get(topic).map_or(&[], Vec::as_slice)
     }
 
     /// Latest value of each key of `topic` that is not deleted.
-    pub fn newest(&self, topic: &str) -> BTreeMap<&str, &Bytes> {
+    pub fn latest_values(&self, topic: &str) -> BTreeMap<&str, &Bytes> {
         let mut newest = BTreeMap::new();
-        for record in self.of(topic) {
+        for record in self.in_topic(topic) {
             match &record.value {
                 Some(value) => newest.insert(record.key.as_str(), value),
                 None => newest.remove(record.key.as_str()),
@@ -78,7 +78,7 @@
 
     /// Whether the key of `record` was written after `since`.
     pub(crate) fn is_written_since(&self, record: &Record, since: Instant) -> bool {
-        let records = self.of(record.topic);
+        let records = self.in_topic(record.topic);
         let added_at = self.added_at.get(record.topic).map_or(&[][..], Vec::as_slice);
         let first_later = added_at.partition_point(|at| *at <= since);
         records[first_later..].iter().any(|later| later.key == record.key)
--- a/crates/sparscale_soak/src/store.rs
+++ b/crates/sparscale_soak/src/store.rs
@@ -54,7 +54,7 @@
     /// Writes the latest record of each key of `topic` again, as its writers do.
     pub(crate) fn renew(&self, topic: &'static str) {
         let mut records = self.records();
-        let newest = records.newest(topic).into_iter();
+        let newest = records.latest_values(topic).into_iter();
         let rewritten = newest.map(|(key, value)| Record {
             topic,
             key: key.to_owned(),
@@ -70,7 +70,7 @@
     /// stay lost.
     pub(crate) fn restore(&self, snapshot_at: Instant) -> Vec<Record> {
         let mut lost = self.records().restore(snapshot_at);
-        lost.retain(|record| !self.platform.is_own(record.topic));
+        lost.retain(|record| !self.platform.is_system_topic(record.topic));
         lost
     }
 
@@ -88,10 +88,10 @@
         let mut response = match body {
             Ok(body) if !self.is_unavailable.load(Ordering::SeqCst) => self
                 .platform
-                .answer(&Request::from_parts(head, body), &mut self.records()),
+                .handle_store_call(&Request::from_parts(head, body), &mut self.records()),
             _ => server::unavailable(),
         };
-        self.platform.stamp(&mut response, self.records().era());
+        self.platform.add_era(&mut response, self.records().era());
         server::boxed(response)
     }
 
--- a/crates/sparscale_soak/src/target.rs
+++ b/crates/sparscale_soak/src/target.rs
@@ -11,7 +11,7 @@
 use http::{HeaderMap, HeaderName, Request, Response, StatusCode};
 use http_body_util::{BodyExt as _, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
-use sparscale_gateway::Dialect;
+use sparscale_gateway::HeaderNames;
 use tokio::sync::watch;
 
 use crate::behavior::Behavior;
@@ -31,7 +31,7 @@
 pub(crate) struct Target {
     index: usize,
     event_log: Arc<SharedEventLog>,
-    dialect: Dialect,
+    header_names: HeaderNames,
     state: Mutex<State>,
     /// Number of crashes so far.
     pub(crate) crashes: watch::Sender<u64>,
@@ -51,14 +51,14 @@
         index: usize,
         address: SocketAddr,
         incarnation: String,
-        dialect: Dialect,
+        header_names: HeaderNames,
         event_log: Arc<SharedEventLog>,
     ) -> std::io::Result<Arc<Self>> {
         let behavior = Behavior::Healthy;
         let target = Arc::new(Self {
             index,
             event_log,
-            dialect,
+            header_names,
             state: Mutex::new(State {
                 incarnation,
                 started_at_ms: FIRST_START_MS,
@@ -106,7 +106,7 @@
     async fn handle(&self, request: Request<Incoming>) -> Response<Content> {
         let state = self.state().clone();
         let (head, body) = request.into_parts();
-        let id = header_text(&head.headers, &self.dialect.request_id);
+        let id = header_text(&head.headers, &self.header_names.request_id);
         // An incomplete request is not run.
         let Ok(body) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
             return self.rejection(StatusCode::BAD_REQUEST, &id);
@@ -123,7 +123,7 @@
             },
             behavior: state.behavior,
         });
-        if header_text(&head.headers, &self.dialect.expected_target) != state.incarnation {
+        if header_text(&head.headers, &self.header_names.expected_target) != state.incarnation {
             return self.rejection(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         if matches!(state.behavior, Behavior::Rejecting | Behavior::RequestingBackoff) {
@@ -136,7 +136,7 @@
         self.event_log.lock().runs.push(Run {
             request_id: id.clone(),
             incarnation: state.incarnation.clone(),
-            workspace: header_text(&head.headers, &self.dialect.workspace),
+            workspace: header_text(&head.headers, &self.header_names.workspace),
             started_at: Instant::now(),
         });
         if let Some(path) = crash_path {
@@ -158,14 +158,14 @@
             _ => StatusCode::OK,
         };
         let mut response = self.response(status, &id, content);
-        insert_header(&mut response, &self.dialect.digest, &state.incarnation);
+        insert_header(&mut response, &self.header_names.digest, &state.incarnation);
         match state.behavior {
             Behavior::RateLimited => insert_header(
                 &mut response,
-                &self.dialect.backpressure.rate_limit,
+                &self.header_names.backpressure.rate_limit,
                 &RATE_LIMIT_PER_SEC.to_string(),
             ),
-            Behavior::Draining => insert_header(&mut response, &self.dialect.backpressure.draining, "1"),
+            Behavior::Draining => insert_header(&mut response, &self.header_names.backpressure.draining, "1"),
             _ => {}
         }
         if is_stream {
@@ -176,14 +176,14 @@
 
     fn rejection(&self, status: StatusCode, id: &str) -> Response<Content> {
         let mut response = self.response(status, id, full_body(Bytes::new()));
-        insert_header(&mut response, &self.dialect.not_run, "1");
+        insert_header(&mut response, &self.header_names.not_run, "1");
         response
     }
 
     fn response(&self, status: StatusCode, id: &str, content: Content) -> Response<Content> {
         let mut response = Response::new(content);
         *response.status_mut() = status;
-        insert_header(&mut response, &self.dialect.request_id, id);
+        insert_header(&mut response, &self.header_names.request_id, id);
         response
     }
 }
--- a/crates/sparscale_standin/src/boxes.rs
+++ b/crates/sparscale_standin/src/boxes.rs
@@ -36,12 +36,12 @@
     Live,
     /// It will be removed soon, so its work must be drained.
     #[serde(rename = "leaving")]
-    Leaving,
+    Draining,
 }
 
 /// One box in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Listed {
+pub struct ListedBox {
     /// Name of the target or of the entry.
     pub name: String,
     /// Kind of process that it runs.
@@ -56,9 +56,9 @@
 
 /// List of all boxes.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
-pub struct List {
+pub struct BoxList {
     /// All boxes.
-    pub boxes: Vec<Listed>,
+    pub boxes: Vec<ListedBox>,
     /// Time in milliseconds after which this list becomes visible to readers.
     #[serde(default)]
     pub lag_ms: u64,
@@ -67,18 +67,18 @@
 /// Versions of the list, each with the time from which readers see it, in the order in which they were put.
 #[derive(Debug, Default)]
 pub struct BoxListState {
-    versions: Mutex<Vec<(Instant, List)>>,
+    versions: Mutex<Vec<(Instant, BoxList)>>,
     faults: Faults,
 }
 
 impl BoxListState {
-    fn put(&self, list: List) {
+    fn put(&self, list: BoxList) {
         let visible_from = Instant::now() + Duration::from_millis(list.lag_ms);
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         versions.push((visible_from, list));
     }
 
-    fn visible(&self) -> List {
+    fn visible(&self) -> BoxList {
         let now = Instant::now();
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let current = versions.iter().rposition(|(visible_from, _)| *visible_from <= now);
@@ -115,7 +115,7 @@
 
 /// Replaces the list; readers see the new one after its lag.
 #[endpoint { method = PUT, path = "/admin/boxes" }]
-async fn put_boxes(context: Context, body: TypedBody<List>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
+async fn put_boxes(context: Context, body: TypedBody<BoxList>) -> Result<HttpResponseUpdatedNoContent, HttpError> {
     context.context().put(body.into_inner());
     Ok(HttpResponseUpdatedNoContent())
 }
--- a/crates/sparscale_standin/src/lib.rs
+++ b/crates/sparscale_standin/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod weights;
 
 pub use fault::{Fault, Outage};
-pub use service::{DEADLY_BODY, LINGER, LINGERING_BODY};
+pub use service::{CRASH_BODY, CRASH_DELAY, DELAYED_CRASH_BODY};
--- a/crates/sparscale_standin/src/service.rs
+++ b/crates/sparscale_standin/src/service.rs
@@ -29,11 +29,11 @@
 }
 
 /// Body of a call that terminates the service's process at once.
-pub const DEADLY_BODY: &str = "{\"deadly\":true}";
+pub const CRASH_BODY: &str = "{\"deadly\":true}";
 /// Body of a call whose response breaks off at once, and that terminates the service's process [`LINGER`] later.
-pub const LINGERING_BODY: &str = "{\"deadly\":\"later\"}";
+pub const DELAYED_CRASH_BODY: &str = "{\"deadly\":\"later\"}";
 /// Time for which the process still listens after a [`LINGERING_BODY`].
-pub const LINGER: Duration = Duration::from_millis(100);
+pub const CRASH_DELAY: Duration = Duration::from_millis(100);
 /// Exit code after either of these calls.
 const CRASH_EXIT_CODE: i32 = 3;
 
@@ -70,14 +70,14 @@
     if fault.rest_s > 0 {
         return reject_with_backoff(fault.rest_s);
     }
-    if body.as_bytes() == DEADLY_BODY.as_bytes() {
+    if body.as_bytes() == CRASH_BODY.as_bytes() {
         log::warn!("crash requested by a call; exiting");
         std::process::exit(CRASH_EXIT_CODE);
     }
-    if body.as_bytes() == LINGERING_BODY.as_bytes() {
+    if body.as_bytes() == DELAYED_CRASH_BODY.as_bytes() {
         log::warn!("delayed crash requested by a call; exiting soon");
         tokio::spawn(async {
-            tokio::time::sleep(LINGER).await;
+            tokio::time::sleep(CRASH_DELAY).await;
             std::process::exit(CRASH_EXIT_CODE);
         });
         return server::broken_response();
--- a/crates/sparscale_telemetry/src/exposition.rs
+++ b/crates/sparscale_telemetry/src/exposition.rs
@@ -18,7 +18,7 @@
 
 /// Responds to every request at `address` with the metrics of `registry`; runs until the process ends. If the address
 /// can't be bound, the process runs without exposing its metrics.
-pub async fn expose(registry: Arc<Registry>, address: SocketAddr) {
+pub async fn expose_metrics(registry: Arc<Registry>, address: SocketAddr) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
@@ -33,7 +33,7 @@
         };
         let registry = Arc::clone(&registry);
         let service = service_fn(move |_request: Request<Incoming>| {
-            let text = registry.text();
+            let text = registry.render();
             async move { Ok::<_, Infallible>(response(text)) }
         });
         tokio::spawn(async move {
--- a/crates/sparscale_telemetry/src/lib.rs
+++ b/crates/sparscale_telemetry/src/lib.rs
@@ -10,7 +10,7 @@
 mod signals;
 mod writer;
 
-pub use exposition::expose;
+pub use exposition::expose_metrics;
 pub use metrics::Metrics;
 pub use registry::{Counter, Gauge, Histogram, Registry};
 pub use run_program::{run_logged, run_service};
--- a/crates/sparscale_telemetry/src/metrics.rs
+++ b/crates/sparscale_telemetry/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Creates a client that sends to `address`, or discards all metrics if there is none; `prefix` is the program's name.
     pub fn new(prefix: &str, address: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(address) = address else {
-            return Ok(Self::nowhere(prefix));
+            return Ok(Self::disabled(prefix));
         };
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
@@ -31,7 +31,7 @@
     }
 
     /// Creates a client that discards all metrics.
-    pub fn nowhere(prefix: &str) -> Self {
+    pub fn disabled(prefix: &str) -> Self {
         Self {
             client: Arc::new(StatsdClient::from_sink(prefix, NopMetricSink)),
         }
--- a/crates/sparscale_telemetry/src/registry.rs
+++ b/crates/sparscale_telemetry/src/registry.rs
@@ -17,7 +17,7 @@
 
 impl Counter {
     /// Adds 1.
-    pub fn add_one(&self) {
+    pub fn increment(&self) {
         self.add(1);
     }
 
@@ -58,7 +58,7 @@
 
 impl Histogram {
     /// Records one duration.
-    pub fn note(&self, duration: Duration) {
+    pub fn record(&self, duration: Duration) {
         let micros = duration.as_micros() as u64;
         let bucket = BUCKETS_MS.iter().position(|bound| micros <= bound * 1_000);
         if let Some(bucket) = bucket {
@@ -124,13 +124,13 @@
     }
 
     /// Registers a callback that is called before each rendering, for gauges that aren't updated elsewhere.
-    pub fn before_telling(&self, refresh: impl Fn() + Send + Sync + 'static) {
+    pub fn before_render(&self, refresh: impl Fn() + Send + Sync + 'static) {
         let mut refresh_callbacks = self.refresh_callbacks.lock().unwrap_or_else(PoisonError::into_inner);
         refresh_callbacks.push(Box::new(refresh));
     }
 
     /// Renders all metrics in the Prometheus text format.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         for refresh in self
             .refresh_callbacks
             .lock()
--- a/crates/sparscale_wire/src/endpoint.rs
+++ b/crates/sparscale_wire/src/endpoint.rs
@@ -28,7 +28,7 @@
 const MAX_STREAMS: u32 = 16_384;
 /// Maximum number of open streams for peers that open one or two and keep them. The transport allocates about 80 bytes per
 /// allowed stream on each connection, which is 1.4 MB for [`MAX_STREAMS`].
-pub const FEW_STREAMS: u32 = 64;
+pub const MAX_LONG_LIVED_STREAMS: u32 = 64;
 
 /// Error while opening the socket or a connection.
 #[derive(Debug, Snafu)]
@@ -137,11 +137,11 @@
 impl Endpoint {
     /// Opens the socket at `address` with the certificates of `identity`, for peers that open one stream per request.
     pub fn bind(address: SocketAddr, identity: Identity) -> Result<Self, Error> {
-        Self::with_streams(address, identity, MAX_STREAMS)
+        Self::bind_with_max_streams(address, identity, MAX_STREAMS)
     }
 
     /// Opens the socket like [`Endpoint::bind`], for peers that may have at most `max_streams` streams open at once.
-    pub fn with_streams(address: SocketAddr, identity: Identity, max_streams: u32) -> Result<Self, Error> {
+    pub fn bind_with_max_streams(address: SocketAddr, identity: Identity, max_streams: u32) -> Result<Self, Error> {
         let configs = identity.load()?;
         let transport = transport(max_streams);
         let mut server = configs.server;
@@ -207,7 +207,7 @@
     }
 
     /// Establishes a connection to the process at `address` if there is none, so that a stream can be opened without delay.
-    pub async fn keep_ready(&self, address: SocketAddr, role: Role) -> Result<(), Error> {
+    pub async fn ensure_connected(&self, address: SocketAddr, role: Role) -> Result<(), Error> {
         let slot = self.slot(address, role);
         if slot
             .connection
@@ -226,7 +226,7 @@
     ///
     /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the old
     /// one. The transport detects that only after its idle timeout.
-    pub fn renew(&self, address: SocketAddr, role: Role) {
+    pub fn drop_connection(&self, address: SocketAddr, role: Role) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let slot = connections.remove(&(address, role));
         if let Some(connection) = slot.as_ref().and_then(|slot| slot.connection.get()) {
--- a/crates/sparscale_wire/src/frame.rs
+++ b/crates/sparscale_wire/src/frame.rs
@@ -11,20 +11,20 @@
 use sparscale_place::switch;
 use sparscale_quarantine::Strike;
 
-use crate::peer::{Exchange, GroupLoad, Notices, RankNews, RankOrder};
+use crate::peer::{GroupLoad, Notices, ObservationSummary, RankOrder, RankUpdate};
 
 /// Unique id of one dispatch of one request to one agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// Incarnation of the entry that dispatched the request.
-    pub entry: u64,
+    pub entry_incarnation: u64,
     /// Number of the dispatch within that incarnation.
     pub counter: u64,
 }
 
 impl fmt::Display for AttemptId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}-{:x}", self.entry, self.counter)
+        write!(f, "{:016x}-{:x}", self.entry_incarnation, self.counter)
     }
 }
 
@@ -32,23 +32,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// Request that opens a stream.
-    Ask(Ask),
+    Open(StreamRequest),
     /// Part of a response to an attempt.
-    Answer(Answer),
+    Response(ResponseFrame),
     /// Response to [`Ask::Settle`].
     Settlement(Settlement),
     /// Load report, on an [`Ask::Watch`] stream or on its own.
-    Load(Load),
+    Load(TargetLoad),
     /// Response to [`Ask::Follow`].
-    Relayed(Relayed),
+    RelayedLog(RelayedLog),
     /// Response to [`Ask::Order`].
     Report(switch::Report),
     /// Response to [`Ask::Experts`]: number of tokens that each expert has served since the target started.
-    Experts(Vec<u64>),
+    ExpertTokens(Vec<u64>),
     /// Response to [`Ask::Ping`]: incarnation of the responding process.
     Pong(u64),
     /// Summary of the sender's observations, on an [`Ask::Exchange`] stream; both sides send it.
-    Exchange(Exchange),
+    ObservationSummary(ObservationSummary),
     /// Catalog whose version the next [`Frame::Exchange`] of this stream states.
     Catalog(Box<Document>),
     /// Roster whose version the next [`Frame::Exchange`] of this stream states.
@@ -58,18 +58,18 @@
     /// Limits that targets state for their senders, on an [`Ask::Exchange`] stream.
     Notices(Notices),
     /// Loads of a group's ranks, on an [`Ask::Exchange`] stream.
-    Group(GroupLoad),
+    GroupLoad(GroupLoad),
     /// Message from a group leader to the agent of a rank, on an [`Ask::Conduct`] stream.
     RankOrder(RankOrder),
     /// Message from the agent of a rank to the group leader, on an [`Ask::Conduct`] stream.
-    RankNews(RankNews),
+    RankUpdate(RankUpdate),
     /// Response to [`Ask::Leader`].
-    Leader(Sighting),
+    LeaderContact(LeaderContact),
 }
 
 /// Request with which a process opens a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum StreamRequest {
     /// Run a request and stream its response.
     Attempt(Box<Attempt>),
     /// Stream the response of an earlier attempt again, starting at chunk `from`.
@@ -89,34 +89,34 @@
     /// Cancel an attempt whose caller has disconnected.
     Cancel(AttemptId),
     /// Report load whenever it changes.
-    Watch {
+    WatchLoad {
         /// Incarnation of the requesting entry.
-        entry: u64,
+        entry_incarnation: u64,
         /// Minimum interval between two reports, in milliseconds.
         interval_ms: u64,
     },
     /// Relay log records, starting at offset `head`; the peer may send the folded state first, as [`Relayed::Image`].
-    Follow {
+    FollowLog {
         /// Offset of the first record to send.
-        head: u64,
+        from_offset: u64,
         /// Version of the bundle that is active in the requesting process; 0 for none.
-        version: u64,
+        bundle_version: u64,
     },
     /// Change the expert map.
-    Order {
+    ForwardOrder {
         /// Group whose map is changed.
         group: String,
         /// Order and its fence.
         order: switch::Order,
     },
     /// Report the number of tokens that each expert has served.
-    Experts,
+    QueryExpertTokens,
     /// Report the incarnation of the responding process.
     Ping,
     /// Exchange observations in both directions, periodically.
-    Exchange,
+    ExchangeObservations,
     /// Accept orders about the expert map of a rank from the group leader, and report the rank's state and counts to it.
-    Conduct {
+    LeadRank {
         /// Group of the leader.
         group: String,
         /// Rank of the agent's engine according to the leader.
@@ -125,7 +125,7 @@
         claim: u64,
     },
     /// Report when the agent last received a message from a leader.
-    Leader {
+    QueryLeader {
         /// Group of the leader.
         group: String,
     },
@@ -133,7 +133,7 @@
 
 /// Observation that an agent has of the leader of its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct LeaderContact {
     /// Claim of the leader from which the agent last received a message; `None` if it hasn't received any.
     pub claim: Option<u64>,
     /// Time since that message, in milliseconds.
@@ -148,7 +148,7 @@
     /// Id of this dispatch.
     pub id: AttemptId,
     /// Incarnation of the agent that may run the request; 0 for any.
-    pub incarnation: u64,
+    pub agent_incarnation: u64,
     /// Workspace that the request is charged to.
     pub workspace: String,
     /// Index of the tier; 0 is the highest.
@@ -156,17 +156,17 @@
     /// Weight of the workspace within its tier.
     pub weight: u32,
     /// Remaining time until the caller's timeout, in milliseconds.
-    pub deadline_ms: u64,
+    pub remaining_ms: u64,
     /// Whether the request may run more than once.
-    pub repeatable: bool,
+    pub retryable: bool,
     /// Idempotency key under which the agent keeps the outcome for retries.
     pub key: Option<BindingKey>,
     /// Time for which the agent keeps that outcome, in seconds.
-    pub keep_seconds: u64,
+    pub retention_secs: u64,
     /// Estimated prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Estimated response length, in tokens.
-    pub answer_tokens: u32,
+    pub response_tokens: u32,
     /// Call to make.
     pub call: Call,
 }
@@ -208,16 +208,16 @@
 
 /// Part of a response, with the attempt that it belongs to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ResponseFrame {
     /// Attempt that the part belongs to; a receiver drops parts of any other attempt.
     pub attempt: AttemptId,
     /// The part itself.
-    pub part: Part,
+    pub part: ResponseEvent,
 }
 
 /// Parts of a response, in the order in which they are sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Part {
+pub enum ResponseEvent {
     /// Start of the target's response; chunks follow.
     Head(Head),
     /// Chunk of the body.
@@ -225,12 +225,12 @@
     /// End of a complete response.
     End {
         /// Number of chunks of the complete response.
-        chunks: u64,
+        chunk_count: u64,
         /// Current load of the agent.
-        load: Load,
+        load: TargetLoad,
     },
     /// The request wasn't dispatched to the target and never will be.
-    Refused(Refusal),
+    Rejected(Refusal),
     /// The request was dispatched to the target and failed.
     Failed(Failure),
 }
@@ -245,7 +245,7 @@
     /// Incarnation of the agent, needed to resume the stream.
     pub incarnation: u64,
     /// Current load of the agent.
-    pub load: Load,
+    pub load: TargetLoad,
 }
 
 /// Chunk of a response body.
@@ -265,7 +265,7 @@
     /// Delay before a retry, in milliseconds.
     pub retry_after_ms: u64,
     /// Current load of the agent.
-    pub load: Load,
+    pub load: TargetLoad,
 }
 
 /// Reason why a request wasn't dispatched.
@@ -307,7 +307,7 @@
         message: String,
     },
     /// Like [`Failure::Unknown`], and the target's process has ended.
-    Ended {
+    TargetEnded {
         /// Description of the failure.
         message: String,
     },
@@ -328,43 +328,43 @@
 
 /// Load of one target as known to its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Load {
+pub struct TargetLoad {
     /// Incarnation of the agent.
     pub incarnation: u64,
     /// Highest attempt counter received from the entry that gets this report.
-    pub seen: u64,
+    pub highest_counter: u64,
     /// Requests running at the target.
     pub running: u32,
     /// Requests queued at the agent.
     pub queued: u32,
     /// Running and queued requests sent by the entry that gets this report.
-    pub own: u32,
+    pub from_entry: u32,
     /// Prompt tokens that still wait for prefill at the target.
     pub prefill_tokens: u32,
     /// Duration of the group's latest step, in microseconds.
     pub step_micros: u32,
     /// Number of the active expert map.
-    pub map: u64,
+    pub map_number: u64,
     /// Whether the agent rejects new requests: it is draining, or its target isn't listening or accepts no requests.
-    pub closed: bool,
+    pub is_closed: bool,
 }
 
 /// Log records relayed by a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Relayed {
+pub enum RelayedLog {
     /// Records in offset order; snapshot records are sent without their image.
     Records {
         /// Offset of the first record.
-        first: u64,
+        first_offset: u64,
         /// Encoded records.
         records: Vec<Bytes>,
     },
     /// Part of the encoded folded state.
     Image {
         /// The bytes of this part.
-        part: Bytes,
+        fragment: Bytes,
         /// Whether this is the last part.
-        last: bool,
+        is_last: bool,
     },
     /// No new records; the peer has applied all records up to `head` and last received from the log `age_ms` ago.
     Idle {
--- a/crates/sparscale_wire/src/lib.rs
+++ b/crates/sparscale_wire/src/lib.rs
@@ -7,14 +7,14 @@
 mod stream;
 mod tls;
 
-pub use endpoint::{Endpoint, Error as EndpointError, FEW_STREAMS, Incoming, Peer};
+pub use endpoint::{Endpoint, Error as EndpointError, Incoming, MAX_LONG_LIVED_STREAMS, Peer};
 pub use frame::{
-    Answer, Ask, Attempt, AttemptId, Call, Chunk, Failure, Frame, Head, Load, Part, Refusal, RefusalReason, Relayed,
-    Settlement, Sighting,
+    Attempt, AttemptId, Call, Chunk, Failure, Frame, Head, LeaderContact, Refusal, RefusalReason, RelayedLog,
+    ResponseEvent, ResponseFrame, Settlement, StreamRequest, TargetLoad,
 };
 pub use peer::{
-    Base, Echo, Exchange, GroupLoad, Known, KnownRoster, MapUpdate, Notice, Notices, Placement, RankLoad, RankNews,
-    RankOrder,
+    Echo, GroupLoad, MapUpdate, Notice, Notices, ObservationSummary, ObservedRosterVersion, ObservedVersion, PatchBase,
+    RankExperts, RankLoad, RankOrder, RankUpdate,
 };
 pub use stream::{Channel, Error as StreamError, Receiver, Sender};
-pub use tls::{Error as TlsError, Files, Identity, Role};
+pub use tls::{CertificateFiles, Error as TlsError, Identity, Role};
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_history::Position;
 use sparscale_place::barrier::{Answer, Order, Report};
 use sparscale_place::{Map, Patch, Shape};
@@ -16,21 +16,21 @@
 /// Each side therefore sends the time of its own clock, and the other side echoes the latest one together with the time
 /// since it was received. This proves to the receiver of an echo that the message was sent after that clock time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Exchange {
+pub struct ObservationSummary {
     /// Address at which the sender accepts connections from other processes.
     pub sender: SocketAddr,
     /// Time of the sender's clock, in milliseconds since the sender started.
-    pub stamp_ms: u64,
+    pub clock_ms: u64,
     /// Echo of the receiver's latest clock time.
     pub echo: Option<Echo>,
     /// Version of the sender's catalog.
-    pub catalog: Option<Known>,
+    pub catalog: Option<ObservedVersion>,
     /// Whether the receiver must send its catalog, because it announced a newer one than the sender's.
-    pub wants_catalog: bool,
+    pub requests_catalog: bool,
     /// Version of the sender's roster.
-    pub roster: Option<KnownRoster>,
+    pub roster: Option<ObservedRosterVersion>,
     /// Whether the receiver must send its roster, because it announced one that the sender doesn't have.
-    pub wants_roster: bool,
+    pub requests_roster: bool,
     /// Age in milliseconds of the sender's copy of the strikes in the store; all of it has been sent on this stream.
     pub strikes_age_ms: Option<u64>,
     /// Entries that the sender knows, including itself if it is one; empty if they haven't changed.
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// Clock time as received, in milliseconds.
-    pub stamp_ms: u64,
+    pub clock_ms: u64,
     /// Time between its receipt and this message, in milliseconds.
-    pub held_ms: u64,
+    pub echo_delay_ms: u64,
 }
 
 /// Limits that targets state for their senders.
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
     /// Start of the target that stated them.
-    pub start: Start,
+    pub start: StartId,
     /// Requests per second that the target accepts from all entries together; `None` if it no longer has a rate limit.
     pub per_second: Option<f64>,
     /// Whether the target is draining.
@@ -70,7 +70,7 @@
 
 /// Version of an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct ObservedVersion {
     /// Position in the history of its source.
     pub position: Position,
     /// Age of the observation when this message was sent, in milliseconds.
@@ -80,9 +80,9 @@
 /// Version of a roster. Each heartbeat advances its position in the store's history; its digest changes only with its
 /// content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownRoster {
+pub struct ObservedRosterVersion {
     /// Position and age.
-    pub known: Known,
+    pub version: ObservedVersion,
     /// Digest of the content.
     pub digest: u64,
 }
@@ -93,7 +93,7 @@
     /// The leader is alive and still leads the group.
     Heartbeat,
     /// Order to the rank of the receiving agent.
-    Own {
+    ToRank {
         /// The order.
         order: Order,
         /// Map to stage, if the order stages one.
@@ -112,11 +112,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MapUpdate {
     /// The full map.
-    Whole(Arc<Map>),
+    Full(Arc<Map>),
     /// Difference from a map that the agent has.
-    Change {
+    Patch {
         /// Map to which the patch applies.
-        base: Base,
+        base: PatchBase,
         /// Changed parts of the map.
         patch: Arc<Patch>,
     },
@@ -124,7 +124,7 @@
 
 /// Map that an agent has already received, as the base of a patch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Base {
+pub enum PatchBase {
     /// Initial map of a group with this shape.
     Initial(Shape),
     /// Map that was sent earlier, by its number.
@@ -133,7 +133,7 @@
 
 /// Message from the agent of a rank to the group leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum RankNews {
+pub enum RankUpdate {
     /// State of the rank.
     Report {
         /// State, and response to the last order.
@@ -142,16 +142,16 @@
         load: Option<RankLoad>,
     },
     /// Expert selection counts since the last such message.
-    Picks {
+    SelectionCounts {
         /// Epoch in which the selections were counted.
         epoch: u64,
         /// Duration over which the selections were counted, in milliseconds.
-        span_ms: u64,
+        period_ms: u64,
         /// Number of selections of each expert, set by set.
-        picks: Vec<u32>,
+        selections: Vec<u32>,
     },
     /// Experts that the rank holds.
-    Holds(Placement),
+    Experts(RankExperts),
     /// Response of another rank's engine to a delegated order.
     Delegation {
         /// Serial number of the order.
@@ -160,7 +160,7 @@
         answer: Answer,
     },
     /// A leader with a higher claim has taken over this rank.
-    Overtaken {
+    Superseded {
         /// Claim of that leader.
         claim: u64,
     },
@@ -168,15 +168,15 @@
 
 /// Experts held by one rank under one map.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placement {
+pub struct RankExperts {
     /// Epoch in which the rank holds them.
     pub epoch: u64,
     /// Number of the map.
-    pub number: u64,
+    pub map_number: u64,
     /// Experts held, by set.
-    pub sets: Vec<Vec<u16>>,
+    pub experts_by_set: Vec<Vec<u16>>,
     /// Whether the agent has the full map of all ranks, so that the next map can be sent as a patch.
-    pub whole: bool,
+    pub has_full_map: bool,
 }
 
 /// Load of one rank as reported by its engine to the agent on the same box; recent, because no other box is involved.
@@ -187,18 +187,18 @@
     /// Queued requests.
     pub queued: u32,
     /// Marker of the engine's start, so that a load isn't attributed to a later start of the engine; 0 if not reported.
-    pub start: u16,
+    pub start_marker: u16,
     /// Slowdown of the rank in thousandths, where 1000 is nominal; 0 if not reported.
-    pub pace_milli: u32,
+    pub slowdown_milli: u32,
 }
 
 impl RankLoad {
     /// Returns the slowdown of the rank as a factor; 1 if it is nominal or not reported.
-    pub fn pace(&self) -> f64 {
-        if self.pace_milli == 0 {
+    pub fn slowdown(&self) -> f64 {
+        if self.slowdown_milli == 0 {
             1.0
         } else {
-            f64::from(self.pace_milli) / 1_000.0
+            f64::from(self.slowdown_milli) / 1_000.0
         }
     }
 }
@@ -209,23 +209,23 @@
     /// Name of the group.
     pub group: String,
     /// Claim of the leader and number of this message; a later message compares as larger.
-    pub order: (u64, u64),
+    pub sequence: (u64, u64),
     /// Whether the group is running.
-    pub open: bool,
+    pub is_running: bool,
     /// Skew: the ratio of the largest rank load to the mean rank load, averaged over the sets.
     pub skew: f64,
     /// Mean duration of the latest passes, in microseconds; 0 if none was observed.
-    pub pass_micros: u64,
+    pub mean_pass_micros: u64,
     /// Number of the latest pass whose start was observed; while it doesn't increase, the group is stalled or idle.
-    pub pass: u64,
+    pub latest_pass: u64,
     /// Load of each rank; `None` for a rank without a recent report.
-    pub ranks: Vec<Option<RankLoad>>,
+    pub rank_loads: Vec<Option<RankLoad>>,
 }
 
 impl GroupLoad {
     /// Returns the load of a rank if it was reported by the engine start with this marker. A marker of 0 matches any start.
-    pub fn rank(&self, rank: usize, start: u16) -> Option<RankLoad> {
-        let load = self.ranks.get(rank).copied().flatten()?;
-        (load.start == start || load.start == 0 || start == 0).then_some(load)
+    pub fn rank_load(&self, rank: usize, start: u16) -> Option<RankLoad> {
+        let load = self.rank_loads.get(rank).copied().flatten()?;
+        (load.start_marker == start || load.start_marker == 0 || start == 0).then_some(load)
     }
 }
--- a/crates/sparscale_wire/src/tls.rs
+++ b/crates/sparscale_wire/src/tls.rs
@@ -51,15 +51,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
     /// Certificate files issued by the fleet's own authority.
-    Files(Files),
+    Files(CertificateFiles),
     /// Self-signed certificate, generated at start, for closed networks without a certificate authority. Traffic is
     /// encrypted, but peers aren't authenticated: any process on the network can claim any role.
-    Made(Role),
+    SelfSigned(Role),
 }
 
 /// Certificate files of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Files {
+pub struct CertificateFiles {
     /// PEM file with the certificate chain of this process.
     pub certificate: PathBuf,
     /// PEM file with the private key of this process.
@@ -104,12 +104,12 @@
     pub(crate) fn load(&self) -> Result<QuicConfigs, Error> {
         match self {
             Self::Files(files) => files.load(),
-            Self::Made(role) => self_signed::configs(*role),
+            Self::SelfSigned(role) => self_signed::configs(*role),
         }
     }
 }
 
-impl Files {
+impl CertificateFiles {
     fn load(&self) -> Result<QuicConfigs, Error> {
         let chain = read_chain(&self.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&self.key).context(PemSnafu { path: &self.key })?;
--- a/crates/sparscale_wire/tests/stream_limit.rs
+++ b/crates/sparscale_wire/tests/stream_limit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sparscale_wire::{Channel, Endpoint, FEW_STREAMS, Identity, Role};
+use sparscale_wire::{Channel, Endpoint, Identity, MAX_LONG_LIVED_STREAMS, Role};
 
 /// Timeout for opening a stream; longer than that takes on the loopback interface.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
@@ -32,9 +32,9 @@
 async fn count_open_streams(server: Endpoint) -> usize {
     let target = server.local_address().expect("an address");
     accept_streams(Arc::new(server));
-    let client = Endpoint::bind(any_local_address(), Identity::Made(Role::Entry)).expect("a free port");
+    let client = Endpoint::bind(any_local_address(), Identity::SelfSigned(Role::Entry)).expect("a free port");
     let mut channels: Vec<Channel> = Vec::new();
-    while channels.len() <= FEW_STREAMS as usize {
+    while channels.len() <= MAX_LONG_LIVED_STREAMS as usize {
         let opening = client.open(target, Role::Agent);
         let Ok(Ok(channel)) = tokio::time::timeout(OPEN_TIMEOUT, opening).await else {
             break;
@@ -46,15 +46,19 @@
 
 #[tokio::test]
 async fn allows_few_streams() {
-    let server = Endpoint::with_streams(any_local_address(), Identity::Made(Role::Agent), FEW_STREAMS);
+    let server = Endpoint::bind_with_max_streams(
+        any_local_address(),
+        Identity::SelfSigned(Role::Agent),
+        MAX_LONG_LIVED_STREAMS,
+    );
     assert_eq!(
         count_open_streams(server.expect("a free port")).await,
-        FEW_STREAMS as usize
+        MAX_LONG_LIVED_STREAMS as usize
     );
 }
 
 #[tokio::test]
 async fn allows_stream_per_request() {
-    let server = Endpoint::bind(any_local_address(), Identity::Made(Role::Agent));
-    assert!(count_open_streams(server.expect("a free port")).await > FEW_STREAMS as usize);
+    let server = Endpoint::bind(any_local_address(), Identity::SelfSigned(Role::Agent));
+    assert!(count_open_streams(server.expect("a free port")).await > MAX_LONG_LIVED_STREAMS as usize);
 }
