--- a/crates/sparscale_quarantine/src/fingerprint.rs
+++ b/crates/sparscale_quarantine/src/fingerprint.rs
@@ -12,7 +12,7 @@
 /// Hexadecimal digits of a fingerprint that are shown in logs.
 const LOG_DIGITS: usize = 12;
 
-/// A text is not the hexadecimal form of a [`Fingerprint`] or of an [`End`](crate::End).
+/// A text is not the hexadecimal form of a [`Fingerprint`] or of an [`EndedStart`](crate::EndedStart).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("not a hexadecimal number of the expected length"))]
 pub struct ParseError;
--- a/crates/sparscale_standin/src/service.rs
+++ b/crates/sparscale_standin/src/service.rs
@@ -30,9 +30,9 @@
 
 /// Body of a call that terminates the service's process at once.
 pub const CRASH_BODY: &str = "{\"deadly\":true}";
-/// Body of a call whose response breaks off at once, and that terminates the service's process [`LINGER`] later.
+/// Body of a call whose response breaks off at once, and that terminates the service's process [`CRASH_DELAY`] later.
 pub const DELAYED_CRASH_BODY: &str = "{\"deadly\":\"later\"}";
-/// Time for which the process still listens after a [`LINGERING_BODY`].
+/// Time for which the process still listens after a [`DELAYED_CRASH_BODY`].
 pub const CRASH_DELAY: Duration = Duration::from_millis(100);
 /// Exit code after either of these calls.
 const CRASH_EXIT_CODE: i32 = 3;
--- a/crates/sparscale_wire/src/frame.rs
+++ b/crates/sparscale_wire/src/frame.rs
@@ -35,35 +35,35 @@
     Open(StreamRequest),
     /// Part of a response to an attempt.
     Response(ResponseFrame),
-    /// Response to [`Ask::Settle`].
+    /// Response to [`StreamRequest::Settle`].
     Settlement(Settlement),
-    /// Load report, on an [`Ask::Watch`] stream or on its own.
+    /// Load report, on a [`StreamRequest::WatchLoad`] stream or on its own.
     Load(TargetLoad),
-    /// Response to [`Ask::Follow`].
+    /// Response to [`StreamRequest::FollowLog`].
     RelayedLog(RelayedLog),
-    /// Response to [`Ask::Order`].
+    /// Response to [`StreamRequest::ForwardOrder`].
     Report(switch::Report),
-    /// Response to [`Ask::Experts`]: number of tokens that each expert has served since the target started.
+    /// Response to [`StreamRequest::QueryExpertTokens`]: number of tokens that each expert has served since the target started.
     ExpertTokens(Vec<u64>),
-    /// Response to [`Ask::Ping`]: incarnation of the responding process.
+    /// Response to [`StreamRequest::Ping`]: incarnation of the responding process.
     Pong(u64),
-    /// Summary of the sender's observations, on an [`Ask::Exchange`] stream; both sides send it.
+    /// Summary of the sender's observations, on a [`StreamRequest::ExchangeObservations`] stream; both sides send it.
     ObservationSummary(ObservationSummary),
-    /// Catalog whose version the next [`Frame::Exchange`] of this stream states.
+    /// Catalog whose version the next [`Frame::ObservationSummary`] of this stream states.
     Catalog(Box<Document>),
-    /// Roster whose version the next [`Frame::Exchange`] of this stream states.
+    /// Roster whose version the next [`Frame::ObservationSummary`] of this stream states.
     Roster(Roster),
-    /// Targets whose process ended during a request, on an [`Ask::Exchange`] stream.
+    /// Targets whose process ended during a request, on a [`StreamRequest::ExchangeObservations`] stream.
     Strikes(Vec<Strike>),
-    /// Limits that targets state for their senders, on an [`Ask::Exchange`] stream.
+    /// Limits that targets state for their senders, on a [`StreamRequest::ExchangeObservations`] stream.
     Notices(Notices),
-    /// Loads of a group's ranks, on an [`Ask::Exchange`] stream.
+    /// Loads of a group's ranks, on a [`StreamRequest::ExchangeObservations`] stream.
     GroupLoad(GroupLoad),
-    /// Message from a group leader to the agent of a rank, on an [`Ask::Conduct`] stream.
+    /// Message from a group leader to the agent of a rank, on a [`StreamRequest::LeadRank`] stream.
     RankOrder(RankOrder),
-    /// Message from the agent of a rank to the group leader, on an [`Ask::Conduct`] stream.
+    /// Message from the agent of a rank to the group leader, on a [`StreamRequest::LeadRank`] stream.
     RankUpdate(RankUpdate),
-    /// Response to [`Ask::Leader`].
+    /// Response to [`StreamRequest::QueryLeader`].
     LeaderContact(LeaderContact),
 }
 
@@ -95,7 +95,7 @@
         /// Minimum interval between two reports, in milliseconds.
         interval_ms: u64,
     },
-    /// Relay log records, starting at offset `head`; the peer may send the folded state first, as [`Relayed::Image`].
+    /// Relay log records, starting at `from_offset`; the peer may send the folded state first, as [`RelayedLog::Image`].
     FollowLog {
         /// Offset of the first record to send.
         from_offset: u64,
--- a/crates/sparscale_wire/tests/stream_limit.rs
+++ b/crates/sparscale_wire/tests/stream_limit.rs
@@ -28,7 +28,7 @@
     });
 }
 
-/// Counts the streams that a client can open to `server`; stops at one more than [`FEW_STREAMS`].
+/// Counts the streams that a client can open to `server`; stops at one more than [`MAX_LONG_LIVED_STREAMS`].
 async fn count_open_streams(server: Endpoint) -> usize {
     let target = server.local_address().expect("an address");
     accept_streams(Arc::new(server));
