--- a/crates/sparscale_agent/src/core.rs
+++ b/crates/sparscale_agent/src/core.rs
@@ -1,5 +1,6 @@
 //! Processes each attempt that entries send: admission by ledger and queue, dispatch to the target, and the buffered
-//! response. A rejected attempt leaves a tombstone in the ledger, so that a copy which arrives later doesn't run either.
+//! response. A rejected attempt leaves a tombstone in the ledger, so that a copy which arrives later doesn't run
+//! either.
 
 mod state;
 
@@ -265,8 +266,8 @@
             ledger::Refusal::Expired => {
                 AttemptStart::Unknown("the attempt is older than the ledger remembers".to_owned())
             }
-            // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too, or is
-            // the first to run.
+            // The attempt has no ledger entry, so it wasn't dispatched. A later copy either finds the ledger full too,
+            // or is the first to run.
             ledger::Refusal::Full => {
                 AttemptStart::Rejected(self.refusal(state, id, RefusalReason::LedgerFull, UNREACHABLE_RETRY_MS))
             }
@@ -333,8 +334,8 @@
         false
     }
 
-    /// Records the limits stated by a response of the target. Subscribed entries are notified of a change immediately, and
-    /// again when the target accepts requests.
+    /// Records the limits stated by a response of the target. Subscribed entries are notified of a change immediately,
+    /// and again when the target accepts requests.
     fn record_signal(self: &Arc<Self>, signal: BackpressureSignal) {
         let time_until_open = {
             let mut state = self.lock();
@@ -501,7 +502,8 @@
         let _cancelled = self.engine.cancel(&id.to_string()).await;
     }
 
-    /// Drops responses whose retention has ended, and cancels requests whose response has no reader; called periodically.
+    /// Drops responses whose retention has ended, and cancels requests whose response has no reader; called
+    /// periodically.
     pub(crate) async fn sweep(self: &Arc<Self>) {
         let now = Instant::now();
         let abandoned_ids: Vec<AttemptId> = {
--- a/crates/sparscale_agent/src/engine.rs
+++ b/crates/sparscale_agent/src/engine.rs
@@ -78,8 +78,8 @@
     /// Forwards a request to the target.
     async fn call(&self, attempt: &Attempt) -> Result<TargetResponse, CallError>;
 
-    /// Returns whether a process may be listening at the target's address: only a connection that is refused proves that
-    /// none is.
+    /// Returns whether a process may be listening at the target's address: only a connection that is refused proves
+    /// that none is.
     async fn is_listening(&self) -> bool;
 
     /// Stops a retryable request.
@@ -94,6 +94,7 @@
     /// Forwards an order together with the maps that it refers to.
     async fn send_order(&self, order: &Order, maps: Vec<NumberedMap>) -> Result<Report, CallError>;
 
-    /// Returns the number of tokens that each expert has served since the target started; empty if there are no experts.
+    /// Returns the number of tokens that each expert has served since the target started; empty if there are no
+    /// experts.
     async fn expert_tokens(&self) -> Result<Vec<u64>, CallError>;
 }
--- a/crates/sparscale_agent/src/lib.rs
+++ b/crates/sparscale_agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! The agent beside a target, through which all requests to that target pass.
 //!
-//! It keeps the attempt ledger and the tier queue, dispatches requests to the target, buffers responses so that a broken
-//! stream can be resumed, and forwards orders about the expert map whose fence is still valid.
+//! It keeps the attempt ledger and the tier queue, dispatches requests to the target, buffers responses so that a
+//! broken stream can be resumed, and forwards orders about the expert map whose fence is still valid.
 
 mod connection;
 mod core;
--- a/crates/sparscale_agent/src/order.rs
+++ b/crates/sparscale_agent/src/order.rs
@@ -1,5 +1,5 @@
-//! Forwards orders about the expert map to the target. Each order carries a fence, and an order of a placer that another
-//! one has replaced is rejected here, directly before it would reach the target.
+//! Forwards orders about the expert map to the target. Each order carries a fence, and an order of a placer that
+//! another one has replaced is rejected here, directly before it would reach the target.
 
 use std::sync::Arc;
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Forwards `order` to the target, or rejects it and reports the higher fence. Returns `None` if this agent can't check
-    /// the order or the target didn't respond to it.
+    /// Forwards `order` to the target, or rejects it and reports the higher fence. Returns `None` if this agent can't
+    /// check the order or the target didn't respond to it.
     pub(crate) async fn forward(&self, group: &str, order: &Order) -> Option<Report> {
         let mut highest_fence = self.highest_fence.lock().await;
         // The log may contain a higher fence until this agent has read it to its head.
--- a/crates/sparscale_agent/src/program.rs
+++ b/crates/sparscale_agent/src/program.rs
@@ -23,7 +23,8 @@
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between two checks of a target that is listening.
 const LISTEN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval between two checks of a target that isn't listening; short, so that a restarted target gets requests quickly.
+/// Interval between two checks of a target that isn't listening; short, so that a restarted target gets requests
+/// quickly.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between two sweeps of expired responses and abandoned requests.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -131,7 +132,8 @@
     }
 }
 
-/// Checks periodically whether the target listens, so that entries don't send requests or bind keys to a terminated one.
+/// Checks periodically whether the target listens, so that entries don't send requests or bind keys to a terminated
+/// one.
 async fn monitor_target(core: Arc<Core>) {
     let mut availability_changes = core.subscribe_availability();
     loop {
--- a/crates/sparscale_agent/src/throttle.rs
+++ b/crates/sparscale_agent/src/throttle.rs
@@ -76,13 +76,14 @@
         }
     }
 
-    /// Returns whether the target accepts no requests now because of a backoff or a drain. A target with a rate limit isn't
-    /// closed: it accepts queued requests one after the other.
+    /// Returns whether the target accepts no requests now because of a backoff or a drain. A target with a rate limit
+    /// isn't closed: it accepts queued requests one after the other.
     pub(crate) fn is_closed(&self) -> bool {
         self.tracker.rate(self.start()).is_none() && self.time_until_open() != Some(Duration::ZERO)
     }
 
-    /// Time until the target accepts a request that has `ahead` others before it in the queue; `None` if it is draining.
+    /// Time until the target accepts a request that has `ahead` others before it in the queue; `None` if it is
+    /// draining.
     pub(crate) fn expected_wait(&self, ahead: usize) -> Option<Duration> {
         let rate = self.tracker.rate(self.start());
         let interval_secs = rate.map_or(0.0, |rate| 1.0 / rate.per_second());
--- a/crates/sparscale_backpressure/src/lib.rs
+++ b/crates/sparscale_backpressure/src/lib.rs
@@ -10,7 +10,8 @@
 /// Names of the headers that targets set; a backoff is always requested by `Retry-After`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SignalHeaders {
-    /// Rate limit of the responding target in requests per second, as a decimal number; it applies to all senders together.
+    /// Rate limit of the responding target in requests per second, as a decimal number; it applies to all senders
+    /// together.
     pub rate_limit: HeaderName,
     /// Announces that the responding target drains.
     pub draining: HeaderName,
--- a/crates/sparscale_catalog/src/directory.rs
+++ b/crates/sparscale_catalog/src/directory.rs
@@ -1,4 +1,5 @@
-//! The current targets of a process, each with the key of its current start, indexed for the lookups that each request makes.
+//! The current targets of a process, each with the key of its current start, indexed for the lookups that each request
+//! makes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -98,7 +99,8 @@
 
     /// Possible addresses of rank `rank` of group `group`, the most likely first.
     ///
-    /// Several registrations may claim the rank: a target that lost power and its successor, or one from another writer.
+    /// Several registrations may claim the rank: a target that lost power and its successor, or one from another
+    /// writer.
     pub fn addresses_of_rank(&self, group: &str, rank: usize) -> Vec<SocketAddr> {
         let is_rank = |membership: &Membership| membership.group == group && membership.rank == rank;
         let claims_rank = |instance: &&Instance| instance.target.membership.as_ref().is_some_and(is_rank);
@@ -121,8 +123,8 @@
         addresses
     }
 
-    /// The groups that the targets of `service` form, sorted by name: those that a majority of their ranks names, and the one
-    /// that most targets name. A registration from another writer does not add a group.
+    /// The groups that the targets of `service` form, sorted by name: those that a majority of their ranks names, and
+    /// the one that most targets name. A registration from another writer does not add a group.
     pub fn groups_of(&self, service: &str) -> impl Iterator<Item = Group<'_>> {
         let groups = self.groups_by_service.get(service).into_iter().flatten();
         groups.map(|(name, size)| Group { name, size: *size })
--- a/crates/sparscale_catalog/src/engine.rs
+++ b/crates/sparscale_catalog/src/engine.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Performance model of the engines of one service. Times are in milliseconds, counts in tokens unless a field says otherwise.
+/// Performance model of the engines of one service. Times are in milliseconds, counts in tokens unless a field says
+/// otherwise.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineProfile {
     /// Most requests that one target runs at once.
@@ -83,11 +84,11 @@
         f64::from(self.steps_per_pass) * (self.step_ms + requests_ms + context_ms) * skew
     }
 
-    /// Time of one pass in steady state with `requests` requests on each rank, in milliseconds: each completed response is
-    /// followed by the prefill of a new prompt.
+    /// Time of one pass in steady state with `requests` requests on each rank, in milliseconds: each completed response
+    /// is followed by the prefill of a new prompt.
     ///
-    /// `skew` is the load skew of the experts, `slowdown` that of the slowest rank with requests. A slowdown applies to the whole
-    /// pass: a single request on a rank with a slowdown of 12 makes the pass take 12 times as long.
+    /// `skew` is the load skew of the experts, `slowdown` that of the slowest rank with requests. A slowdown applies to
+    /// the whole pass: a single request on a rank with a slowdown of 12 makes the pass take 12 times as long.
     pub fn sustained_pass_ms(&self, requests: f64, skew: f64, slowdown: f64) -> f64 {
         let context_per_request = f64::from(self.mean_prompt_tokens + self.mean_response_tokens / 2);
         let passes = f64::from(self.mean_response_tokens.max(1)) / f64::from(self.steps_per_pass.max(1));
--- a/crates/sparscale_catalog/src/incarnation.rs
+++ b/crates/sparscale_catalog/src/incarnation.rs
@@ -1,7 +1,7 @@
 //! Keys that identify the individual starts of targets.
 //!
-//! A target may restart under the same id, and its earlier state is lost then. State about a target (connections, failures,
-//! load) is therefore kept per start rather than per id, so that it is not applied to the next start.
+//! A target may restart under the same id, and its earlier state is lost then. State about a target (connections,
+//! failures, load) is therefore kept per start rather than per id, so that it is not applied to the next start.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Starts that are remembered beside those of the current targets, so that a target that is registered again after an outage
-/// keeps its key.
+/// Starts that are remembered beside those of the current targets, so that a target that is registered again after an
+/// outage keeps its key.
 const MAX_REMEMBERED_STARTS: usize = 1_024;
 
 /// Key of one start of one target, valid only within this process.
@@ -62,8 +62,8 @@
         })
     }
 
-    /// Removes the oldest starts that are not among `current`, which is sorted, once more than [`MAX_REMEMBERED_STARTS`] of
-    /// them are kept; half as many remain.
+    /// Removes the oldest starts that are not among `current`, which is sorted, once more than
+    /// [`MAX_REMEMBERED_STARTS`] of them are kept; half as many remain.
     pub(crate) fn retain(&mut self, current: &[Incarnation]) {
         if self.by_start.len() <= current.len() + MAX_REMEMBERED_STARTS {
             return;
--- a/crates/sparscale_catalog/src/lib.rs
+++ b/crates/sparscale_catalog/src/lib.rs
@@ -1,5 +1,5 @@
-//! The data with which an entry sends requests directly to targets: the catalog of routes, services and workspaces, and the
-//! roster of targets.
+//! The data with which an entry sends requests directly to targets: the catalog of routes, services and workspaces, and
+//! the roster of targets.
 //!
 //! Both are supplied by the caller as complete snapshots; this crate performs no I/O and reads no clock.
 
--- a/crates/sparscale_catalog/src/roster.rs
+++ b/crates/sparscale_catalog/src/roster.rs
@@ -33,9 +33,11 @@
 /// One target, as its registration in the platform's list describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Target {
-    /// Id of the target. A target may restart under the same id, so it does not identify a start: see [`crate::Incarnation`].
+    /// Id of the target. A target may restart under the same id, so it does not identify a start: see
+    /// [`crate::Incarnation`].
     pub id: String,
-    /// Time of the current start, in milliseconds since 1970 by the target's own clock; none if targets do not report it.
+    /// Time of the current start, in milliseconds since 1970 by the target's own clock; none if targets do not report
+    /// it.
     pub born_ms: Option<u64>,
     /// Name of the service that the target belongs to.
     pub service: String,
@@ -57,8 +59,8 @@
 }
 
 impl Target {
-    /// A 16-bit mark that load reports carry to distinguish the current start of the target from its other starts. 0 if targets do
-    /// not report when they started.
+    /// A 16-bit mark that load reports carry to distinguish the current start of the target from its other starts. 0 if
+    /// targets do not report when they started.
     pub fn start_mark(&self) -> u16 {
         start_mark(self.born_ms)
     }
@@ -67,7 +69,8 @@
 /// Computes the mark of a start at `born_ms`; 0 only for a target that does not report when it started.
 pub fn start_mark(born_ms: Option<u64>) -> u16 {
     let Some(born_ms) = born_ms else { return 0 };
-    // Two starts of one target share a mark only if they are a multiple of 65.535 seconds apart to the millisecond, which is rare.
+    // Two starts of one target share a mark only if they are a multiple of 65.535 seconds apart to the millisecond,
+    // which is rare.
     u16::try_from(born_ms % u64::from(u16::MAX)).map_or(1, |mark| mark + 1)
 }
 
@@ -110,9 +113,9 @@
 
     /// Creates a roster of targets, each with the position in the platform's list at which its start first appeared.
     ///
-    /// Of several targets of one service at one address all but the latest are marked as superseded: a target that lost power
-    /// stays registered until its registration expires, and requests to its address reach the successor. None is removed, because
-    /// the latest registration may be from another writer.
+    /// Of several targets of one service at one address all but the latest are marked as superseded: a target that lost
+    /// power stays registered until its registration expires, and requests to its address reach the successor. None is
+    /// removed, because the latest registration may be from another writer.
     pub fn with_superseded_marked<P: Copy + Default + Ord>(listed: Vec<(Target, P)>) -> Self {
         let mut latest: HashMap<(SocketAddr, String), P> = HashMap::with_capacity(listed.len());
         for (target, first_position) in &listed {
@@ -128,8 +131,8 @@
         Self::new(listed.into_iter().map(mark).collect())
     }
 
-    /// A digest of the roster, by which processes detect whether they have the same one. Different builds may compute different
-    /// digests of the same roster; they then exchange it more often than necessary.
+    /// A digest of the roster, by which processes detect whether they have the same one. Different builds may compute
+    /// different digests of the same roster; they then exchange it more often than necessary.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/crates/sparscale_catalog/src/routes.rs
+++ b/crates/sparscale_catalog/src/routes.rs
@@ -23,7 +23,8 @@
         let mut hosts: HashMap<String, HashMap<String, RouteKey>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            // Of two routes with the same host and prefix the first one applies, in the order in which operators read them.
+            // Of two routes with the same host and prefix the first one applies, in the order in which operators read
+            // them.
             prefixes.entry(route.prefix.clone()).or_insert(RouteKey(index));
         }
         Self { hosts }
--- a/crates/sparscale_catalog/tests/latest_targets.rs
+++ b/crates/sparscale_catalog/tests/latest_targets.rs
@@ -29,7 +29,8 @@
     );
 }
 
-/// A registration of another service, or a later one of the same service, does not remove the running target from the roster.
+/// A registration of another service, or a later one of the same service, does not remove the running target from the
+/// roster.
 #[test]
 fn superseded_stays_listed() {
     let same_address = |id: &str, service: &str| Target {
--- a/crates/sparscale_conduct/tests/group/first_order.rs
+++ b/crates/sparscale_conduct/tests/group/first_order.rs
@@ -7,7 +7,8 @@
 //! the latest report:
 //!
 //! ```text
-//! 7.93 stalled progress=Surveying awaited=["0: Look for 1154 ms, heard 71 ms ago", "128: Look for 2002 ms, heard 36 ms ago"]
+//! 7.93 stalled progress=Surveying awaited=["0: Look for 1154 ms, heard 71 ms ago", "128: Look for 2002 ms, heard 36 ms
+//! ago"]
 //! ```
 
 use std::net::SocketAddr;
--- a/crates/sparscale_policy/src/gate.rs
+++ b/crates/sparscale_policy/src/gate.rs
@@ -1,8 +1,8 @@
 //! Tracks whether a group of targets accepts requests, and limits the probes that are sent to a group that does not.
 //!
-//! Load pattern: a group that lost ranks rejects every request until it has formed again. Requests that wait for
-//! that are late at worst. If they were sent instead, they would be rejected one after the other, and callers retry only
-//! a limited number of times.
+//! Load pattern: a group that lost ranks rejects every request until it has formed again. Requests that wait for that
+//! are late at worst. If they were sent instead, they would be rejected one after the other, and callers retry only a
+//! limited number of times.
 
 use std::time::{Duration, Instant};
 
--- a/crates/sparscale_policy/src/queue.rs
+++ b/crates/sparscale_policy/src/queue.rs
@@ -30,8 +30,8 @@
 /// Age from which reported loads are ignored; the headroom then follows from the requests that this entry has in
 /// flight.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(900);
-/// Number of requests that each rank is filled with while no loads are reported: a group that starts assigns its experts
-/// round-robin at first, and with more requests its passes would exceed the allowed pauses of streams.
+/// Number of requests that each rank is filled with while no loads are reported: a group that starts assigns its
+/// experts round-robin at first, and with more requests its passes would exceed the allowed pauses of streams.
 const UNREPORTED_REQUESTS_PER_RANK: f64 = 6.0;
 /// Time after its admission for which a request may be missing from the group leader's reports.
 const REPORT_DELAY: Duration = Duration::from_millis(120);
--- a/crates/sparscale_quarantine/src/fingerprint.rs
+++ b/crates/sparscale_quarantine/src/fingerprint.rs
@@ -24,7 +24,8 @@
 pub struct Fingerprint([u8; LENGTH_BYTES]);
 
 impl Fingerprint {
-    /// Computes the fingerprint of a request; `path` includes the query, `workspace` is `None` for a request without one.
+    /// Computes the fingerprint of a request; `path` includes the query, `workspace` is `None` for a request without
+    /// one.
     pub fn of(method: &str, path: &str, workspace: Option<&str>, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [
--- a/crates/sparscale_quarantine/src/tracker.rs
+++ b/crates/sparscale_quarantine/src/tracker.rs
@@ -6,21 +6,24 @@
 use crate::fingerprint::Fingerprint;
 use crate::strike::{EndedStart, Strike, StrikeStatus};
 
-/// Terminations under one request after which it is held back. A single one proves nothing, because a target may run a whole
-/// batch of requests when it terminates. When the batch is retried elsewhere, hardly any request but the cause meets a second
-/// termination. A group of ranks serves no requests for seconds after each, so the hold does not wait for a third.
+/// Terminations under one request after which it is held back. A single one proves nothing, because a target may run a
+/// whole batch of requests when it terminates. When the batch is retried elsewhere, hardly any request but the cause
+/// meets a second termination. A group of ranks serves no requests for seconds after each, so the hold does not wait
+/// for a third.
 const SUSPECT_ENDS: usize = 2;
 /// Terminations after which the request is certainly the cause.
 const CONFIRMED_ENDS: usize = 3;
-/// Hold of a request with [`SUSPECT_ENDS`] terminations; short, so that a request that was there by chance can run soon after.
+/// Hold of a request with [`SUSPECT_ENDS`] terminations; short, so that a request that was there by chance can run soon
+/// after.
 const SUSPECT_HOLD: Duration = Duration::from_mins(1);
-/// Hold of a request with [`CONFIRMED_ENDS`] terminations: by its end the caller or the targets have been fixed, or the request
-/// crashes one more target.
+/// Hold of a request with [`CONFIRMED_ENDS`] terminations: by its end the caller or the targets have been fixed, or the
+/// request crashes one more target.
 const CONFIRMED_HOLD: Duration = Duration::from_hours(24);
 /// Hold of a request with more than [`CONFIRMED_ENDS`] terminations.
 const REPEATED_HOLD: Duration = Duration::from_hours(30 * 24);
-/// Complete responses since the last termination after which a request is not considered the cause. A request that many callers send is running
-/// on most targets whenever one terminates; a request that crashes only some of its targets rarely gets so many in a row.
+/// Complete responses since the last termination after which a request is not considered the cause. A request that many
+/// callers send is running on most targets whenever one terminates; a request that crashes only some of its targets
+/// rarely gets so many in a row.
 const RESPONSES_TO_CLEAR: u32 = 8;
 /// Time for which strikes of a request below [`SUSPECT_ENDS`] terminations are kept.
 const UNHELD_RETENTION: Duration = Duration::from_hours(1);
@@ -196,8 +199,8 @@
 
     /// Merges the complete content of the store, as queried at `queried_at_ms`; returns whether anything changed.
     ///
-    /// A strike that a peer sent more than `margin` before the query, but that the store lacks, was never written: its process
-    /// may have terminated. This process then writes it.
+    /// A strike that a peer sent more than `margin` before the query, but that the store lacks, was never written: its
+    /// process may have terminated. This process then writes it.
     pub fn merge_snapshot(&mut self, strikes: &[Strike], queried_at_ms: u64, margin: Duration, now_ms: u64) -> bool {
         let mut changed = false;
         for strike in strikes {
@@ -213,7 +216,8 @@
         changed
     }
 
-    /// Handles a store that was restored from an older snapshot: strikes missing from its next content are written again.
+    /// Handles a store that was restored from an older snapshot: strikes missing from its next content are written
+    /// again.
     pub fn mark_stored_unconfirmed(&mut self) {
         let records = self.requests.values_mut().flat_map(|history| history.ends.values_mut());
         for record in records.filter(|record| record.source == StrikeSource::Store) {
@@ -246,8 +250,8 @@
         })
     }
 
-    /// Evicts requests if there is no capacity for a new one: those with the fewest terminations first, and of these the oldest.
-    /// Many are evicted at once, so that the cost per request stays low during a flood of new ones.
+    /// Evicts requests if there is no capacity for a new one: those with the fewest terminations first, and of these
+    /// the oldest. Many are evicted at once, so that the cost per request stays low during a flood of new ones.
     fn evict_if_full(&mut self, request: Fingerprint) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&request) {
             return;
--- a/crates/sparscale_quarantine/tests/held_requests.rs
+++ b/crates/sparscale_quarantine/tests/held_requests.rs
@@ -53,8 +53,8 @@
     assert_eq!(base.to_string().parse(), Ok(base));
 }
 
-/// One termination does not hold a request, however many processes observe it; a second one holds it for a minute, a third
-/// for a day.
+/// One termination does not hold a request, however many processes observe it; a second one holds it for a minute, a
+/// third for a day.
 #[test]
 fn holds_by_termination_count() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS), strike("a", 1, NOW_MS + 5)]);
@@ -84,8 +84,8 @@
     assert_eq!(remaining_hold(&tracker, "b", NOW_MS), None);
 }
 
-/// A request that many callers send is running on most targets when they terminate. Its complete responses clear it, but
-/// only those after the last termination count.
+/// A request that many callers send is running on most targets when they terminate. Its complete responses clear it,
+/// but only those after the last termination count.
 #[test]
 fn responses_clear() {
     let mut tracker = tracker_of(&[strike("a", 1, NOW_MS)]);
@@ -137,7 +137,8 @@
     assert_eq!(tracker.end_count(&request("b")), 2);
 }
 
-/// A strike from a peer that the store lacks after the margin was never written; the process that reads the store writes it.
+/// A strike from a peer that the store lacks after the margin was never written; the process that reads the store
+/// writes it.
 #[test]
 fn unwritten_peer_strike() {
     let mut tracker = Tracker::default();
--- a/crates/sparscale_quarantine/tests/restored_store.rs
+++ b/crates/sparscale_quarantine/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! Tests a store that was restored from an older snapshot: strikes that it lost are written again, and those that it still
-//! has are not.
+//! Tests a store that was restored from an older snapshot: strikes that it lost are written again, and those that it
+//! still has are not.
 
 use std::time::Duration;
 
--- a/crates/sparscale_quarantine/tests/spread_of_strikes.rs
+++ b/crates/sparscale_quarantine/tests/spread_of_strikes.rs
@@ -1,10 +1,10 @@
-//! Tests that a request which crashes its targets is sent a bounded number of times, whichever process receives it and however
-//! the network is partitioned.
+//! Tests that a request which crashes its targets is sent a bounded number of times, whichever process receives it and
+//! however the network is partitioned.
 //!
-//! Processes exchange strikes within a partition, restart with empty memory, and read and write a store that may be unavailable.
-//! Strikes that the store acknowledged, or that were exchanged within a partition, are known there after a delay. The request
-//! arrives at any process at any time. Sends are counted from the third termination on, after the time that strikes take to
-//! spread, and only for processes that have been in contact with the store for that time.
+//! Processes exchange strikes within a partition, restart with empty memory, and read and write a store that may be
+//! unavailable. Strikes that the store acknowledged, or that were exchanged within a partition, are known there after a
+//! delay. The request arrives at any process at any time. Sends are counted from the third termination on, after the
+//! time that strikes take to spread, and only for processes that have been in contact with the store for that time.
 
 use std::time::Duration;
 
@@ -174,8 +174,9 @@
     }
 }
 
-/// Most sends by processes in contact with the store after the third termination: the two of one request. If all processes
-/// restart while the store is unavailable, none knows the strikes any more until the next request crashes targets again.
+/// Most sends by processes in contact with the store after the third termination: the two of one request. If all
+/// processes restart while the store is unavailable, none knows the strikes any more until the next request crashes
+/// targets again.
 const MAX_LATE_SENDS: usize = 2;
 
 /// Strikes are written as soon as the store is available, so they can be lost in this way only once.
--- a/crates/sparscale_settings/src/lib.rs
+++ b/crates/sparscale_settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! Loads settings files: JSON with comments, in which unknown keys are errors.
 //!
-//! Each program defines its file as a raw `serde` type and converts it to a checked type with [`Check`]. All problems of a
-//! file are reported together, each with file, line and remedy, so that one run of `settings check` is enough to fix it.
+//! Each program defines its file as a raw `serde` type and converts it to a checked type with [`Check`]. All problems
+//! of a file are reported together, each with file, line and remedy, so that one run of `settings check` is enough to
+//! fix it.
 
 mod problem;
 mod watched;
--- a/crates/sparscale_settings/src/problem.rs
+++ b/crates/sparscale_settings/src/problem.rs
@@ -6,7 +6,8 @@
 /// Invalid value: its field, the problem, and the remedy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Path of the field, for example `engine.in_flight`; its line is found by searching for the path's parts in the text.
+    /// Path of the field, for example `engine.in_flight`; its line is found by searching for the path's parts in the
+    /// text.
     pub field: String,
     /// Problem of the value.
     pub problem: String,
@@ -64,7 +65,8 @@
     }
 }
 
-/// Returns the line of a field. The parts of its path are searched for in order, each from the line of the previous one on.
+/// Returns the line of a field. The parts of its path are searched for in order, each from the line of the previous one
+/// on.
 ///
 /// A part in brackets (`workspaces[teal]`) is the name of a list item, which occurs in the text as a value.
 fn line_of(text: &str, field: &str) -> usize {
--- a/crates/sparscale_settings/src/watched.rs
+++ b/crates/sparscale_settings/src/watched.rs
@@ -1,4 +1,5 @@
-//! Compares a settings file with the content that its process was started with, to report what the next start will read.
+//! Compares a settings file with the content that its process was started with, to report what the next start will
+//! read.
 
 use std::fs;
 use std::marker::PhantomData;
--- a/crates/sparscale_soak/src/command.rs
+++ b/crates/sparscale_soak/src/command.rs
@@ -72,7 +72,8 @@
     (first..first + number(matches, "rounds", 1)).map(round).collect()
 }
 
-/// Rounds of a full test run: each plan, seeds whose faults can push retries over the budget, and one round with many entries.
+/// Rounds of a full test run: each plan, seeds whose faults can push retries over the budget, and one round with many
+/// entries.
 fn default_rounds() -> Vec<Round> {
     let round = |plan, seed, seconds, size| Round {
         seed,
--- a/crates/sparscale_soak/src/event_log.rs
+++ b/crates/sparscale_soak/src/event_log.rs
@@ -113,8 +113,8 @@
     pub(crate) change: Change,
     /// Time of the first acknowledgement.
     pub(crate) acknowledged_at: Instant,
-    /// Time from which the change holds; later than `acknowledged_at` if a store restored from an older snapshot lost it
-    /// meanwhile.
+    /// Time from which the change holds; later than `acknowledged_at` if a store restored from an older snapshot lost
+    /// it meanwhile.
     pub(crate) effective_since: Instant,
 }
 
--- a/crates/sparscale_telemetry/src/lib.rs
+++ b/crates/sparscale_telemetry/src/lib.rs
@@ -35,8 +35,8 @@
     message: String,
 }
 
-/// Sets up the log of this process; must be called once, before anything is logged. The returned [`LogFlusher`] waits until
-/// the last lines are written.
+/// Sets up the log of this process; must be called once, before anything is logged. The returned [`LogFlusher`] waits
+/// until the last lines are written.
 pub fn init_log() -> Result<LogFlusher, Error> {
     let setup_error = |message: String| Error { message };
     let (appender, flusher) = BoundedAppender::start().map_err(|error| setup_error(error.to_string()))?;
--- a/crates/sparscale_telemetry/src/metrics.rs
+++ b/crates/sparscale_telemetry/src/metrics.rs
@@ -7,7 +7,8 @@
 use cadence::Timed as _;
 use cadence::{BufferedUdpMetricSink, CountedExt as _, Gauged as _, NopMetricSink, QueuingMetricSink, StatsdClient};
 
-/// Maximum number of metric lines queued for the sending thread; more are dropped, so that metrics never delay a request.
+/// Maximum number of metric lines queued for the sending thread; more are dropped, so that metrics never delay a
+/// request.
 const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Statsd client of one process.
@@ -17,7 +18,8 @@
 }
 
 impl Metrics {
-    /// Creates a client that sends to `address`, or discards all metrics if there is none; `prefix` is the program's name.
+    /// Creates a client that sends to `address`, or discards all metrics if there is none; `prefix` is the program's
+    /// name.
     pub fn new(prefix: &str, address: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(address) = address else {
             return Ok(Self::disabled(prefix));
--- a/crates/sparscale_telemetry/src/run_program.rs
+++ b/crates/sparscale_telemetry/src/run_program.rs
@@ -1,4 +1,5 @@
-//! Common part of every program's `main`: sets up signals and log, runs the program, and turns its result into an exit code.
+//! Common part of every program's `main`: sets up signals and log, runs the program, and turns its result into an exit
+//! code.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -6,8 +7,8 @@
 use crate::init_log;
 use crate::signals::Signals;
 
-/// Runs `work` like [`run_logged`], for a program that runs until a stop signal arrives. Signals are listened for before
-/// anything else, so that none ends the process without a drain.
+/// Runs `work` like [`run_logged`], for a program that runs until a stop signal arrives. Signals are listened for
+/// before anything else, so that none ends the process without a drain.
 pub async fn run_service<E: Display, F: Future<Output = Result<(), E>>>(
     program: &str,
     work: impl FnOnce(Signals) -> F,
--- a/crates/sparscale_telemetry/src/writer.rs
+++ b/crates/sparscale_telemetry/src/writer.rs
@@ -1,8 +1,8 @@
 //! Writes log lines without blocking the code that logs them.
 //!
-//! Lines are buffered in memory, and a separate thread writes them to standard output. Lines of the level `info` are dropped
-//! above a rate limit; warnings and errors, such as failed requests, are dropped only if the buffer is full because the
-//! output is read too slowly. Dropped lines are counted, and a log line reports their number.
+//! Lines are buffered in memory, and a separate thread writes them to standard output. Lines of the level `info` are
+//! dropped above a rate limit; warnings and errors, such as failed requests, are dropped only if the buffer is full
+//! because the output is read too slowly. Dropped lines are counted, and a log line reports their number.
 
 use std::io::Write as _;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -128,8 +128,8 @@
 }
 
 impl LogFlusher {
-    /// Waits until all buffered lines are written, but only for a fraction of a second, so that a blocked output doesn't
-    /// keep the process alive.
+    /// Waits until all buffered lines are written, but only for a fraction of a second, so that a blocked output
+    /// doesn't keep the process alive.
     pub fn wait(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut buffer = self.shared.lock();
--- a/crates/sparscale_wire/src/endpoint.rs
+++ b/crates/sparscale_wire/src/endpoint.rs
@@ -26,8 +26,8 @@
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of streams that one peer may have open at once where each request is a stream.
 const MAX_STREAMS: u32 = 16_384;
-/// Maximum number of open streams for peers that open one or two and keep them. The transport allocates about 80 bytes per
-/// allowed stream on each connection, which is 1.4 MB for [`MAX_STREAMS`].
+/// Maximum number of open streams for peers that open one or two and keep them. The transport allocates about 80 bytes
+/// per allowed stream on each connection, which is 1.4 MB for [`MAX_STREAMS`].
 pub const MAX_LONG_LIVED_STREAMS: u32 = 64;
 
 /// Error while opening the socket or a connection.
@@ -180,7 +180,8 @@
         Ok(Incoming { incoming })
     }
 
-    /// Opens a stream to the process at `address` over the pooled connection or, if there is none or it failed, a new one.
+    /// Opens a stream to the process at `address` over the pooled connection or, if there is none or it failed, a new
+    /// one.
     pub async fn open(&self, address: SocketAddr, role: Role) -> Result<Channel, Error> {
         let slot = self.slot(address, role);
         if let Ok(channel) = self.open_on(&slot, address, role).await? {
@@ -206,7 +207,8 @@
         Ok(opened.map(|(send, receive)| Channel::new(send, receive, Some(lease))))
     }
 
-    /// Establishes a connection to the process at `address` if there is none, so that a stream can be opened without delay.
+    /// Establishes a connection to the process at `address` if there is none, so that a stream can be opened without
+    /// delay.
     pub async fn ensure_connected(&self, address: SocketAddr, role: Role) -> Result<(), Error> {
         let slot = self.slot(address, role);
         if slot
@@ -224,8 +226,8 @@
 
     /// Closes the connection to the process at `address`, so that the next stream is opened over a new one.
     ///
-    /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the old
-    /// one. The transport detects that only after its idle timeout.
+    /// Used for an unresponsive peer: it may have restarted, and the new process doesn't know the connections of the
+    /// old one. The transport detects that only after its idle timeout.
     pub fn drop_connection(&self, address: SocketAddr, role: Role) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let slot = connections.remove(&(address, role));
--- a/crates/sparscale_wire/src/frame.rs
+++ b/crates/sparscale_wire/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: typed messages, encoded with `postcard` after a version byte. The encoding depends on the order of fields and
-//! variants.
+//! Frames: typed messages, encoded with `postcard` after a version byte. The encoding depends on the order of fields
+//! and variants.
 
 use std::fmt;
 
@@ -43,7 +43,8 @@
     RelayedLog(RelayedLog),
     /// Response to [`StreamRequest::ForwardOrder`].
     Report(switch::Report),
-    /// Response to [`StreamRequest::QueryExpertTokens`]: number of tokens that each expert has served since the target started.
+    /// Response to [`StreamRequest::QueryExpertTokens`]: number of tokens that each expert has served since the target
+    /// started.
     ExpertTokens(Vec<u64>),
     /// Response to [`StreamRequest::Ping`]: incarnation of the responding process.
     Pong(u64),
@@ -95,7 +96,8 @@
         /// Minimum interval between two reports, in milliseconds.
         interval_ms: u64,
     },
-    /// Relay log records, starting at `from_offset`; the peer may send the folded state first, as [`RelayedLog::Image`].
+    /// Relay log records, starting at `from_offset`; the peer may send the folded state first, as
+    /// [`RelayedLog::Image`].
     FollowLog {
         /// Offset of the first record to send.
         from_offset: u64,
@@ -115,7 +117,8 @@
     Ping,
     /// Exchange observations in both directions, periodically.
     ExchangeObservations,
-    /// Accept orders about the expert map of a rank from the group leader, and report the rank's state and counts to it.
+    /// Accept orders about the expert map of a rank from the group leader, and report the rank's state and counts to
+    /// it.
     LeadRank {
         /// Group of the leader.
         group: String,
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -223,7 +223,8 @@
 }
 
 impl GroupLoad {
-    /// Returns the load of a rank if it was reported by the engine start with this marker. A marker of 0 matches any start.
+    /// Returns the load of a rank if it was reported by the engine start with this marker. A marker of 0 matches any
+    /// start.
     pub fn rank_load(&self, rank: usize, start: u16) -> Option<RankLoad> {
         let load = self.rank_loads.get(rank).copied().flatten()?;
         (load.start_marker == start || load.start_marker == 0 || start == 0).then_some(load)
