--- a/crates/sparscale_agent/src/throttle.rs
+++ b/crates/sparscale_agent/src/throttle.rs
@@ -49,7 +49,7 @@
         let notice = Notice {
             start,
             rate: signal.rate.value(),
-            leaving: signal.is_draining,
+            is_draining: signal.is_draining,
             as_of: now,
         };
         let has_changed_limits = self.tracker.merge(notice, now);
--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -29,12 +29,12 @@
     }
 
     /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it
-    /// has one, and whether it is leaving.
-    pub fn record_notice(&self, instance: &Instance, rate: Option<Rate>, leaving: bool) {
+    /// has one, and whether it is draining.
+    pub fn record_notice(&self, instance: &Instance, rate: Option<Rate>, is_draining: bool) {
         let notice = Notice {
             start: instance.start,
             rate,
-            leaving,
+            is_draining,
             as_of: self.clock.now(),
         };
         let is_new = self.record(notice, "answer", Some(&instance.target.id));
@@ -150,9 +150,9 @@
         at = target,
         start = notice.start.to_string().as_str(),
         per_second = notice.rate.map(Rate::per_second),
-        leaving = notice.leaving,
+        leaving = notice.is_draining,
         source,
         age_ms = now.since(notice.as_of).as_millis() as u64;
-        "a target set or lifted its rate limit, or is leaving"
+        "a target set or lifted its rate limit, or is draining"
     );
 }
--- a/crates/sparscale_conduct/src/program.rs
+++ b/crates/sparscale_conduct/src/program.rs
@@ -109,13 +109,23 @@
         Arc::clone(&endpoint),
     );
     tokio::spawn(Arc::clone(&mesh).run_agent_link());
-    let pace = || {
+    let new_schedule = || {
         let (interval, head_start) = (settings.max_observation_age, settings.max_observation_age);
         Arc::new(ReadSchedule::new(interval, Duration::ZERO, head_start).with_max_retry_delay(MAX_RETRY_DELAY))
     };
     let read_metrics = || ReadMetrics::new(&parts.registry);
-    tokio::spawn(read_catalog(Arc::clone(&board), parts.catalog, pace(), read_metrics()));
-    tokio::spawn(read_roster(Arc::clone(&board), parts.roster, pace(), read_metrics()));
+    tokio::spawn(read_catalog(
+        Arc::clone(&board),
+        parts.catalog,
+        new_schedule(),
+        read_metrics(),
+    ));
+    tokio::spawn(read_roster(
+        Arc::clone(&board),
+        parts.roster,
+        new_schedule(),
+        read_metrics(),
+    ));
     let metrics = Metrics::new(&parts.registry);
     let handle = agent::start(
         Arc::clone(&parts.engines),
--- a/crates/sparscale_mesh/src/link.rs
+++ b/crates/sparscale_mesh/src/link.rs
@@ -238,7 +238,7 @@
         let encode = |notice: &throttle::Notice| Notice {
             start: notice.start,
             per_second: notice.rate.map(Rate::per_second),
-            leaving: notice.leaving,
+            is_draining: notice.is_draining,
             age_ms: millis(now.since(notice.as_of)),
         };
         for chunk in changes.chunks(MAX_NOTICES) {
@@ -344,7 +344,7 @@
             Some(throttle::Notice {
                 start: notice.start,
                 rate,
-                leaving: notice.leaving,
+                is_draining: notice.is_draining,
                 as_of: self.clock.as_of(received.echo, notice.age_ms)?,
             })
         };
--- a/crates/sparscale_policy/src/throttle.rs
+++ b/crates/sparscale_policy/src/throttle.rs
@@ -27,8 +27,8 @@
 /// The limits of one target, and what this entry may send to it.
 #[derive(Debug)]
 struct State {
-    /// Whether the target has announced that it leaves, which is final for its start.
-    leaving: bool,
+    /// Whether the target has announced that it is draining, which is final for its start.
+    is_draining: bool,
     /// End of the backoff that the target requested from this entry.
     backoff_until: Option<Timestamp>,
     rate: Option<Rate>,
@@ -49,8 +49,8 @@
     pub start: StartId,
     /// Requests a second that the target accepts from all entries; none if it has no limit.
     pub rate: Option<Rate>,
-    /// Whether the target leaves.
-    pub leaving: bool,
+    /// Whether the target is draining.
+    pub is_draining: bool,
     /// When the target stated this.
     pub as_of: Timestamp,
 }
@@ -62,7 +62,7 @@
     Now,
     /// At this time, from this entry or from another one that holds a share.
     At(Timestamp),
-    /// Never: the target leaves.
+    /// Never: the target is draining.
     Never,
 }
 
@@ -86,18 +86,18 @@
         self.members = Some(members);
     }
 
-    /// Merges the limits that a target stated. The latest rate applies, while leaving is final. Returns whether this is
+    /// Merges the limits that a target stated. The latest rate applies, while draining is final. Returns whether this is
     /// a change to announce.
     pub fn merge(&mut self, notice: Notice, now: Timestamp) -> bool {
         let Notice { start, as_of, .. } = notice;
-        let has_limits = notice.rate.is_some() || notice.leaving;
+        let has_limits = notice.rate.is_some() || notice.is_draining;
         if !has_limits && !self.targets.contains_key(&start) {
             return false;
         }
         let state = self.targets.entry(start).or_insert_with(|| State::new(as_of, now));
         let is_latest = as_of >= state.as_of;
         let rate_changes = is_latest && state.rate != notice.rate;
-        let starts_leaving = notice.leaving && !state.leaving;
+        let starts_draining = notice.is_draining && !state.is_draining;
         if is_latest {
             state.as_of = as_of;
         }
@@ -110,8 +110,8 @@
         if is_latest && notice.rate.is_some() {
             state.pacer.confirm(as_of);
         }
-        state.leaving |= starts_leaving;
-        let announce = starts_leaving || (rate_changes && state.should_announce());
+        state.is_draining |= starts_draining;
+        let announce = starts_draining || (rate_changes && state.should_announce());
         if announce {
             self.position += 1;
             state.mark_announced(self.position);
@@ -161,7 +161,7 @@
         let Some(state) = self.targets.get(&start) else {
             return Availability::Now;
         };
-        if state.leaving {
+        if state.is_draining {
             return Availability::Never;
         }
         let next_by_others = |rate: Rate| now + Duration::from_secs_f64(1.0 / rate.per_second());
@@ -190,7 +190,7 @@
         let notices = changed.map(|(start, state)| Notice {
             start: *start,
             rate: state.rate,
-            leaving: state.leaving,
+            is_draining: state.is_draining,
             as_of: state.as_of,
         });
         (notices.collect(), self.position)
@@ -222,7 +222,7 @@
 
     fn new(as_of: Timestamp, now: Timestamp) -> Self {
         Self {
-            leaving: false,
+            is_draining: false,
             backoff_until: None,
             rate: None,
             as_of,
--- a/crates/sparscale_policy/tests/throttle_register.rs
+++ b/crates/sparscale_policy/tests/throttle_register.rs
@@ -21,7 +21,7 @@
     Notice {
         start: StartId::of("target-1", Some(born_ms)),
         rate: rate.map(|rate| Rate::try_from(rate).expect("a rate")),
-        leaving: false,
+        is_draining: false,
         as_of,
     }
 }
@@ -107,20 +107,20 @@
 /// Leaving takes effect at once and is final, even if its notice arrives late; it does not apply to the target's next
 /// start.
 #[test]
-fn leaving_is_final() {
+fn draining_is_final() {
     let (mut tracker, now) = tracker();
-    let leaving = Notice {
-        leaving: true,
+    let is_draining = Notice {
+        is_draining: true,
         ..notice(1, None, now)
     };
     tracker.merge(notice(1, Some(1.0), now + SECOND), now + SECOND);
-    assert!(tracker.merge(leaving, now + 2 * SECOND));
+    assert!(tracker.merge(is_draining, now + 2 * SECOND));
     tracker.merge(notice(1, None, now + 3 * SECOND), now + 3 * SECOND);
     assert_eq!(
-        tracker.availability(leaving.start, now + 4 * SECOND),
+        tracker.availability(is_draining.start, now + 4 * SECOND),
         Availability::Never
     );
-    assert!(!tracker.try_acquire(leaving.start, now + 4 * SECOND));
+    assert!(!tracker.try_acquire(is_draining.start, now + 4 * SECOND));
     assert!(is_open(&tracker, StartId::of("target-1", Some(2)), now));
 }
 
--- a/crates/sparscale_quarantine/src/tracker.rs
+++ b/crates/sparscale_quarantine/src/tracker.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy)]
 struct EndRecord {
     at_ms: u64,
-    standing: StrikeStatus,
+    status: StrikeStatus,
     /// Version of the tracker with which this entry last changed.
     version: u64,
     /// When this entry last changed, in milliseconds since 1970.
@@ -74,7 +74,7 @@
 
 impl RequestHistory {
     fn counted_ends(&self) -> usize {
-        let is_counted = |record: &&EndRecord| record.standing == StrikeStatus::Counted;
+        let is_counted = |record: &&EndRecord| record.status == StrikeStatus::Counted;
         self.ends.values().filter(is_counted).count()
     }
 
@@ -116,13 +116,13 @@
         self.evict_if_full(strike.request);
         let history = self.requests.entry(strike.request).or_default();
         if let Some(record) = history.ends.get_mut(&strike.ended_start) {
-            if source == StrikeSource::Store && strike.status == record.standing {
+            if source == StrikeSource::Store && strike.status == record.status {
                 record.source = StrikeSource::Store;
             }
-            if strike.status <= record.standing {
+            if strike.status <= record.status {
                 return false;
             }
-            record.standing = strike.status;
+            record.status = strike.status;
             record.source = source;
             self.version += 1;
             record.version = self.version;
@@ -136,7 +136,7 @@
         let record = EndRecord {
             // A process whose clock is ahead must not extend the hold.
             at_ms: strike.at_ms.min(now_ms),
-            standing: strike.status,
+            status: strike.status,
             version: self.version,
             changed_at_ms: now_ms,
             source,
@@ -175,7 +175,7 @@
         }
         self.version += 1;
         for record in history.ends.values_mut() {
-            record.standing = StrikeStatus::Cleared;
+            record.status = StrikeStatus::Cleared;
             record.source = StrikeSource::Local;
             record.version = self.version;
             record.changed_at_ms = now_ms;
@@ -243,7 +243,7 @@
                     request: *request,
                     ended_start: *end,
                     at_ms: record.at_ms,
-                    status: record.standing,
+                    status: record.status,
                 };
                 (strike, record)
             })
--- a/crates/sparscale_settings/src/problem.rs
+++ b/crates/sparscale_settings/src/problem.rs
@@ -17,11 +17,11 @@
 
 impl Problem {
     /// Creates a problem of `field`.
-    pub fn new(field: impl Into<String>, problem: impl Into<String>, mend: impl Into<String>) -> Self {
+    pub fn new(field: impl Into<String>, problem: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             field: field.into(),
             problem: problem.into(),
-            remedy: mend.into(),
+            remedy: remedy.into(),
         }
     }
 }
--- a/crates/sparscale_wire/src/peer.rs
+++ b/crates/sparscale_wire/src/peer.rs
@@ -63,7 +63,7 @@
     /// Requests per second that the target accepts from all entries together; `None` if it no longer has a rate limit.
     pub per_second: Option<f64>,
     /// Whether the target is draining.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// Time between the target's statement and this message, in milliseconds.
     pub age_ms: u64,
 }
