--- a/crates/sparscale_policy/tests/throttle_register.rs
+++ b/crates/sparscale_policy/tests/throttle_register.rs
@@ -109,18 +109,18 @@
 #[test]
 fn draining_is_final() {
     let (mut tracker, now) = tracker();
-    let is_draining = Notice {
+    let draining = Notice {
         is_draining: true,
         ..notice(1, None, now)
     };
     tracker.merge(notice(1, Some(1.0), now + SECOND), now + SECOND);
-    assert!(tracker.merge(is_draining, now + 2 * SECOND));
+    assert!(tracker.merge(draining, now + 2 * SECOND));
     tracker.merge(notice(1, None, now + 3 * SECOND), now + 3 * SECOND);
     assert_eq!(
-        tracker.availability(is_draining.start, now + 4 * SECOND),
+        tracker.availability(draining.start, now + 4 * SECOND),
         Availability::Never
     );
-    assert!(!tracker.try_acquire(is_draining.start, now + 4 * SECOND));
+    assert!(!tracker.try_acquire(draining.start, now + 4 * SECOND));
     assert!(is_open(&tracker, StartId::of("target-1", Some(2)), now));
 }
 
