--- a/crates/sparscale_control/src/follower.rs
+++ b/crates/sparscale_control/src/follower.rs
@@ -272,7 +272,7 @@
     let result = journal.submit(RecordBody::Snapshot(snapshot), SNAPSHOT_TIMEOUT).await;
     appending.store(false, Ordering::Relaxed);
     match result {
-        Ok(_) => log::info!(at = head; "appended a snapshot of the folded state"),
+        Ok(_) => log::info!(at = head; "appended the folded state"),
         Err(error) => {
             log::error!(target: ALARM, alarm = "snapshot_failed", at = head, error = error.to_string().as_str(); "snapshot of the folded state could not be appended");
         }
