--- a/crates/sparscale_backpressure/tests/answer_heads.rs
+++ b/crates/sparscale_backpressure/tests/answer_heads.rs
@@ -1,31 +1,31 @@
-//! Heads of answers: what is asked, what is not, and what cannot be read.
+//! Tests the backpressure headers of responses: absent, present and malformed.
 
 use std::time::Duration;
 
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
-use sparscale_backpressure::{Asked, Names, Signal};
+use sparscale_backpressure::{BackpressureSignal, ParsedHeader, SignalHeaders};
 use sparscale_policy::rate_limit::Rate;
 
-fn signal(status: StatusCode, headers: &[(&'static str, &'static str)]) -> Signal {
+fn signal(status: StatusCode, headers: &[(&'static str, &'static str)]) -> BackpressureSignal {
     let headers = headers
         .iter()
         .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
-    Signal::read(status, &headers.collect::<HeaderMap>(), &Names::own())
+    BackpressureSignal::read(status, &headers.collect::<HeaderMap>(), &SignalHeaders::defaults())
 }
 
 #[test]
-fn asks_nothing() {
+fn no_headers() {
     let signal = signal(StatusCode::OK, &[("content-type", "text/plain")]);
     assert_eq!(
-        (signal.rate, signal.rest, signal.leaving),
-        (Asked::Nothing, None, false)
+        (signal.rate, signal.backoff, signal.is_draining),
+        (ParsedHeader::Absent, None, false)
     );
 }
 
-/// Each answer may ask, also a failure.
+/// Rate limits and draining are parsed in responses of any status, including failures.
 #[test]
-fn asks_all() {
+fn any_status() {
     for status in [
         StatusCode::OK,
         StatusCode::INTERNAL_SERVER_ERROR,
@@ -33,21 +33,24 @@
     ] {
         let signal = signal(status, &[("sparscale-rate-limit", "2.5"), ("sparscale-draining", "1")]);
         assert_eq!(signal.rate.value().map(Rate::per_second), Some(2.5), "{status}");
-        assert!(signal.leaving, "{status}");
+        assert!(signal.is_draining, "{status}");
     }
 }
 
-/// Only a refusal asks for rest.
+/// `Retry-After` requests a backoff only in a rejection.
 #[test]
-fn rests_refusals() {
-    let rest = |status| signal(status, &[("retry-after", "0.5")]).rest;
-    assert_eq!(rest(StatusCode::SERVICE_UNAVAILABLE), Some(Duration::from_millis(500)));
-    assert_eq!(rest(StatusCode::TOO_MANY_REQUESTS), Some(Duration::from_millis(500)));
-    assert_eq!(rest(StatusCode::OK), None);
+fn backoff_of_rejections() {
+    let backoff = |status| signal(status, &[("retry-after", "0.5")]).backoff;
+    assert_eq!(
+        backoff(StatusCode::SERVICE_UNAVAILABLE),
+        Some(Duration::from_millis(500))
+    );
+    assert_eq!(backoff(StatusCode::TOO_MANY_REQUESTS), Some(Duration::from_millis(500)));
+    assert_eq!(backoff(StatusCode::OK), None);
 }
 
 #[test]
-fn unreadable() {
+fn malformed_headers() {
     for text in ["-1", "NaN", "inf", "1e300", "soon", ""] {
         let signal = signal(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -58,8 +61,8 @@
             ],
         );
         assert_eq!(
-            (signal.rate, signal.rest, signal.leaving),
-            (Asked::Unreadable, None, false),
+            (signal.rate, signal.backoff, signal.is_draining),
+            (ParsedHeader::Malformed, None, false),
             "{text}"
         );
     }
--- a/crates/sparscale_board/src/hints.rs
+++ b/crates/sparscale_board/src/hints.rs
@@ -1,70 +1,72 @@
-//! Which prompt prefixes a target probably still has in its cache.
+//! Tracks which prompt prefixes a target probably still has in its prefix cache.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a prompt in one block.
+/// Prompt bytes per block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of a prompt that are looked at; later ones change no decision.
+/// Most blocks of a prompt that are hashed; later ones change no decision.
 const MAX_BLOCKS: usize = 64;
-/// Blocks that are remembered for one target.
-const MAX_HINTS: usize = 2_048;
-/// Age from which a hint counts no more: the target has probably evicted the block.
-const MAX_AGE: Duration = Duration::from_mins(5);
+/// Most blocks that are tracked for one target.
+const MAX_TRACKED_BLOCKS: usize = 2_048;
+/// Age from which a hint is ignored, because the target has probably evicted the block.
+const MAX_HINT_AGE: Duration = Duration::from_mins(5);
 
-/// Hashes of the whole blocks at the start of `prompt`, each over everything up to its end.
+/// Hashes of the full blocks at the start of `prompt`; each hash covers the prompt up to the end of its block.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut digest = Sha256::new();
     let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     blocks
         .map(|block| {
             digest.update(block);
-            let so_far: [u8; 32] = digest.clone().finalize().into();
-            let mut first = [0; 8];
-            first.copy_from_slice(&so_far[..8]);
-            u64::from_be_bytes(first)
+            let prefix_digest: [u8; 32] = digest.clone().finalize().into();
+            let mut leading_bytes = [0; 8];
+            leading_bytes.copy_from_slice(&prefix_digest[..8]);
+            u64::from_be_bytes(leading_bytes)
         })
         .collect()
 }
 
-/// Blocks that one target was sent lately. Hints age and may be wrong; they are never facts.
+/// Blocks that were recently sent to one target. Hints expire and may be wrong.
 #[derive(Debug, Clone, Default)]
-pub struct Hints {
-    seen: HashMap<u64, Duration>,
-    order: VecDeque<u64>,
+pub struct PrefixHints {
+    last_sent_at: HashMap<u64, Duration>,
+    insertion_order: VecDeque<u64>,
 }
 
-impl Hints {
-    /// Notes that a prompt with these blocks went to the target.
-    pub fn note(&mut self, blocks: &[u64], now: Duration) {
+impl PrefixHints {
+    /// Records that a prompt with these blocks was sent to the target.
+    pub fn record(&mut self, blocks: &[u64], now: Duration) {
         for block in blocks {
-            if self.seen.insert(*block, now).is_none() {
-                self.order.push_back(*block);
+            if self.last_sent_at.insert(*block, now).is_none() {
+                self.insertion_order.push_back(*block);
             }
         }
-        while self.order.len() > MAX_HINTS {
-            let Some(oldest) = self.order.pop_front() else { return };
-            self.seen.remove(&oldest);
+        while self.insertion_order.len() > MAX_TRACKED_BLOCKS {
+            let Some(oldest) = self.insertion_order.pop_front() else {
+                return;
+            };
+            self.last_sent_at.remove(&oldest);
         }
     }
 
-    /// Forgets everything, for example when the target was replaced.
+    /// Removes all hints, for example after the target was replaced.
     pub fn clear(&mut self) {
-        self.seen.clear();
-        self.order.clear();
+        self.last_sent_at.clear();
+        self.insertion_order.clear();
     }
 
-    /// Number of leading blocks that the target probably has.
-    pub fn expected_hit(&self, blocks: &[u64], now: Duration) -> usize {
-        if self.seen.is_empty() {
+    /// Number of leading blocks that the target probably has in its cache.
+    pub fn expected_hit_blocks(&self, blocks: &[u64], now: Duration) -> usize {
+        if self.last_sent_at.is_empty() {
             return 0;
         }
         let fresh = |block: &&u64| {
-            self.seen
+            self.last_sent_at
                 .get(block)
-                .is_some_and(|seen| now.saturating_sub(*seen) < MAX_AGE)
+                .is_some_and(|sent_at| now.saturating_sub(*sent_at) < MAX_HINT_AGE)
         };
         blocks.iter().take_while(fresh).count()
     }
--- a/crates/sparscale_catalog/src/lib.rs
+++ b/crates/sparscale_catalog/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an entry has to know to send requests straight to targets: the catalog of routes, services and workspaces,
-//! and the roster of targets.
+//! The data with which an entry sends requests directly to targets: the catalog of routes, services and workspaces, and
+//! the roster of targets.
 //!
-//! Both come whole and versioned from outside; nothing here reads a clock or a socket.
+//! Both are supplied by the caller as complete snapshots; this crate performs no I/O and reads no clock.
 
 mod catalog;
 mod directory;
@@ -13,10 +13,10 @@
 mod routes;
 
 pub use catalog::{Access, Catalog};
-pub use directory::{Directory, Group, Seat};
-pub use document::{Document, Kind, Limits, Route, Service, Share, Workspace};
-pub use engine::{Engine, Experts};
+pub use directory::{Directory, Group, Instance};
+pub use document::{Document, Limits, RequestKind, Route, Service, Share, Workspace};
+pub use engine::{EngineProfile, ExpertLayout};
 pub use error::Error;
-pub use incarnation::{Incarnation, Incarnations, Start};
-pub use roster::{Membership, Roster, Standing, Target, start_mark};
+pub use incarnation::{Incarnation, Incarnations, StartId};
+pub use roster::{Membership, Roster, Target, TargetStatus, start_mark};
 pub use routes::{RouteKey, ServiceKey};
--- a/crates/sparscale_entry/src/assembly.rs
+++ b/crates/sparscale_entry/src/assembly.rs
@@ -1,133 +1,136 @@
-//! Puts an answer together from frames that may be late, doubled, out of order or someone else's.
+//! Assembles a response from frames that may be late, duplicated, out of order or part of another response.
 //!
-//! Pure: a frame goes in, what to do comes out. Only chunks of the right attempt in the right order are passed on,
-//! and the answer counts as whole only at an end that names as many chunks as were passed on.
+//! A pure state machine: each frame yields the next step. Only chunks of the expected attempt are forwarded, in order,
+//! and the response is complete only when the end frame names as many chunks as were forwarded.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use sparscale_wire::{Answer, AttemptId, Failure, Head, Load, Part, Refusal};
+use sparscale_wire::{AttemptId, Failure, Head, Refusal, ResponseEvent, ResponseFrame, TargetLoad};
 
-/// Chunks that may wait for an earlier one; more means that the stream is broken.
-const MAX_AHEAD: usize = 1_024;
+/// Most chunks that are buffered while an earlier one is missing; with more the stream counts as broken.
+const MAX_OUT_OF_ORDER_CHUNKS: usize = 1_024;
 
-/// What a frame leads to.
+/// What the caller of [`Assembly::accept`] has to do after a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Nothing: the frame is not ours, or was seen before, or comes too early.
+    /// Nothing: the frame belongs to another attempt, is a duplicate, or waits for an earlier chunk.
     Nothing,
-    /// The answer begins.
+    /// The response begins.
     Head(Head),
-    /// These chunks come next.
+    /// Forward these chunks next.
     Chunks(Vec<Bytes>),
-    /// The answer is whole; these chunks were the last.
+    /// The response is complete.
     End {
-        /// Chunks that had waited for this moment.
+        /// The last chunks to forward.
         chunks: Vec<Bytes>,
-        /// Load of the agent.
-        load: Load,
+        /// Load that the agent reported with the end frame.
+        load: TargetLoad,
     },
-    /// The request was not handed on.
+    /// The agent rejected the request without forwarding it.
     Refused(Refusal),
-    /// The request did not end well.
+    /// The request failed.
     Failed(Failure),
-    /// The frames contradict each other: the stream has to be resumed.
+    /// The frames contradict each other, so the stream must be resumed.
     Broken(&'static str),
 }
 
-/// The answer to one attempt, as far as it has come.
+/// The response to one attempt, as far as it has been received.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     attempt: AttemptId,
-    next: u64,
-    ahead: BTreeMap<u64, Bytes>,
-    end: Option<(u64, Load)>,
+    next_sequence: u64,
+    out_of_order: BTreeMap<u64, Bytes>,
+    announced_end: Option<(u64, TargetLoad)>,
     head_seen: bool,
-    ended: bool,
+    is_complete: bool,
 }
 
 impl Assembly {
-    /// An empty answer to `attempt`.
+    /// Creates an empty response to `attempt`.
     pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
-            next: 0,
-            ahead: BTreeMap::new(),
-            end: None,
+            next_sequence: 0,
+            out_of_order: BTreeMap::new(),
+            announced_end: None,
             head_seen: false,
-            ended: false,
+            is_complete: false,
         }
     }
 
-    /// Number of the first chunk that is missing.
-    pub fn next_chunk(&self) -> u64 {
-        self.next
+    /// Sequence number of the first missing chunk.
+    pub fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
-    /// Whether the whole answer was passed on.
-    pub fn has_ended(&self) -> bool {
-        self.ended
+    /// Whether the complete response was returned.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
-    /// Takes in one frame.
-    pub fn accept(&mut self, answer: Answer) -> Step {
-        if answer.attempt != self.attempt || self.ended {
+    /// Processes one frame.
+    pub fn accept(&mut self, answer: ResponseFrame) -> Step {
+        if answer.attempt != self.attempt || self.is_complete {
             return Step::Nothing;
         }
         match answer.part {
-            Part::Head(_) if self.head_seen => Step::Nothing,
-            Part::Head(head) => {
+            ResponseEvent::Head(_) if self.head_seen => Step::Nothing,
+            ResponseEvent::Head(head) => {
                 self.head_seen = true;
                 Step::Head(head)
             }
-            Part::Chunk(chunk) => self.accept_chunk(chunk.sequence, chunk.data),
-            Part::End { chunks, load } => self.accept_end(chunks, load),
-            Part::Refused(_) if self.head_seen => Step::Broken("refused after the answer began"),
-            Part::Refused(refusal) => Step::Refused(refusal),
-            Part::Failed(failure) => Step::Failed(failure),
+            ResponseEvent::Chunk(chunk) => self.accept_chunk(chunk.sequence, chunk.data),
+            ResponseEvent::End {
+                chunk_count: chunks,
+                load,
+            } => self.accept_end(chunks, load),
+            ResponseEvent::Rejected(_) if self.head_seen => Step::Broken("refused after the answer began"),
+            ResponseEvent::Rejected(refusal) => Step::Refused(refusal),
+            ResponseEvent::Failed(failure) => Step::Failed(failure),
         }
     }
 
     fn accept_chunk(&mut self, sequence: u64, data: Bytes) -> Step {
-        if sequence < self.next {
+        if sequence < self.next_sequence {
             return Step::Nothing;
         }
-        if self.end.is_some_and(|(chunks, _)| sequence >= chunks) {
+        if self.announced_end.is_some_and(|(chunks, _)| sequence >= chunks) {
             return Step::Broken("a chunk lies behind the end");
         }
-        self.ahead.insert(sequence, data);
-        if self.ahead.len() > MAX_AHEAD {
+        self.out_of_order.insert(sequence, data);
+        if self.out_of_order.len() > MAX_OUT_OF_ORDER_CHUNKS {
             return Step::Broken("too many chunks wait for an earlier one");
         }
         let ready = self.take_ready();
-        self.finish_if_whole(ready)
+        self.finish_if_complete(ready)
     }
 
-    fn accept_end(&mut self, chunks: u64, load: Load) -> Step {
+    fn accept_end(&mut self, chunks: u64, load: TargetLoad) -> Step {
         let highest = self
-            .ahead
+            .out_of_order
             .last_key_value()
-            .map_or(self.next, |(sequence, _)| sequence + 1);
-        if chunks < highest || self.end.is_some_and(|(known, _)| known != chunks) {
+            .map_or(self.next_sequence, |(sequence, _)| sequence + 1);
+        if chunks < highest || self.announced_end.is_some_and(|(known, _)| known != chunks) {
             return Step::Broken("the end names fewer chunks than came");
         }
-        self.end = Some((chunks, load));
-        self.finish_if_whole(Vec::new())
+        self.announced_end = Some((chunks, load));
+        self.finish_if_complete(Vec::new())
     }
 
     fn take_ready(&mut self) -> Vec<Bytes> {
         let mut ready = Vec::new();
-        while let Some(data) = self.ahead.remove(&self.next) {
+        while let Some(data) = self.out_of_order.remove(&self.next_sequence) {
             ready.push(data);
-            self.next += 1;
+            self.next_sequence += 1;
         }
         ready
     }
 
-    fn finish_if_whole(&mut self, chunks: Vec<Bytes>) -> Step {
-        match self.end {
-            Some((total, load)) if total == self.next => {
-                self.ended = true;
+    fn finish_if_complete(&mut self, chunks: Vec<Bytes>) -> Step {
+        match self.announced_end {
+            Some((total, load)) if total == self.next_sequence => {
+                self.is_complete = true;
                 Step::End { chunks, load }
             }
             _ if chunks.is_empty() => Step::Nothing,
--- a/crates/sparscale_entry/src/board_control.rs
+++ b/crates/sparscale_entry/src/board_control.rs
@@ -1,4 +1,4 @@
-//! Controllers that write the board: bundle, box list, load reports.
+//! Controllers that write the board: they follow the bundle, the box list and the load reports of targets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,25 +6,25 @@
 use std::time::Duration;
 
 use sparscale_board::{Board, Load, Standing, TargetKey};
-use sparscale_control::{Journal, Listing, Role as BoxRole, Standing as ListedStanding};
-use sparscale_route::{Subset, subset};
-use sparscale_wire::{Ask, Endpoint, Frame, Role};
+use sparscale_control::{BoxList, BoxRole, BoxStanding as ListedStanding, Journal};
+use sparscale_route::{Subset, select_subset};
+use sparscale_wire::{Endpoint, Frame, Role, StreamRequest};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Pause between two looks at which targets to watch.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
-/// Targets that one entry watches at most.
-const MAX_WATCHED: usize = 16;
-/// Time between two reports of one target, for each target that is watched, and the shortest.
-const INTERVAL_PER_WATCHED: Duration = Duration::from_millis(60);
-const MIN_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the set of watched targets is updated.
+const WATCH_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// Most targets that one entry watches.
+const MAX_WATCHED_TARGETS: usize = 16;
+/// Interval between two reports of a target, for each target that is watched, and its minimum.
+const REPORT_INTERVAL_PER_TARGET: Duration = Duration::from_millis(60);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The board of this entry, with the time that it is measured in.
+/// The board of this entry, with the clock that its times refer to.
 pub(crate) struct SharedBoard {
     board: Mutex<Board>,
     subsets: Mutex<HashMap<String, Subset>>,
-    started: Instant,
+    started_at: Instant,
     entry: String,
 }
 
@@ -33,7 +33,7 @@
         Self {
             board: Mutex::new(Board::new(hall)),
             subsets: Mutex::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             entry: entry.to_owned(),
         }
     }
@@ -43,35 +43,37 @@
     }
 
     pub(crate) fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Targets that this entry considers for `pool`, whose members are `all`.
+    /// Subset of `all` that this entry considers for `pool`; it is computed once for each bundle.
     pub(crate) fn subset(&self, board: &Board, pool: &str, all: &[TargetKey], limit: usize) -> Subset {
         let mut subsets = self.subsets.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = self.entry.as_str();
-        let known = subsets.entry(pool.to_owned());
-        known.or_insert_with(|| subset(board, entry, all, limit)).clone()
+        let cached = subsets.entry(pool.to_owned());
+        cached
+            .or_insert_with(|| select_subset(board, entry, all, limit))
+            .clone()
     }
 
-    fn forget_subsets(&self) {
+    fn clear_subsets(&self) {
         self.subsets.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 }
 
-/// Shows each bundle in force on the board.
+/// Applies each new active bundle to the board.
 pub(crate) async fn follow_bundle(
     board: Arc<SharedBoard>,
     journal: Arc<Journal>,
-    boxes: watch::Receiver<Arc<Listing>>,
+    boxes: watch::Receiver<Arc<BoxList>>,
 ) {
-    let mut heads = journal.heads();
+    let mut heads = journal.subscribe_heads();
     loop {
-        if let Some(certificate) = journal.in_force()
-            && certificate.bundle.version() > board.lock().version
+        if let Some(certificate) = journal.active_certificate()
+            && certificate.bundle.version() > board.lock().bundle_version
         {
             board.lock().apply_bundle(&certificate.bundle);
-            board.forget_subsets();
+            board.clear_subsets();
             apply_listing(&board, &boxes.borrow());
         }
         if heads.changed().await.is_err() {
@@ -80,39 +82,40 @@
     }
 }
 
-/// Shows each change of the box list on the board.
-pub(crate) async fn follow_boxes(board: Arc<SharedBoard>, mut boxes: watch::Receiver<Arc<Listing>>) {
+/// Applies each change of the box list to the board.
+pub(crate) async fn follow_boxes(board: Arc<SharedBoard>, mut boxes: watch::Receiver<Arc<BoxList>>) {
     while boxes.changed().await.is_ok() {
         let listing = boxes.borrow_and_update().clone();
         apply_listing(&board, &listing);
     }
 }
 
-fn apply_listing(board: &SharedBoard, listing: &Listing) {
+fn apply_listing(board: &SharedBoard, listing: &BoxList) {
     let targets = listing.boxes.iter().filter(|listed| listed.role == BoxRole::Target);
     let listed: HashMap<String, (SocketAddr, Standing)> = targets
         .map(|listed| {
             let standing = match listed.standing {
                 ListedStanding::Live => Standing::Live,
-                ListedStanding::Leaving => Standing::Leaving,
+                ListedStanding::Leaving => Standing::Draining,
             };
             (listed.name.clone(), (listed.address, standing))
         })
         .collect();
-    board.lock().apply_listed(&listed);
+    board.lock().apply_box_list(&listed);
 }
 
-/// Targets that this entry watches now, with their addresses.
+/// Targets that this entry watches, with their addresses.
 type Watched = Arc<Mutex<HashMap<TargetKey, SocketAddr>>>;
 
-/// Watches the load of the targets that this entry used last. Of others it hears with each answer.
+/// Subscribes to load reports of the targets that this entry used last. The load of other targets arrives with their
+/// responses.
 pub(crate) async fn watch_loads(board: Arc<SharedBoard>, endpoint: Arc<Endpoint>, incarnation: u64) {
     let watched: Watched = Arc::default();
     loop {
-        let wanted = wanted(&board);
-        let new = replace_watched(&watched, &wanted);
-        for (key, address) in new {
-            let watch = Watch {
+        let wanted = targets_to_watch(&board);
+        let new_targets = update_watched(&watched, &wanted);
+        for (key, address) in new_targets {
+            let watch = LoadWatch {
                 board: Arc::clone(&board),
                 watched: Arc::clone(&watched),
                 key,
@@ -123,33 +126,34 @@
             tokio::spawn(async move { watch.run(&endpoint, incarnation).await });
         }
         endpoint.close_unused();
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(WATCH_UPDATE_INTERVAL).await;
     }
 }
 
-/// The more targets are watched, the less often each reports, so that the bytes stay within a node's budget.
+/// Report interval for `count` watched targets: it grows with their number, so that the reports stay within the traffic
+/// budget of a node.
 fn watch_interval(count: usize) -> Duration {
-    (INTERVAL_PER_WATCHED * count as u32).max(MIN_INTERVAL)
+    (REPORT_INTERVAL_PER_TARGET * count as u32).max(MIN_REPORT_INTERVAL)
 }
 
-/// Shows what is watched from now on; returns what was not before.
-fn replace_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
+/// Replaces the watched targets by `wanted` and returns those that are new.
+fn update_watched(watched: &Watched, wanted: &HashMap<TargetKey, SocketAddr>) -> Vec<(TargetKey, SocketAddr)> {
     let mut watched = watched.lock().unwrap_or_else(PoisonError::into_inner);
     watched.retain(|key, address| wanted.get(key) == Some(address));
-    let new = wanted.iter().filter(|(key, _)| !watched.contains_key(*key));
-    let new: Vec<(TargetKey, SocketAddr)> = new.map(|(key, address)| (*key, *address)).collect();
-    watched.extend(new.iter().copied());
-    new
+    let new_targets = wanted.iter().filter(|(key, _)| !watched.contains_key(*key));
+    let new_targets: Vec<(TargetKey, SocketAddr)> = new_targets.map(|(key, address)| (*key, *address)).collect();
+    watched.extend(new_targets.iter().copied());
+    new_targets
 }
 
-/// The targets that were used last, and the nearest of those that never were.
-fn wanted(board: &SharedBoard) -> HashMap<TargetKey, SocketAddr> {
+/// Selects the targets to watch: those used last, then the nearest of those never used.
+fn targets_to_watch(board: &SharedBoard) -> HashMap<TargetKey, SocketAddr> {
     let locked = board.lock();
     let live = locked.targets().filter(|(_, target)| target.standing == Standing::Live);
     let mut ranked: Vec<_> = live
         .filter_map(|(key, target)| {
             Some((
-                std::cmp::Reverse(target.last_sent),
+                std::cmp::Reverse(target.last_sent_counter),
                 target.distance,
                 key,
                 target.address?,
@@ -159,13 +163,13 @@
     ranked.sort_unstable_by_key(|(last_sent, distance, _, _)| (*last_sent, *distance));
     ranked
         .into_iter()
-        .take(MAX_WATCHED)
+        .take(MAX_WATCHED_TARGETS)
         .map(|(_, _, key, address)| (key, address))
         .collect()
 }
 
-/// One target that is watched.
-struct Watch {
+/// Subscription to the load reports of one target.
+struct LoadWatch {
     board: Arc<SharedBoard>,
     watched: Watched,
     key: TargetKey,
@@ -173,10 +177,10 @@
     interval: Duration,
 }
 
-impl Watch {
-    /// Takes in reports until the target is wanted no more or cannot be reached.
+impl LoadWatch {
+    /// Applies load reports until the target is no longer watched or its stream ends.
     async fn run(self, endpoint: &Endpoint, incarnation: u64) {
-        // Whatever ends the stream, the next look at the wanted targets starts it again.
+        // The next update of the watched targets restarts the stream if it ended early.
         let _ended = self.follow(endpoint, incarnation).await;
         self.watched
             .lock()
@@ -187,12 +191,12 @@
     async fn follow(&self, endpoint: &Endpoint, incarnation: u64) -> Option<()> {
         let mut channel = endpoint.open(self.address, Role::Agent).await.ok()?;
         let interval_ms = self.interval.as_millis() as u64;
-        let ask = Ask::Watch {
-            entry: incarnation,
+        let ask = StreamRequest::WatchLoad {
+            entry_incarnation: incarnation,
             interval_ms,
         };
-        channel.sender.send(&Frame::Ask(ask)).await.ok()?;
-        while self.is_wanted() {
+        channel.sender.send(&Frame::Open(ask)).await.ok()?;
+        while self.is_watched() {
             let Frame::Load(load) = channel.receiver.receive().await.ok()? else {
                 return None;
             };
@@ -202,28 +206,28 @@
         None
     }
 
-    fn is_wanted(&self) -> bool {
+    fn is_watched(&self) -> bool {
         let watched = self.watched.lock().unwrap_or_else(PoisonError::into_inner);
         watched.get(&self.key) == Some(&self.address)
     }
 }
 
-/// Name of the subset of targets that serve `model`.
+/// Name of the pool of targets that serve `model`.
 pub(crate) fn model_pool(model: &str) -> String {
     format!("model {model}")
 }
 
-/// A load report in the board's units.
-pub(crate) fn board_load(load: &sparscale_wire::Load) -> Load {
+/// Converts a load report to the units of the board.
+pub(crate) fn board_load(load: &sparscale_wire::TargetLoad) -> Load {
     Load {
         incarnation: load.incarnation,
-        seen: load.seen,
+        last_seen_counter: load.highest_counter,
         running: load.running,
         queued: load.queued,
-        own: load.own,
+        own_requests: load.from_entry,
         prefill_tokens: load.prefill_tokens,
         step_ms: f64::from(load.step_micros) / 1_000.0,
-        map: load.map,
-        closed: load.closed,
+        map_number: load.map_number,
+        is_closed: load.is_closed,
     }
 }
--- a/crates/sparscale_entry/src/quarantine.rs
+++ b/crates/sparscale_entry/src/quarantine.rs
@@ -1,4 +1,6 @@
-//! Calls that end the targets which run them: known again by every entry, through the log.
+//! Quarantine of calls that crash the targets which run them.
+//!
+//! Each such end is recorded as a strike in the log, so that all entries recognize the call and hold it back.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,117 +8,124 @@
 use http::StatusCode;
 use sparscale_clock::unix_ms;
 use sparscale_control::Journal;
-use sparscale_journal::{Body, Verdict};
-use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
+use sparscale_journal::{RecordBody, Verdict};
+use sparscale_quarantine::{EndedStart, Fingerprint, Strike, StrikeSource, StrikeStatus, Tracker};
 use sparscale_telemetry::DECISION;
 use sparscale_wire::Call;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::job::{Job, Sent};
+use crate::job::{Job, SentAttempt};
 use crate::problem::Problem;
 
-/// Time that one append may take.
+/// Timeout of one append to the log.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before a strike that the log did not take is appended again.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Time for which a call waits until the log has its strike. With it come the strikes of all other entries, so a call that
-/// comes through several ends one target more than it may at most; a log that is away holds no call up for longer.
+/// Delay before the append of a strike is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Longest time that a call waits until its strike is in the log.
+///
+/// By then the entry has also read the strikes of all other entries, so a call that arrives through several entries
+/// ends at most one target more than the limit. An unavailable log delays a call no longer than this.
 const STRIKE_WAIT: Duration = Duration::from_secs(1);
-/// Tries to append a strike: ten minutes of a log that is away. What an entry saw it holds by itself as long as it lives.
-const TRIES: u32 = 100;
+/// Attempts to append a strike, enough for ten minutes of an unavailable log. The entry itself keeps each strike that
+/// it observed until it terminates.
+const MAX_APPEND_ATTEMPTS: u32 = 100;
 
-/// What this entry knows: what it saw itself, and what the log holds.
+/// Strikes known to this entry: those that it observed and those in the log.
 pub(crate) struct Quarantine {
     journal: Arc<Journal>,
-    seen: Mutex<Register>,
+    register: Mutex<Tracker>,
 }
 
 impl Quarantine {
     pub(crate) fn new(journal: Arc<Journal>) -> Self {
         Self {
             journal,
-            seen: Mutex::default(),
+            register: Mutex::default(),
         }
     }
 
-    /// The refusal of a call that is held back.
-    pub(crate) fn held(&self, job: &Job) -> Option<Problem> {
+    /// The problem with which a quarantined call is rejected; none if the call may run.
+    pub(crate) fn rejection_of(&self, job: &Job) -> Option<Problem> {
         let request = fingerprint(job);
         let logged: Vec<Strike> = self.journal.with_state(|state| state.strikes_of(request).collect());
         let now_ms = unix_ms();
         let hold = {
-            let mut seen = self.seen();
+            let mut register = self.lock_register();
             for strike in logged {
-                seen.take_in(strike, News::Read, now_ms);
+                register.merge(strike, StrikeSource::Store, now_ms);
             }
-            seen.held(&request, now_ms)
+            register.active_hold(&request, now_ms)
         }?;
-        log::info!(target: DECISION, decision = "held", content = request.short().as_str(), ends = hold.ends, left_ms = hold.left.as_millis() as u64; "targets ended under the call");
+        log::info!(target: DECISION, decision = "held", content = request.log_prefix().as_str(), ends = hold.end_count, left_ms = hold.remaining.as_millis() as u64; "the call is quarantined because targets ended while they ran it");
         let detail = "targets ended while they ran this call; it is held back so that no more do";
         let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "The call is held back", detail);
-        Some(problem.retry_after(hold.left))
+        Some(problem.retry_after(hold.remaining))
     }
 
-    /// Notes that a target ended under a call, and tells the log; returns once the log has it, or [`STRIKE_WAIT`] later.
-    pub(crate) async fn note_end(&self, job: &Job, sent: &Sent) {
+    /// Records that a target ended while it ran a call, and appends the strike to the log. Returns when the log has it,
+    /// at the latest after [`STRIKE_WAIT`].
+    pub(crate) async fn record_end(&self, job: &Job, sent: &SentAttempt) {
         let request = fingerprint(job);
         let now_ms = unix_ms();
         let strike = Strike {
             request,
-            // Each attempt meets one end at most.
-            end: End::of(&sent.name, Some(sent.attempt.entry ^ sent.attempt.counter)),
+            // An attempt experiences at most one end of a target, so its id identifies that end.
+            ended_start: EndedStart::of(
+                &sent.target_name,
+                Some(sent.attempt.entry_incarnation ^ sent.attempt.counter),
+            ),
             at_ms: now_ms,
-            standing: Standing::Counts,
+            status: StrikeStatus::Counted,
         };
         let ends = {
-            let mut seen = self.seen();
-            seen.take_in(strike, News::Seen, now_ms);
-            seen.ends(&request)
+            let mut register = self.lock_register();
+            register.merge(strike, StrikeSource::Local, now_ms);
+            register.end_count(&request)
         };
-        log::info!(target: DECISION, decision = "strike", content = request.short().as_str(), at = sent.name.as_str(), ends; "a target ended under a call");
-        let told = self.tell(vec![strike]);
-        let limit = job.deadline.min(Instant::now() + STRIKE_WAIT);
-        if tokio::time::timeout_at(limit, told).await.is_err() {
-            log::info!(target: DECISION, decision = "strike_late", content = request.short().as_str(); "going on before the log has the strike");
+        log::info!(target: DECISION, decision = "strike", content = request.log_prefix().as_str(), at = sent.target_name.as_str(), ends; "a target ended while it ran a call");
+        let appended = self.append_strikes(vec![strike]);
+        let deadline = job.deadline.min(Instant::now() + STRIKE_WAIT);
+        if tokio::time::timeout_at(deadline, appended).await.is_err() {
+            log::info!(target: DECISION, decision = "strike_late", content = request.log_prefix().as_str(); "continuing before the strike is in the log");
         }
     }
 
-    /// Notes a whole answer to a call.
-    pub(crate) fn note_answer(&self, job: &Job) {
+    /// Records a complete response to a call, and appends the strikes that it clears to the log.
+    pub(crate) fn record_response(&self, job: &Job) {
         let request = fingerprint(job);
         let cleared = {
-            let mut seen = self.seen();
-            if !seen.note_answer(&request, unix_ms()) {
+            let mut register = self.lock_register();
+            if !register.record_response(&request, unix_ms()) {
                 return;
             }
-            seen.untold()
+            register.unsaved()
         };
-        log::info!(target: DECISION, decision = "cleared", content = request.short().as_str(); "the call is answered well: it is not what ended targets");
+        log::info!(target: DECISION, decision = "cleared", content = request.log_prefix().as_str(); "the call completed, so it did not cause the ends of targets");
         let of_call = cleared.into_iter().filter(|strike| strike.request == request);
-        // The answer is there: nobody waits for the log.
-        let _told = self.tell(of_call.collect());
+        // The response is complete, so no caller waits for the log.
+        let _appended = self.append_strikes(of_call.collect());
     }
 
-    /// Appends strikes, again and again while the log does not take them.
-    fn tell(&self, strikes: Vec<Strike>) -> JoinHandle<()> {
+    /// Appends strikes to the log in the background, with retries.
+    fn append_strikes(&self, strikes: Vec<Strike>) -> JoinHandle<()> {
         let journal = Arc::clone(&self.journal);
         tokio::spawn(async move {
             for strike in strikes {
-                for _ in 0..TRIES {
-                    let submitted = journal.submit(Body::Strike(strike), APPEND_TIMEOUT).await;
-                    if matches!(&submitted, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
+                for _ in 0..MAX_APPEND_ATTEMPTS {
+                    let append_result = journal.submit(RecordBody::Strike(strike), APPEND_TIMEOUT).await;
+                    if matches!(&append_result, Ok(receipt) if receipt.verdict == Verdict::Accepted) {
                         break;
                     }
-                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.short().as_str(); "the log did not take a strike");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    log::info!(target: DECISION, decision = "strikes_not_kept", content = strike.request.log_prefix().as_str(); "the log did not accept a strike; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         })
     }
 
-    fn seen(&self) -> MutexGuard<'_, Register> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_register(&self) -> MutexGuard<'_, Tracker> {
+        self.register.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/sparscale_entry/src/route_log.rs
+++ b/crates/sparscale_entry/src/route_log.rs
@@ -1,13 +1,13 @@
-//! Log lines of the choice of a target.
+//! Logs the choice of a target.
 
 use serde::Serialize;
 use sparscale_board::Board;
 use sparscale_route::Decision;
 use sparscale_telemetry::DECISION;
 
-use crate::job::{Job, Sent};
+use crate::job::{Job, SentAttempt};
 
-/// A candidate as a decision line shows it; costs in milliseconds.
+/// A candidate in a decision line; costs in milliseconds.
 #[derive(Serialize)]
 struct Candidate<'a> {
     name: &'a str,
@@ -19,30 +19,30 @@
     distance: f64,
 }
 
-/// The candidates as JSON: the log holds flat values, so they stand in one.
+/// The scored candidates as one JSON text, because log values must be flat.
 pub(crate) fn candidate_lines(board: &Board, decision: &Decision) -> String {
-    let candidates = decision.scored.iter().filter_map(|scored| {
+    let candidates = decision.scored_targets.iter().filter_map(|scored| {
         Some(Candidate {
             name: &board.target(scored.key)?.name,
-            cost: scored.cost,
-            wait: scored.wait,
-            prefill: scored.prefill,
-            steps: scored.steps,
-            others: scored.others,
-            distance: scored.distance,
+            cost: scored.cost_ms,
+            wait: scored.wait_ms,
+            prefill: scored.prefill_ms,
+            steps: scored.decode_ms,
+            others: scored.group_delay_ms,
+            distance: scored.round_trip_ms,
         })
     });
     serde_json::to_string(&candidates.collect::<Vec<_>>()).unwrap_or_default()
 }
 
-pub(crate) fn log_route(job: &Job, sent: &Sent, decision: &Decision, candidates: &str, version: u64, map: u64) {
+pub(crate) fn log_route(job: &Job, sent: &SentAttempt, decision: &Decision, candidates: &str, version: u64, map: u64) {
     log::info!(
         target: DECISION,
         decision = "route",
         attempt = sent.attempt.to_string().as_str(),
         workspace = job.workspace.name.as_str(),
         tier = job.tier,
-        agent = sent.name.as_str(),
+        agent = sent.target_name.as_str(),
         reason:? = decision.reason,
         candidates,
         bundle = version,
--- a/crates/sparscale_entry/tests/retry_limits.rs
+++ b/crates/sparscale_entry/tests/retry_limits.rs
@@ -1,18 +1,18 @@
-//! Retries are paid for by first attempts alone.
+//! Only first attempts earn retries.
 //!
-//! A process that started had ten retries before any first attempt. One that ends and starts again over and over, as under
-//! an overload that ends it, then sends ten more with each start, which is what the budget is there to prevent.
+//! Guards against a budget that starts with retries, ten for instance: a process that an overload terminates again and
+//! again would then send ten more with each restart, which the budget exists to prevent.
 
 use sparscale_entry::limits::RetryBudget;
 
-/// Twenty processes follow each other, each with five first attempts that earn a fifth of a retry.
+/// Twenty processes run one after the other; each makes five first attempts, which earn a fifth of a retry each.
 #[test]
-fn lives_in_series() {
+fn restarts_grant_no_retries() {
     let mut retries = 0;
     for _ in 0..20 {
         let budget = RetryBudget::default();
-        (0..5).for_each(|_| budget.earn(20));
-        retries += (0..20).filter(|_| budget.spend()).count();
+        (0..5).for_each(|_| budget.record_request(20));
+        retries += (0..20).filter(|_| budget.try_spend()).count();
     }
     assert!(retries <= 20, "{retries} retries for 100 first attempts");
 }
--- a/crates/sparscale_fleet/src/bin/demo.rs
+++ b/crates/sparscale_fleet/src/bin/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole system on loopback, real requests through either entry, the decisions behind them.
+//! Runs a complete system on loopback, sends requests through every entry and prints the logged routing decisions.
 
 use std::process::ExitCode;
 
@@ -18,7 +18,7 @@
 async fn run() -> Result<(), String> {
     println!("starting log, box list, weight store, 2 ranks, 1 plain service, 3 agents, 2 entries on loopback");
     let fleet = Fleet::start("demo", Plan::default()).await?;
-    let status = fleet.operator("carol", &["bundle", "status"]).await?;
+    let status = fleet.run_operator("carol", &["bundle", "status"]).await?;
     println!(
         "\n== sparscale bundle status\n{}",
         String::from_utf8_lossy(&status.stdout).trim()
@@ -43,13 +43,13 @@
     let mut stream = fleet.stream_chat(entry, "teal", prompt, 4).await?;
     println!(
         "\n== a streamed model answer through {entry}\n{}",
-        stream.rest().await?.trim()
+        stream.read_remainder().await?.trim()
     );
-    let whole = fleet.send_chat(entry, "umber", prompt, 4).await?;
-    println!("\n== a whole model answer through {entry}\n{}", whole.text());
-    let rates = fleet
+    let response = fleet.send_chat(entry, "umber", prompt, 4).await?;
+    println!("\n== a whole model answer through {entry}\n{}", response.text());
+    let illustration = fleet
         .call_service(entry, "illustration", "{\"loan\": 180000}", &[])
         .await?;
-    println!("\n== a plain service's answer through {entry}\n{}", rates.text());
+    println!("\n== a plain service's answer through {entry}\n{}", illustration.text());
     Ok(())
 }
--- a/crates/sparscale_gateway/src/exchange/abandon.rs
+++ b/crates/sparscale_gateway/src/exchange/abandon.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sparscale_catalog::Seat;
+use sparscale_catalog::Instance;
 use sparscale_telemetry::DECISION;
 
 use super::{Gateway, Job, RetryReason};
@@ -19,10 +19,10 @@
         attempts_made: usize,
         history: &AttemptHistory,
     ) -> bool {
-        let may_resend = job.outbound.retryable && attempts_made < job.route().attempts as usize;
-        let leaves = may_resend && self.charge_retry_budget(job, history, RetryReason::Straggler);
-        log::info!(target: DECISION, decision = "leave_slow", request = job.outbound.head.id_text(), at = target, left = leaves; "target is a straggler and slows its group down");
-        leaves
+        let may_resend = job.outbound.retryable && attempts_made < job.route().max_attempts as usize;
+        let may_abandon = may_resend && self.charge_retry_budget(job, history, RetryReason::Straggler);
+        log::info!(target: DECISION, decision = "leave_slow", request = job.outbound.head.id_text(), at = target, left = may_abandon; "target is a straggler and slows its group down");
+        may_abandon
     }
 
     /// Whether a request may move away from an unresponsive target, which then gets no requests from this entry for a
@@ -30,14 +30,14 @@
     pub(crate) fn may_abandon_unresponsive(
         &self,
         job: &Job,
-        instance: &Seat,
+        instance: &Instance,
         verdict: UnresponsiveTarget,
         attempts_made: usize,
         history: &AttemptHistory,
     ) -> bool {
         self.loads.record_failure(instance.key);
-        let may_resend = job.outbound.retryable && attempts_made < job.route().attempts as usize;
-        let leaves = may_resend && self.charge_retry_budget(job, history, RetryReason::Unresponsive);
+        let may_resend = job.outbound.retryable && attempts_made < job.route().max_attempts as usize;
+        let may_abandon = may_resend && self.charge_retry_budget(job, history, RetryReason::Unresponsive);
         let evidence = verdict.evidence;
         let millis = |time: Duration| time.as_millis() as u64;
         log::info!(
@@ -53,9 +53,9 @@
             others_heard_ms = evidence.since_others_active.map(millis),
             others_idle = evidence.are_others_idle,
             may_repeat = job.outbound.retryable,
-            left = leaves;
+            left = may_abandon;
             "target does not respond"
         );
-        leaves
+        may_abandon
     }
 }
--- a/crates/sparscale_gateway/src/response_monitor.rs
+++ b/crates/sparscale_gateway/src/response_monitor.rs
@@ -1,12 +1,12 @@
 //! Detects targets that stop responding while requests wait for them.
 //!
 //! A suspended box leaves requests unanswered until their callers give up. The limits come from
-//! [`silence`](sparscale_policy::silence); this module observes the responses and checks each wait.
+//! [`response_timeout`](sparscale_policy::response_timeout); this module observes the responses and checks each wait.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sparscale_catalog::{Directory, Seat};
+use sparscale_catalog::{Directory, Instance};
 use sparscale_policy::response_timeout::{Evidence, ResponsePart};
 use sparscale_policy::response_tracker::{PendingResponse, Tracker};
 use sparscale_wire::GroupLoad;
@@ -34,11 +34,12 @@
 }
 
 impl ResponseMonitor {
-    /// Records that a target has sent the awaited response; the wait began at `since`.
-    pub(crate) fn record_response(&self, instance: &Seat, awaited: ResponsePart, since: Instant) {
+    /// Records that a target has sent the awaited part of a response; the wait started at `since`.
+    pub(crate) fn record_response(&self, instance: &Instance, response_part: ResponsePart, since: Instant) {
         let now = Instant::now();
-        let took = now.saturating_duration_since(since);
-        self.lock().record_response(instance, awaited, took, now.into_std());
+        let elapsed = now.saturating_duration_since(since);
+        self.lock()
+            .record_response(instance, response_part, elapsed, now.into_std());
     }
 
     /// Records a load report from the leader of a group.
@@ -86,11 +87,11 @@
 /// Counts a wait for a target until dropped.
 struct WaitGuard<'a> {
     monitor: &'a ResponseMonitor,
-    instance: &'a Seat,
+    instance: &'a Instance,
 }
 
 impl<'a> WaitGuard<'a> {
-    fn new(monitor: &'a ResponseMonitor, instance: &'a Seat) -> Self {
+    fn new(monitor: &'a ResponseMonitor, instance: &'a Instance) -> Self {
         monitor.lock().begin_wait(instance);
         Self { monitor, instance }
     }
--- a/crates/sparscale_policy/src/throttle.rs
+++ b/crates/sparscale_policy/src/throttle.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 use sparscale_clock::Timestamp;
 
 use crate::rate_limit::{Members, Pacer, Rate, Share};
@@ -27,8 +27,8 @@
 /// The limits of one target, and what this entry may send to it.
 #[derive(Debug)]
 struct State {
-    /// Whether the target has announced that it leaves, which is final for its start.
-    leaving: bool,
+    /// Whether the target has announced that it is draining, which is final for its start.
+    is_draining: bool,
     /// End of the backoff that the target requested from this entry.
     backoff_until: Option<Timestamp>,
     rate: Option<Rate>,
@@ -46,11 +46,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
     /// The start of the target that they apply to.
-    pub start: Start,
+    pub start: StartId,
     /// Requests a second that the target accepts from all entries; none if it has no limit.
     pub rate: Option<Rate>,
-    /// Whether the target leaves.
-    pub leaving: bool,
+    /// Whether the target is draining.
+    pub is_draining: bool,
     /// When the target stated this.
     pub as_of: Timestamp,
 }
@@ -62,14 +62,14 @@
     Now,
     /// At this time, from this entry or from another one that holds a share.
     At(Timestamp),
-    /// Never: the target leaves.
+    /// Never: the target is draining.
     Never,
 }
 
 /// Tracks the limits of all targets.
 #[derive(Debug, Default)]
 pub struct Tracker {
-    targets: HashMap<Start, State>,
+    targets: HashMap<StartId, State>,
     /// The entries that divide the rates; none while they are unknown.
     members: Option<Members>,
     /// Position of the latest change.
@@ -86,18 +86,18 @@
         self.members = Some(members);
     }
 
-    /// Merges the limits that a target stated. The latest rate applies, while leaving is final. Returns whether this is
+    /// Merges the limits that a target stated. The latest rate applies, while draining is final. Returns whether this is
     /// a change to announce.
     pub fn merge(&mut self, notice: Notice, now: Timestamp) -> bool {
         let Notice { start, as_of, .. } = notice;
-        let has_limits = notice.rate.is_some() || notice.leaving;
+        let has_limits = notice.rate.is_some() || notice.is_draining;
         if !has_limits && !self.targets.contains_key(&start) {
             return false;
         }
         let state = self.targets.entry(start).or_insert_with(|| State::new(as_of, now));
         let is_latest = as_of >= state.as_of;
         let rate_changes = is_latest && state.rate != notice.rate;
-        let starts_leaving = notice.leaving && !state.leaving;
+        let starts_draining = notice.is_draining && !state.is_draining;
         if is_latest {
             state.as_of = as_of;
         }
@@ -110,8 +110,8 @@
         if is_latest && notice.rate.is_some() {
             state.pacer.confirm(as_of);
         }
-        state.leaving |= starts_leaving;
-        let announce = starts_leaving || (rate_changes && state.should_announce());
+        state.is_draining |= starts_draining;
+        let announce = starts_draining || (rate_changes && state.should_announce());
         if announce {
             self.position += 1;
             state.mark_announced(self.position);
@@ -121,7 +121,7 @@
 
     /// Returns whether a limit that a target has just confirmed is due to be announced again, and counts it as a change
     /// if so.
-    pub fn reannounce_if_due(&mut self, start: Start) -> bool {
+    pub fn reannounce_if_due(&mut self, start: StartId) -> bool {
         let Some(state) = self.targets.get_mut(&start) else {
             return false;
         };
@@ -135,7 +135,7 @@
 
     /// Records that a target requested a `backoff` from this entry, in addition to its other limits. Returns the end of
     /// the backoff if it is later than the known one.
-    pub fn record_backoff(&mut self, start: Start, backoff: Duration, now: Timestamp) -> Option<Timestamp> {
+    pub fn record_backoff(&mut self, start: StartId, backoff: Duration, now: Timestamp) -> Option<Timestamp> {
         let until = now + backoff.min(MAX_BACKOFF);
         let state = self.targets.entry(start).or_insert_with(|| State::new(now, now));
         if state.backoff_until.is_some_and(|known| known >= until) {
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether this entry may send to a target now, and counts a request as sent if so.
-    pub fn try_acquire(&mut self, start: Start, now: Timestamp) -> bool {
+    pub fn try_acquire(&mut self, start: StartId, now: Timestamp) -> bool {
         if self.availability(start, now) != Availability::Now {
             return false;
         }
@@ -157,11 +157,11 @@
     }
 
     /// Returns when a target accepts the next request.
-    pub fn availability(&self, start: Start, now: Timestamp) -> Availability {
+    pub fn availability(&self, start: StartId, now: Timestamp) -> Availability {
         let Some(state) = self.targets.get(&start) else {
             return Availability::Now;
         };
-        if state.leaving {
+        if state.is_draining {
             return Availability::Never;
         }
         let next_by_others = |rate: Rate| now + Duration::from_secs_f64(1.0 / rate.per_second());
@@ -175,7 +175,7 @@
     }
 
     /// Requests a second that a target accepts from all entries, if it has a limit.
-    pub fn rate(&self, start: Start) -> Option<Rate> {
+    pub fn rate(&self, start: StartId) -> Option<Rate> {
         self.targets.get(&start)?.rate
     }
 
@@ -190,14 +190,14 @@
         let notices = changed.map(|(start, state)| Notice {
             start: *start,
             rate: state.rate,
-            leaving: state.leaving,
+            is_draining: state.is_draining,
             as_of: state.as_of,
         });
         (notices.collect(), self.position)
     }
 
     /// Drops the starts that `exists` rejects.
-    pub fn retain(&mut self, exists: impl Fn(Start) -> bool) {
+    pub fn retain(&mut self, exists: impl Fn(StartId) -> bool) {
         self.targets.retain(|start, _| exists(*start));
     }
 }
@@ -222,7 +222,7 @@
 
     fn new(as_of: Timestamp, now: Timestamp) -> Self {
         Self {
-            leaving: false,
+            is_draining: false,
             backoff_until: None,
             rate: None,
             as_of,
--- a/crates/sparscale_quarantine/src/strike.rs
+++ b/crates/sparscale_quarantine/src/strike.rs
@@ -1,68 +1,73 @@
-//! A target that ended under a request.
+//! The record that a target terminated while it ran a request.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
-use sparscale_catalog::Start;
+use sparscale_catalog::StartId;
 
-use crate::fingerprint::{Fingerprint, Unreadable};
+use crate::fingerprint::{Fingerprint, ParseError};
 
-/// Which start of which target ended. All processes that saw one end name it alike, so it counts once.
+/// Identifies the start of a target that terminated.
+///
+/// All processes that observe the same termination derive the same value, so it counts once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct End(u64);
+pub struct EndedStart(u64);
 
-impl End {
-    /// The end of the start of `target` that began at `born_ms`, if targets tell that.
+impl EndedStart {
+    /// Identifies the start of `target` at `born_ms`; `None` if targets do not report when they started.
     pub fn of(target: &str, born_ms: Option<u64>) -> Self {
-        Self::from(Start::of(target, born_ms))
+        Self::from(StartId::of(target, born_ms))
     }
 }
 
-impl From<Start> for End {
-    fn from(start: Start) -> Self {
+impl From<StartId> for EndedStart {
+    fn from(start: StartId) -> Self {
         Self(start.digest())
     }
 }
 
-impl FromStr for End {
-    type Err = Unreadable;
+impl FromStr for EndedStart {
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Unreadable> {
-        u64::from_str_radix(text, 16).map(Self).map_err(|_digits| Unreadable)
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        u64::from_str_radix(text, 16).map(Self).map_err(|_digits| ParseError)
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for EndedStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl fmt::Debug for End {
+impl fmt::Debug for EndedStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-/// Whether a strike speaks against its request.
+/// Whether a strike counts against its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
-    /// It does.
-    Counts,
-    /// The request has been answered often enough since. This is final.
+pub enum StrikeStatus {
+    /// It counts.
+    #[serde(rename = "Counts")]
+    Counted,
+    /// It no longer counts, because the request has received enough complete responses since. This is final.
     Cleared,
 }
 
-/// A target ended while it had a request.
+/// One termination of a target while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
-    /// The request.
+    /// The request that the target ran.
     pub request: Fingerprint,
-    /// What ended.
-    pub end: End,
-    /// When, in milliseconds since 1970 by the clock of the process that saw it.
+    /// The start of the target that terminated.
+    #[serde(rename = "end")]
+    pub ended_start: EndedStart,
+    /// Time of the termination, in milliseconds since 1970 by the clock of the process that observed it.
     pub at_ms: u64,
-    /// Whether it counts.
-    pub standing: Standing,
+    /// Whether the strike counts against the request.
+    #[serde(rename = "standing")]
+    pub status: StrikeStatus,
 }
--- a/crates/sparscale_quarantine/tests/restored_store.rs
+++ b/crates/sparscale_quarantine/tests/restored_store.rs
@@ -1,8 +1,9 @@
-//! A store that came back from an older copy has lost strikes: they are told to it again, and those it still has are not.
+//! Tests a store that was restored from an older snapshot: strikes that it lost are written again, and those that it
+//! still has are not.
 
 use std::time::Duration;
 
-use sparscale_quarantine::{End, Fingerprint, News, Register, Standing, Strike};
+use sparscale_quarantine::{EndedStart, Fingerprint, Strike, StrikeSource, StrikeStatus, Tracker};
 
 const NOW_MS: u64 = 1_000_000;
 const MARGIN: Duration = Duration::from_secs(2);
@@ -10,47 +11,47 @@
 fn strike(content: &str, end: &str) -> Strike {
     Strike {
         request: Fingerprint::of("POST", content, None, b""),
-        end: End::of(end, Some(1)),
+        ended_start: EndedStart::of(end, Some(1)),
         at_ms: NOW_MS - 60_000,
-        standing: Standing::Counts,
+        status: StrikeStatus::Counted,
     }
 }
 
-/// Strikes that the store had before it was restored.
-fn known() -> (Register, [Strike; 2]) {
+/// A tracker with two strikes that the store had before it was restored.
+fn stored_strikes() -> (Tracker, [Strike; 2]) {
     let strikes = [strike("/a", "m-1"), strike("/b", "m-2")];
-    let mut register = Register::default();
+    let mut tracker = Tracker::default();
     for strike in strikes {
-        register.take_in(strike, News::Read, NOW_MS - 30_000);
+        tracker.merge(strike, StrikeSource::Store, NOW_MS - 30_000);
     }
-    (register, strikes)
+    (tracker, strikes)
 }
 
 #[test]
-fn lost_told_again() {
-    let (mut register, strikes) = known();
-    assert!(register.untold().is_empty());
-    register.doubt_store();
-    register.read(&strikes[..1], NOW_MS, MARGIN, NOW_MS);
-    assert_eq!(register.untold(), strikes[1..]);
+fn lost_strike_written_again() {
+    let (mut tracker, strikes) = stored_strikes();
+    assert!(tracker.unsaved().is_empty());
+    tracker.mark_stored_unconfirmed();
+    tracker.merge_snapshot(&strikes[..1], NOW_MS, MARGIN, NOW_MS);
+    assert_eq!(tracker.unsaved(), strikes[1..]);
 }
 
 #[test]
-fn told_once() {
-    let (mut register, strikes) = known();
-    register.doubt_store();
-    register.read(&[], NOW_MS, MARGIN, NOW_MS);
-    for strike in register.untold() {
-        register.take_in(strike, News::Read, NOW_MS);
+fn written_once() {
+    let (mut tracker, strikes) = stored_strikes();
+    tracker.mark_stored_unconfirmed();
+    tracker.merge_snapshot(&[], NOW_MS, MARGIN, NOW_MS);
+    for strike in tracker.unsaved() {
+        tracker.merge(strike, StrikeSource::Store, NOW_MS);
     }
-    register.read(&strikes, NOW_MS + 1_000, MARGIN, NOW_MS + 1_000);
-    assert!(register.untold().is_empty());
+    tracker.merge_snapshot(&strikes, NOW_MS + 1_000, MARGIN, NOW_MS + 1_000);
+    assert!(tracker.unsaved().is_empty());
 }
 
-/// A reading without a restore lacks what was dropped as too old, which is not told again.
+/// Without a restore, strikes missing from the store have expired and are not written again.
 #[test]
-fn dropped_not_told() {
-    let (mut register, _) = known();
-    register.read(&[], NOW_MS, MARGIN, NOW_MS);
-    assert!(register.untold().is_empty());
+fn expired_not_written() {
+    let (mut tracker, _) = stored_strikes();
+    tracker.merge_snapshot(&[], NOW_MS, MARGIN, NOW_MS);
+    assert!(tracker.unsaved().is_empty());
 }
--- a/crates/sparscale_route/src/choice.rs
+++ b/crates/sparscale_route/src/choice.rs
@@ -1,4 +1,7 @@
-//! Scoring and choosing.
+//! Predicts the cost of sending a request to each candidate target and chooses the cheapest.
+//!
+//! Load reports arrive late, and all entries decide on nearly the same reports. The load model therefore extrapolates
+//! what the other entries have sent since, so that entries don't all choose the same rank.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -7,111 +10,111 @@
 use serde::Serialize;
 use sparscale_board::{BLOCK_BYTES, Board, GroupKey, Target, TargetKey};
 
-/// Bytes of a prompt that make a token, on average.
+/// Average number of prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Time to prefill one prompt token, in milliseconds.
 const PREFILL_MS_PER_TOKEN: f64 = 0.01;
-/// Step time of a target that belongs to no group, in milliseconds.
+/// Step time assumed for a target that belongs to no group, in milliseconds.
 const SERVICE_STEP_MS: f64 = 2.0;
 
-/// What a request needs, as far as routing is concerned.
+/// The properties of a request that routing depends on.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Expected answer length, in tokens.
-    pub answer_tokens: u32,
-    /// Hashes of the prompt's leading blocks.
-    pub blocks: Vec<u64>,
+    /// Expected response length, in tokens.
+    pub response_tokens: u32,
+    /// Hashes of the prompt's leading blocks, for the prefix cache.
+    pub block_hashes: Vec<u64>,
 }
 
-/// How to choose; all but the first are baselines to measure against.
+/// Rule by which a target is chosen; all but [`Rule::GroupCost`] are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Smallest predicted cost, counting what the request adds to its group's step.
+    /// Smallest predicted cost, including what the request adds to the step time of its group.
     GroupCost,
-    /// One after the other.
+    /// Each candidate in turn; the value is the number of the turn.
     RoundRobin(usize),
-    /// Any.
+    /// A candidate drawn at random.
     Random,
-    /// The less loaded of two drawn at random.
-    LeastOfTwo,
+    /// The less loaded of two candidates drawn at random.
+    TwoChoices,
 }
 
 /// Why a target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It was the only candidate that takes work.
+    /// It was the only candidate that accepts work.
     Only,
     /// Its predicted cost was the smallest.
     LeastCost,
-    /// A baseline chose it.
+    /// A baseline rule chose it.
     Baseline,
 }
 
-/// A candidate with its predicted cost, in milliseconds.
+/// A candidate target with its predicted cost, in milliseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Scored {
+pub struct ScoredTarget {
     /// The candidate.
     pub key: TargetKey,
-    /// Sum of the parts below.
-    pub cost: f64,
-    /// Wait for a place.
-    pub wait: f64,
-    /// Prefill of what waits there and of this prompt, after the expected cache hit.
-    pub prefill: f64,
-    /// Steps of this answer.
-    pub steps: f64,
-    /// What the longer steps cost everyone else in the group.
-    pub others: f64,
-    /// Way there and back.
-    pub distance: f64,
-    /// Counter of this entry's last request there: of equals, the one that waited longest is next.
-    pub last_sent: u64,
+    /// Total of the components below.
+    pub cost_ms: f64,
+    /// Time in the target's queue.
+    pub wait_ms: f64,
+    /// Prefill of the backlog and of this prompt, less the expected prefix cache hit.
+    pub prefill_ms: f64,
+    /// Decode steps of this response.
+    pub decode_ms: f64,
+    /// Delay that the longer steps add to all other requests of the group.
+    pub group_delay_ms: f64,
+    /// Network round trip.
+    pub round_trip_ms: f64,
+    /// Counter of this entry's last request to the target; breaks ties in favour of the least recently used.
+    pub last_sent_counter: u64,
 }
 
-impl Scored {
+impl ScoredTarget {
     fn compare(&self, other: &Self) -> Ordering {
-        self.cost
-            .total_cmp(&other.cost)
-            .then(self.last_sent.cmp(&other.last_sent))
+        self.cost_ms
+            .total_cmp(&other.cost_ms)
+            .then(self.last_sent_counter.cmp(&other.last_sent_counter))
     }
 }
 
 /// A routing decision.
 #[derive(Debug, Clone)]
 pub struct Decision {
-    /// The target.
+    /// The chosen target.
     pub target: TargetKey,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
-    /// What was looked at.
-    pub scored: Vec<Scored>,
+    /// The candidates that were scored; empty for a baseline rule.
+    pub scored_targets: Vec<ScoredTarget>,
 }
 
-/// No candidate takes work.
+/// No candidate accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Error {
-    /// When the first candidate that is only avoided may be tried again.
+    /// Delay until the first candidate that is only avoided for a while may be used again.
     pub retry_after: Duration,
 }
 
-/// Exponent of the norm that stands for the largest rank load. The plain largest would leave all ranks below it
-/// alike, so that the next burst finds them unequal.
-const NORM: i32 = 8;
+/// Exponent of the power norm that approximates the largest rank load. With the true maximum all ranks below it would
+/// cost the same, and the next burst would meet uneven loads.
+const NORM_EXPONENT: i32 = 8;
 
-/// Load of a group as one decision sees it.
+/// Expected load of a group at the time of one decision.
 #[derive(Debug, Clone)]
 struct GroupLoad {
     key: GroupKey,
-    /// Expected requests of each rank, in rank order.
-    ranks: Vec<f64>,
-    /// Sum of the ranks' requests, each to the power of [`NORM`], and its root.
-    powers: f64,
-    root: f64,
-    total: f64,
-    /// Step time without load and for each sequence on the most loaded rank, in milliseconds.
+    /// Expected requests at each rank, in rank order.
+    rank_loads: Vec<f64>,
+    /// Sum of the rank loads, each to the power of [`NORM_EXPONENT`], and the root of that sum.
+    power_sum: f64,
+    norm: f64,
+    total_requests: f64,
+    /// Step time without load, and step time added by each sequence on the most loaded rank, in milliseconds.
     base_ms: f64,
     slope_ms: f64,
 }
@@ -128,37 +131,40 @@
     let usable: Vec<TargetKey> = candidates
         .iter()
         .copied()
-        .filter(|key| takes_work(board, *key, now))
+        .filter(|key| accepts_work(board, *key, now))
         .collect();
     let Some(first) = usable.first() else {
         return Err(no_candidate(board, candidates, now));
     };
     if usable.len() == 1 {
-        let scored = Loads::new(board, &usable, now).score(*first, request);
+        let scored_target = GroupLoads::new(board, &usable, now).score(*first, request);
         return Ok(Decision {
             target: *first,
             reason: Reason::Only,
-            scored: scored.into_iter().collect(),
+            scored_targets: scored_target.into_iter().collect(),
         });
     }
     match rule {
         Rule::GroupCost => Ok(least_cost(board, &usable, request, now, random)),
         Rule::RoundRobin(turn) => Ok(baseline(usable[turn % usable.len()])),
         Rule::Random => Ok(baseline(usable[random.random_range(0..usable.len())])),
-        Rule::LeastOfTwo => Ok(baseline(least_of_two(board, &usable, random))),
+        Rule::TwoChoices => Ok(baseline(least_of_two(board, &usable, random))),
     }
 }
 
-fn takes_work(board: &Board, key: TargetKey, now: Duration) -> bool {
-    board.target(key).is_some_and(|target| target.takes_work(now))
+fn accepts_work(board: &Board, key: TargetKey, now: Duration) -> bool {
+    board.target(key).is_some_and(|target| target.accepts_work(now))
 }
 
 fn no_candidate(board: &Board, candidates: &[TargetKey], now: Duration) -> Error {
-    const DEFAULT: Duration = Duration::from_secs(1);
+    const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
     let targets = candidates.iter().filter_map(|key| board.target(*key));
-    let soonest = targets.map(Target::usable_at).filter(|until| *until > now).min();
+    let earliest = targets
+        .map(Target::usable_at)
+        .filter(|usable_at| *usable_at > now)
+        .min();
     Error {
-        retry_after: soonest.map_or(DEFAULT, |until| until.saturating_sub(now)),
+        retry_after: earliest.map_or(DEFAULT_RETRY_DELAY, |usable_at| usable_at.saturating_sub(now)),
     }
 }
 
@@ -169,16 +175,16 @@
     now: Duration,
     random: &mut impl Rng,
 ) -> Decision {
-    let loads = Loads::new(board, usable, now);
-    let scored: Vec<Scored> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
-    // Entries start their rounds at different places, so that equals are not met in one order by all.
-    let start = random.random_range(0..scored.len().max(1));
-    let (before, after) = scored.split_at(start);
+    let loads = GroupLoads::new(board, usable, now);
+    let scored_targets: Vec<ScoredTarget> = usable.iter().filter_map(|key| loads.score(*key, request)).collect();
+    // Each entry starts at a random candidate, so that entries don't all break ties the same way.
+    let start = random.random_range(0..scored_targets.len().max(1));
+    let (before, after) = scored_targets.split_at(start);
     let best = after.iter().chain(before).min_by(|left, right| left.compare(right));
     Decision {
         target: best.map_or(usable[0], |best| best.key),
         reason: Reason::LeastCost,
-        scored,
+        scored_targets,
     }
 }
 
@@ -193,23 +199,23 @@
     Decision {
         target,
         reason: Reason::Baseline,
-        scored: Vec::new(),
+        scored_targets: Vec::new(),
     }
 }
 
 fn hit_tokens(target: &Target, request: &Request, now: Duration) -> f64 {
-    let blocks = target.hints.expected_hit(&request.blocks, now);
+    let blocks = target.hints.expected_hit_blocks(&request.block_hashes, now);
     (blocks * BLOCK_BYTES / BYTES_PER_TOKEN) as f64
 }
 
-/// Loads of the groups that a decision looks at, each worked out once.
-struct Loads<'a> {
+/// Loads of the groups that one decision considers, each computed once.
+struct GroupLoads<'a> {
     board: &'a Board,
     now: Duration,
     groups: Vec<GroupLoad>,
 }
 
-impl<'a> Loads<'a> {
+impl<'a> GroupLoads<'a> {
     fn new(board: &'a Board, usable: &[TargetKey], now: Duration) -> Self {
         Self {
             board,
@@ -218,40 +224,45 @@
         }
     }
 
-    fn score(&self, key: TargetKey, request: &Request) -> Option<Scored> {
+    fn score(&self, key: TargetKey, request: &Request) -> Option<ScoredTarget> {
         let target = self.board.target(key)?;
-        let answer = f64::from(request.answer_tokens.max(1));
-        let (requests, step, others) = match target.rank {
+        let answer_tokens = f64::from(request.response_tokens.max(1));
+        let (requests, ms_per_step, group_delay_ms_per_token) = match target.rank {
             Some((group, rank)) => self.rank_costs(group, rank)?,
             None => (target.expected_requests(), SERVICE_STEP_MS, 0.0),
         };
         let own_prefill = (f64::from(request.prompt_tokens) - hit_tokens(target, request, self.now)).max(0.0);
-        let prefill = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
-        let places = f64::from(self.board.places.max(1));
-        let wait = (requests + 1.0 - places).max(0.0) / places * answer * step;
-        let steps = answer * step;
-        let others = others * answer;
-        let distance = target.distance.round_trip_ms();
-        Some(Scored {
+        let prefill_ms = (target.expected_prefill() + own_prefill) * PREFILL_MS_PER_TOKEN;
+        let max_in_flight = f64::from(self.board.max_in_flight_per_target.max(1));
+        let wait_ms = (requests + 1.0 - max_in_flight).max(0.0) / max_in_flight * answer_tokens * ms_per_step;
+        let decode_ms = answer_tokens * ms_per_step;
+        let group_delay_ms = group_delay_ms_per_token * answer_tokens;
+        let round_trip_ms = target.distance.round_trip_ms();
+        Some(ScoredTarget {
             key,
-            cost: wait + prefill + steps + others + distance,
-            wait,
-            prefill,
-            steps,
-            others,
-            distance,
-            last_sent: target.last_sent,
+            cost_ms: wait_ms + prefill_ms + decode_ms + group_delay_ms + round_trip_ms,
+            wait_ms,
+            prefill_ms,
+            decode_ms,
+            group_delay_ms,
+            round_trip_ms,
+            last_sent_counter: target.last_sent_counter,
         })
     }
 
-    /// Requests at the rank, the step time with one more there, and what each of its steps then costs all others.
+    /// Returns the requests at the rank, the step time in milliseconds with one more request there, and the delay in
+    /// milliseconds that this request adds to all others with each step.
     fn rank_costs(&self, group: GroupKey, rank: usize) -> Option<(f64, f64, f64)> {
         let load = self.group_load(group)?;
-        let requests = *load.ranks.get(rank)?;
-        let powers = load.powers - requests.powi(NORM) + (requests + 1.0).powi(NORM);
-        let after = root(powers);
-        let longer = load.slope_ms * (after - load.root);
-        Some((requests, load.base_ms + load.slope_ms * after, longer * load.total))
+        let requests = *load.rank_loads.get(rank)?;
+        let power_sum = load.power_sum - requests.powi(NORM_EXPONENT) + (requests + 1.0).powi(NORM_EXPONENT);
+        let norm_after = eighth_root(power_sum);
+        let added_step_ms = load.slope_ms * (norm_after - load.norm);
+        Some((
+            requests,
+            load.base_ms + load.slope_ms * norm_after,
+            added_step_ms * load.total_requests,
+        ))
     }
 
     fn group_load(&self, key: GroupKey) -> Option<&GroupLoad> {
@@ -259,23 +270,24 @@
     }
 }
 
-/// Requests of other entries at the ranks of one group, as far as reports still tell.
-struct Others {
+/// Estimated requests of the other entries at the ranks of one group, from the last load reports.
+struct OtherEntriesLoad {
     key: GroupKey,
-    /// Those that were reported and have probably not ended, for each rank.
-    left: Vec<f64>,
-    /// Those that were reported and have probably ended.
-    ended: f64,
-    /// This entry's recent requests to the group.
-    own_sent: f64,
+    /// Reported requests that have probably not ended, for each rank.
+    in_flight_by_rank: Vec<f64>,
+    /// Number of reported requests that have probably ended.
+    ended_count: f64,
+    /// This entry's recent requests to the group, decayed by age.
+    own_recent_sends: f64,
 }
 
-/// Expected loads of all groups that `usable` belong to.
+/// Expected loads of all groups that the targets in `usable` belong to.
 ///
-/// This entry knows its own requests. Of the others' it is told late: some of what a report counted has ended since,
-/// and others have sent as many new ones. Where to? They decide like this entry, on much the same reports; so they
-/// are taken to have shared them out among the groups as this entry did, and inside a group to have filled up the
-/// ranks that looked least loaded. Without that, entries that are told the same all rush to the same rank or group.
+/// The entry knows its own requests exactly, but reports on those of other entries are late: some of the reported
+/// requests have ended, and as many new ones are assumed to have arrived. Other entries decide by the same rule on
+/// nearly the same reports, so the new requests are distributed over the groups as this entry distributed its own, and
+/// inside a group they fill up the least loaded ranks. Without this estimate, entries with the same reports would all
+/// choose the same rank or group.
 fn group_loads(board: &Board, usable: &[TargetKey], now: Duration) -> Vec<GroupLoad> {
     let mut keys: Vec<GroupKey> = Vec::new();
     for key in usable {
@@ -285,73 +297,78 @@
             keys.push(group);
         }
     }
-    let others: Vec<Others> = keys.into_iter().filter_map(|key| others_of(board, key, now)).collect();
-    let ended: f64 = others.iter().map(|group| group.ended).sum();
-    let own_sent: f64 = others.iter().map(|group| group.own_sent).sum();
-    let arrived = |group: &Others| {
-        if own_sent <= 0.0 {
-            return group.ended;
+    let others: Vec<OtherEntriesLoad> = keys
+        .into_iter()
+        .filter_map(|key| other_entries_load(board, key, now))
+        .collect();
+    let ended_count: f64 = others.iter().map(|group| group.ended_count).sum();
+    let own_recent_sends: f64 = others.iter().map(|group| group.own_recent_sends).sum();
+    let new_requests = |group: &OtherEntriesLoad| {
+        if own_recent_sends <= 0.0 {
+            return group.ended_count;
         }
-        // One request's weight of what was reported keeps an entry that sends little from guessing wildly.
-        let share = (group.own_sent + group.ended / ended.max(f64::MIN_POSITIVE)) / (own_sent + 1.0);
-        ended * share
+        // The reported requests count as one additional request of this entry, which steadies the estimate of an entry
+        // that sends little.
+        let share = (group.own_recent_sends + group.ended_count / ended_count.max(f64::MIN_POSITIVE))
+            / (own_recent_sends + 1.0);
+        ended_count * share
     };
     others
         .iter()
-        .filter_map(|group| group_load(board, group, arrived(group)))
+        .filter_map(|group| group_load(board, group, new_requests(group)))
         .collect()
 }
 
-fn others_of(board: &Board, key: GroupKey, now: Duration) -> Option<Others> {
+fn other_entries_load(board: &Board, key: GroupKey, now: Duration) -> Option<OtherEntriesLoad> {
     let group = board.group(key)?;
     let members = || group.ranks.iter().filter_map(|rank| board.target(*rank));
-    let reported = members().filter_map(Target::reported_others);
-    let (sum, count) = reported.fold((0.0, 0.0), |(sum, count), others| (sum + others, count + 1.0));
+    let reported_loads = members().filter_map(Target::reported_others);
+    let (sum, count) = reported_loads.fold((0.0, 0.0), |(sum, count), others| (sum + others, count + 1.0));
     let mean = if count > 0.0 { sum / count } else { 0.0 };
-    let residual = board.holding.residual_seconds();
-    let mut ended = 0.0;
-    let left = members().map(|rank| {
+    let residual = board.residence_times.residual_seconds();
+    let mut ended_count = 0.0;
+    let in_flight_by_rank = members().map(|rank| {
         let others = rank.reported_others().unwrap_or(mean);
-        let left = others * (-rank.report_age(now).as_secs_f64() / residual).exp();
-        ended += others - left;
-        left
+        let in_flight = others * (-rank.report_age(now).as_secs_f64() / residual).exp();
+        ended_count += others - in_flight;
+        in_flight
     });
-    let left = left.collect();
-    Some(Others {
+    let in_flight_by_rank = in_flight_by_rank.collect();
+    Some(OtherEntriesLoad {
         key,
-        left,
-        ended,
-        own_sent: group.recent_sends(now),
+        in_flight_by_rank,
+        ended_count,
+        own_recent_sends: group.recent_sends(now),
     })
 }
 
-fn group_load(board: &Board, others: &Others, arrived: f64) -> Option<GroupLoad> {
+fn group_load(board: &Board, others: &OtherEntriesLoad, new_requests: f64) -> Option<GroupLoad> {
     let group = board.group(others.key)?;
-    let mut ranks = others.left.clone();
-    fill(&mut ranks, arrived);
+    let mut rank_loads = others.in_flight_by_rank.clone();
+    fill_lowest(&mut rank_loads, new_requests);
     let members = group.ranks.iter().filter_map(|rank| board.target(*rank));
-    for (expected, rank) in ranks.iter_mut().zip(members) {
+    for (expected, rank) in rank_loads.iter_mut().zip(members) {
         *expected += rank.own_requests();
     }
-    let powers = ranks.iter().map(|requests| requests.powi(NORM)).sum();
+    let power_sum = rank_loads.iter().map(|requests| requests.powi(NORM_EXPONENT)).sum();
     Some(GroupLoad {
         key: others.key,
-        powers,
-        root: root(powers),
-        total: ranks.iter().sum(),
-        base_ms: group.step.step_ms(0.0),
-        slope_ms: group.step.slope_ms(),
-        ranks,
+        power_sum,
+        norm: eighth_root(power_sum),
+        total_requests: rank_loads.iter().sum(),
+        base_ms: group.step_model.step_ms(0.0),
+        slope_ms: group.step_model.slope_ms(),
+        rank_loads,
     })
 }
 
-/// Raises the lowest of `levels` to one level, by `amount` altogether.
-fn fill(levels: &mut [f64], amount: f64) {
-    const HALVINGS: usize = 12;
+/// Raises the lowest of `levels` to a common level, by `amount` in total (water filling, by bisection).
+fn fill_lowest(levels: &mut [f64], amount: f64) {
+    const BISECTION_STEPS: usize = 12;
     let lowest = levels.iter().copied().fold(f64::MAX, f64::min);
     let highest = levels.iter().copied().fold(0.0, f64::max);
     let (mut low, mut high) = (lowest, highest + amount);
-    for _ in 0..HALVINGS {
+    for _ in 0..BISECTION_STEPS {
         let middle = f64::midpoint(low, high);
         let needed: f64 = levels.iter().map(|level| (middle - level).max(0.0)).sum();
         if needed > amount {
@@ -365,7 +382,7 @@
     }
 }
 
-fn root(powers: f64) -> f64 {
-    // The eighth root, by square roots: a third of the time of a general power.
-    powers.sqrt().sqrt().sqrt()
+fn eighth_root(power_sum: f64) -> f64 {
+    // Three square roots take a third of the time of a general power.
+    power_sum.sqrt().sqrt().sqrt()
 }
--- a/crates/sparscale_route/tests/target_choice.rs
+++ b/crates/sparscale_route/tests/target_choice.rs
@@ -1,4 +1,4 @@
-//! A request goes only to a target that takes work, and to the one that costs its group least.
+//! Requests are routed only to targets that accept work, and to the one with the smallest cost for its group.
 
 #![expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 
@@ -20,7 +20,7 @@
 fn bundle() -> Bundle {
     let operator = |name: &str| Operator {
         name: name.to_owned(),
-        key: sign::public_text(&sign::new_key()),
+        key: sign::encode_public_key(&sign::generate_key()),
     };
     let names: Vec<String> = (0..RANKS).map(|rank| format!("rank-{rank}")).collect();
     let target = |name: &String| Target {
@@ -92,7 +92,7 @@
         .filter(|(_, standing)| **standing != Standing::Absent)
         .map(|(rank, standing)| (format!("rank-{rank}"), (address, *standing)))
         .collect();
-    board.apply_listed(&listed);
+    board.apply_box_list(&listed);
     let keys = (0..RANKS).map(|rank| board.find(&format!("rank-{rank}")).expect("on the board"));
     let keys = keys.collect();
     (board, keys)
@@ -101,16 +101,16 @@
 fn request() -> Request {
     Request {
         prompt_tokens: 100,
-        answer_tokens: 50,
-        blocks: Vec::new(),
+        response_tokens: 50,
+        block_hashes: Vec::new(),
     }
 }
 
-/// What may be known about each rank.
+/// State of each rank: standing, running requests, whether its agent is closed, and whether the last connection failed.
 #[derive(Clone, Debug)]
-struct Known(Vec<(u8, u8, bool, bool)>);
+struct RankStates(Vec<(u8, u8, bool, bool)>);
 
-impl Arbitrary for Known {
+impl Arbitrary for RankStates {
     fn arbitrary(g: &mut Gen) -> Self {
         let rank = |g: &mut Gen| {
             (
@@ -125,32 +125,32 @@
 }
 
 #[test]
-fn only_who_takes_work() {
-    fn holds(known: Known) -> bool {
+fn only_targets_accepting_work() {
+    fn property(states: RankStates) -> bool {
         let standing = |which: u8| match which {
             0 => Standing::Live,
-            1 => Standing::Leaving,
+            1 => Standing::Draining,
             _ => Standing::Absent,
         };
-        let standings: Vec<Standing> = known.0.iter().map(|(which, ..)| standing(*which)).collect();
+        let standings: Vec<Standing> = states.0.iter().map(|(which, ..)| standing(*which)).collect();
         let (mut board, keys) = board(&standings);
         let mut usable = Vec::new();
-        for (key, (which, running, closed, failed)) in keys.iter().zip(&known.0) {
+        for (key, (which, running, is_closed, has_failed)) in keys.iter().zip(&states.0) {
             let load = Load {
                 incarnation: 1,
                 running: u32::from(*running),
-                closed: *closed,
+                is_closed: *is_closed,
                 ..Load::default()
             };
             board.apply_load(*key, load, NOW);
-            if *failed {
-                board.note_failure(*key, NOW);
+            if *has_failed {
+                board.record_failure(*key, NOW);
             }
-            if *which == 0 && !closed && !failed {
+            if *which == 0 && !is_closed && !has_failed {
                 usable.push(*key);
             }
         }
-        let rules = [Rule::GroupCost, Rule::LeastOfTwo, Rule::RoundRobin(7), Rule::Random];
+        let rules = [Rule::GroupCost, Rule::TwoChoices, Rule::RoundRobin(7), Rule::Random];
         rules.into_iter().all(|rule| {
             let mut random = ChaCha8Rng::seed_from_u64(1);
             match choose(&board, &keys, &request(), rule, NOW, &mut random) {
@@ -162,46 +162,46 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 61))
         .tests(3_000)
-        .quickcheck(holds as fn(Known) -> bool);
+        .quickcheck(property as fn(RankStates) -> bool);
 }
 
-/// An entry alone knows all loads without a lag: it always takes the least loaded rank.
+/// A single entry knows all loads without delay, so it always chooses the least loaded rank.
 #[test]
-fn own_requests_exact() {
-    fn holds(known: Known) -> bool {
+fn own_requests_counted_without_lag() {
+    fn property(states: RankStates) -> bool {
         let (mut board, keys) = board(&[Standing::Live; RANKS]);
         let mut counter = 0;
-        for (key, (_, running, ..)) in keys.iter().zip(&known.0) {
+        for (key, (_, running, ..)) in keys.iter().zip(&states.0) {
             for _ in 0..*running {
                 counter += 1;
-                board.note_sent(*key, counter, 0, &[], NOW);
+                board.record_sent(*key, counter, 0, &[], NOW);
             }
         }
-        let least = known.0.iter().map(|(_, running, ..)| *running).min();
+        let least = states.0.iter().map(|(_, running, ..)| *running).min();
         let mut random = ChaCha8Rng::seed_from_u64(2);
         let decision = choose(&board, &keys, &request(), Rule::GroupCost, NOW, &mut random).expect("all are live");
         let index = keys
             .iter()
             .position(|key| *key == decision.target)
             .expect("a candidate");
-        Some(known.0[index].1) == least
+        Some(states.0[index].1) == least
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 62))
         .tests(1_000)
-        .quickcheck(holds as fn(Known) -> bool);
+        .quickcheck(property as fn(RankStates) -> bool);
 }
 
 #[test]
 fn cached_prefix_wins() {
     let (mut board, keys) = board(&[Standing::Live; RANKS]);
     let blocks = prefix_blocks(&[b'p'; 4_096]);
-    board.note_sent(keys[4], 1, 0, &blocks, NOW);
-    board.note_ended(keys[4], 1, NOW);
+    board.record_sent(keys[4], 1, 0, &blocks, NOW);
+    board.record_end(keys[4], 1, NOW);
     let request = Request {
         prompt_tokens: 1_024,
-        answer_tokens: 1,
-        blocks,
+        response_tokens: 1,
+        block_hashes: blocks,
     };
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let decision = choose(&board, &keys, &request, Rule::GroupCost, NOW, &mut random).expect("all are live");
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn replaced_box_forgotten() {
+fn replaced_box_resets_load() {
     let (mut board, keys) = board(&[Standing::Live; RANKS]);
     let busy = Load {
         incarnation: 5,
@@ -228,6 +228,6 @@
         "a report of an earlier run"
     );
     let moved = "127.0.0.1:2".parse().expect("an address");
-    board.apply_listed(&HashMap::from([("rank-0".to_owned(), (moved, Standing::Live))]));
+    board.apply_box_list(&HashMap::from([("rank-0".to_owned(), (moved, Standing::Live))]));
     assert_eq!(board.target(keys[0]).map(|target| target.load), Some(Load::default()));
 }
--- a/crates/sparscale_settings/src/watched.rs
+++ b/crates/sparscale_settings/src/watched.rs
@@ -1,4 +1,5 @@
-//! A settings file that may change while its process runs.
+//! Compares a settings file with the content that its process was started with, to report what the next start will
+//! read.
 
 use std::fs;
 use std::marker::PhantomData;
@@ -9,26 +10,26 @@
 
 use crate::{Check, Error, ReadSnafu, parse};
 
-/// A settings file and its text when it was read.
+/// Settings file, with the text that was first read from it.
 #[derive(Debug)]
-pub struct Watched<T> {
+pub struct WatchedFile<T> {
     path: PathBuf,
     text: String,
     raw: PhantomData<fn() -> T>,
 }
 
-/// What became of the file.
+/// Result of the comparison.
 #[derive(Debug)]
-pub enum Change {
-    /// It is as it was.
-    Same,
-    /// It holds other settings, which can be used.
-    Other,
-    /// It cannot be used.
-    Unusable(Error),
+pub enum FileChange {
+    /// The text is unchanged.
+    Unchanged,
+    /// The text has changed and contains valid settings.
+    Changed,
+    /// The file can't be read, or contains invalid settings.
+    Invalid(Error),
 }
 
-impl<T: Check> Watched<T> {
+impl<T: Check> WatchedFile<T> {
     /// Reads and checks the file at `path`.
     pub fn read(path: &Path) -> Result<(T::Checked, Self), Error> {
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
@@ -38,28 +39,30 @@
         Ok((checked, Self { path, text, raw }))
     }
 
-    /// Reads the file again and says what became of it since it was first read, also in the log.
-    pub fn look_again(&self) -> Change {
+    /// Reads the file again, and returns and logs how it differs from the text that was first read.
+    pub fn check_for_change(&self) -> FileChange {
         let change = self.compare();
         let file = self.path.display().to_string();
         let file = file.as_str();
         match &change {
-            Change::Same => log::info!(target: DECISION, decision = "reload", file; "the settings file is as it was"),
-            Change::Other => {
-                log::warn!(target: DECISION, decision = "reload", file; "the settings file has changed: the next start takes it");
+            FileChange::Unchanged => {
+                log::info!(target: DECISION, decision = "reload", file; "the settings file is unchanged");
             }
-            Change::Unusable(error) => {
-                log::error!(target: DECISION, decision = "reload", file, error = error.to_string().as_str(); "the settings file cannot be used: the next start would fail");
+            FileChange::Changed => {
+                log::warn!(target: DECISION, decision = "reload", file; "the settings file has changed; restart the process to apply it");
+            }
+            FileChange::Invalid(error) => {
+                log::error!(target: DECISION, decision = "reload", file, error = error.to_string().as_str(); "the settings file is invalid and the next start would fail; fix it before a restart");
             }
         }
         change
     }
 
-    fn compare(&self) -> Change {
+    fn compare(&self) -> FileChange {
         match Self::read(&self.path) {
-            Ok((_, read)) if read.text == self.text => Change::Same,
-            Ok(_) => Change::Other,
-            Err(error) => Change::Unusable(error),
+            Ok((_, current)) if current.text == self.text => FileChange::Unchanged,
+            Ok(_) => FileChange::Changed,
+            Err(error) => FileChange::Invalid(error),
         }
     }
 }
--- a/crates/sparscale_soak/src/server.rs
+++ b/crates/sparscale_soak/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! A small HTTP server for the stubs.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,35 +14,35 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Why an answer breaks off.
+/// Error of a response body that the soak aborts.
 #[derive(Debug)]
-pub(crate) struct Broken;
+pub(crate) struct Aborted;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken off by the soak")
+        f.write_str("response body aborted by the soak")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
-/// Content of an answer.
-pub(crate) type Content = UnsyncBoxBody<Bytes, Broken>;
+/// Body of a response.
+pub(crate) type Content = UnsyncBoxBody<Bytes, Aborted>;
 
-/// A whole answer, as the server sends it.
-pub(crate) fn boxed(mut answer: Response<Full<Bytes>>) -> Response<Content> {
-    let content = std::mem::take(answer.body_mut());
-    answer.map(|_taken| content.map_err(|never: Infallible| match never {}).boxed_unsync())
+/// Converts a complete response to the body type of the server.
+pub(crate) fn boxed(mut response: Response<Full<Bytes>>) -> Response<Content> {
+    let content = std::mem::take(response.body_mut());
+    response.map(|_body| content.map_err(|never: Infallible| match never {}).boxed_unsync())
 }
 
-/// The answer of a stand-in that does nothing now.
+/// Response of a stub that is unavailable.
 pub(crate) fn unavailable() -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    answer
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    response
 }
 
-/// Answers requests at `address` with `handle`, on a task that goes on after this returns.
+/// Serves requests at `address` with `handle`, on a task that continues after this returns.
 pub(crate) async fn serve<H, F>(address: SocketAddr, handle: H) -> std::io::Result<()>
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
@@ -54,11 +54,11 @@
         while let Ok((stream, _)) = listener.accept().await {
             let handle = Arc::clone(&handle);
             let service = service_fn(move |request| {
-                let answer = handle(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handle(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             tokio::spawn(async move {
-                // A caller that leaves ends the connection; callers' sides are judged elsewhere.
+                // A client that disconnects ends the connection; the checks judge the callers' side.
                 let _ended = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
