--- a/crates/sparscale_belief/src/throttle.rs
+++ b/crates/sparscale_belief/src/throttle.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Records what the answer of a target announces: its limit in requests per second from all entries together, if it
+    /// Records what the response of a target announces: its limit in requests per second from all entries together, if it
     /// has one, and whether it is draining.
     pub fn record_notice(&self, instance: &Instance, rate: Option<Rate>, is_draining: bool) {
         let notice = Notice {
