--- a/crates/sparscale_control/src/journal.rs
+++ b/crates/sparscale_control/src/journal.rs
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SubmitError {
     /// The fleet has reached the append limit for records of this kind.
-    #[snafu(display("append limit for this kind of record is reached; retry in {} ms", retry_after.as_millis()))]
+    #[snafu(display("the append budget is used up; come back in {} ms", retry_after.as_millis()))]
     Budget {
         /// Delay after which to retry.
         retry_after: Duration,
     },
     /// The log does not have the record.
-    #[snafu(display("record was not appended to the log: {source}"))]
+    #[snafu(display("the log did not take the record: {source}"))]
     NotAppended {
         /// Error of the log.
         source: LogError,
     },
     /// The timeout passed before it was known whether the log has the record.
-    #[snafu(display("timed out before it was known whether the record is in the log"))]
+    #[snafu(display("no proof within the deadline that the record is in the log, or is not"))]
     Unknown,
 }
 
--- a/crates/sparscale_journal/src/http.rs
+++ b/crates/sparscale_journal/src/http.rs
@@ -55,14 +55,14 @@
 
     async fn call(&self, request: http::Request<Full<Bytes>>, timeout: Duration) -> Result<Bytes, Error> {
         let response = tokio::time::timeout(timeout, self.exchange(request)).await;
-        response.map_err(|_elapsed| lost("timed out"))?
+        response.map_err(|_elapsed| lost("it took too long"))?
     }
 
     async fn exchange(&self, request: http::Request<Full<Bytes>>) -> Result<Bytes, Error> {
         let response = self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
                 return Error::Refused {
-                    message: "connection failed".to_owned(),
+                    message: "it cannot be reached".to_owned(),
                 };
             }
             lost(error)
--- a/crates/sparscale_journal/src/log.rs
+++ b/crates/sparscale_journal/src/log.rs
@@ -31,13 +31,13 @@
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The log rejected the call; nothing was appended.
-    #[snafu(display("the log rejected the call: {message}"))]
+    #[snafu(display("the log refused: {message}"))]
     Refused {
         /// Reason that the log gave.
         message: String,
     },
     /// No valid response arrived; an append may or may not have taken effect.
-    #[snafu(display("no valid response from the log: {message}"))]
+    #[snafu(display("no answer from the log: {message}"))]
     Lost {
         /// Cause of the failure.
         message: String,
--- a/crates/sparscale_journal/src/writer.rs
+++ b/crates/sparscale_journal/src/writer.rs
@@ -115,7 +115,7 @@
             let failure = match self.log.append(data.clone()).await {
                 Ok(_) => {
                     maybe_appended = true;
-                    "the log accepted the record but could not be read".to_owned()
+                    "the log has it, but cannot be read".to_owned()
                 }
                 Err(log::Error::Lost { message }) => {
                     maybe_appended = true;
